--- /dev/null
+++ b/tests/golden_test.cpp
@@ -0,0 +1,777 @@
+// What others read or have stored must not change when the code's own names do. Each test writes down what
+// the code makes of fixed facts, as `name: bytes` lines, and compares it with a file of tests/golden byte for
+// byte. OXBOWMILL_WRITE_GOLDEN=1 rewrites those files; input_*, service.toml and operator.yaml are written by
+// hand.
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <cstdio>
+#include <cstdlib>
+#include <fstream>
+#include <sstream>
+
+#include "oxbowmill/config/config.h"
+#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/service/admission.h"
+#include "oxbowmill/service/outbox.h"
+#include "oxbowmill/service/peers.h"
+#include "oxbowmill/wire/market_codec.h"
+
+namespace oxbowmill {
+namespace {
+
+using wire::Json;
+
+std::string golden_path(const std::string& file) {
+  return std::string(GOLDEN_DIR) + "/" + file;
+}
+
+/// Nothing where there is no such file.
+std::optional<std::string> read_file(const std::string& path) {
+  std::ifstream in(path, std::ios::binary);
+  if (!in) return std::nullopt;
+  std::ostringstream out;
+  out << in.rdbuf();
+  return out.str();
+}
+
+std::string hex(const std::string& bytes) {
+  static const char* digits = "0123456789abcdef";
+  std::string out;
+  for (char c : bytes) {
+    auto byte = static_cast<unsigned char>(c);
+    out += digits[byte >> 4];
+    out += digits[byte & 15];
+  }
+  return out;
+}
+
+/// `name: bytes` lines, in the order in which they were added.
+class GoldenLines {
+ public:
+  void add(const std::string& name, const std::string& bytes) { text_ += name + ": " + bytes + "\n"; }
+  /// A body as readable text, and as it is sent.
+  void add_body(const std::string& name, const Json& body) {
+    add(name, body.dump());
+    add(name + " cbor", hex(wire::encode(body)));
+  }
+  void expect_same(const std::string& file) const {
+    const char* rewrite = std::getenv("OXBOWMILL_WRITE_GOLDEN");
+    if (rewrite != nullptr && rewrite == std::string("1")) {
+      std::ofstream(golden_path(file), std::ios::binary) << text_;
+    }
+    auto golden = read_file(golden_path(file));
+    ASSERT_TRUE(golden) << "no golden file " << file;
+    EXPECT_FALSE(golden->empty()) << file;
+    EXPECT_EQ(text_, *golden) << file;
+  }
+
+ private:
+  std::string text_;
+};
+
+/// The hand-written inputs of a file, by name: one `name: JSON` a line.
+std::vector<std::pair<std::string, Json>> read_inputs(const std::string& file) {
+  std::vector<std::pair<std::string, Json>> inputs;
+  std::ifstream in(golden_path(file));
+  for (std::string line; std::getline(in, line);) {
+    std::size_t colon = line.find(": ");
+    Json body = colon == std::string::npos ? Json(Json::value_t::discarded)
+                                           : Json::parse(line.substr(colon + 2), nullptr, false);
+    EXPECT_FALSE(body.is_discarded()) << file << ": " << line;
+    inputs.emplace_back(line.substr(0, colon), std::move(body));
+  }
+  EXPECT_FALSE(inputs.empty()) << file;
+  return inputs;
+}
+
+Json input(const std::string& file, const std::string& name) {
+  for (const auto& [of, body] : read_inputs(file)) {
+    if (of == name) return body;
+  }
+  ADD_FAILURE() << file << " has no " << name;
+  return Json::object();
+}
+
+JobSpec full_job() {
+  JobSpec spec = lab::test_job("run-1", 70, 0.5);
+  spec.shape = Shape::gang;
+  spec.rank = Rank::high;
+  spec.image_gb = 6.25;
+  spec.types = {TypeIndex{0}};
+  spec.zone = ZoneIndex{1};
+  spec.one_zone = spec.scatter = spec.spot = true;
+  spec.estimate_s = 240;
+  spec.save_every_s = 30;
+  spec.flush_s = 4;
+  spec.deadline_s = 900;
+  spec.submitted_at = 1700000000.5;
+  return spec;
+}
+
+/// Only what a submission must have.
+JobSpec bare_job() {
+  JobSpec spec = lab::test_job("run-2", 1);
+  spec.submitted_at = 1700000001;
+  return spec;
+}
+
+/// Tables that know the jobs, machines and markets which the records name.
+struct Tables {
+  Tables() : model(lab::test_settings("node-0"), lab::test_names()) {
+    for (const JobSpec& spec : {full_job(), bare_job()}) {
+      model.apply({JobKey{model.intern_job(spec.ref)}, JobRecord{spec, JobPhase::open}, 0}, 1, 0);
+    }
+    machine = model.intern_machine("host-1");
+    north = model.names.markets.intern("north");
+    job = model.find_job("run-1");
+  }
+  Model model;
+  MachineIndex machine;
+  MarketIndex north;
+  JobIndex job;
+};
+
+/// Key and value, and the value that its decoding encodes to.
+void add_record(GoldenLines& lines, Tables& tables, const std::string& name, const Change& change) {
+  std::string key = state::encode_key(change.key, tables.model);
+  Json value = state::encode_value(change, tables.model);
+  lines.add(name + " key", key);
+  lines.add_body(name + " value", value);
+  auto stored = wire::decode_map(wire::encode(value));
+  ASSERT_TRUE(stored) << name;
+  auto decoded = state::decode(key, &*stored, tables.model);
+  if (std::holds_alternative<FinalKey>(change.key)) {
+    EXPECT_FALSE(decoded) << "final phases are no live keys";
+    EXPECT_TRUE(state::read_phase(*stored)) << name;
+    return;
+  }
+  ASSERT_TRUE(decoded) << name;
+  EXPECT_EQ(state::encode_key(decoded->key, tables.model), key) << name;
+  EXPECT_EQ(state::encode_value(*decoded, tables.model), value) << name;
+}
+
+void add_job_records(GoldenLines& lines, Tables& t) {
+  for (JobPhase phase : {JobPhase::open, JobPhase::done, JobPhase::cancelled}) {
+    add_record(lines, t, std::string("job ") + name_of(phase),
+               {JobKey{t.job}, JobRecord{full_job(), phase}, 0});
+    add_record(lines, t, std::string("final ") + name_of(phase), {FinalKey{t.job}, phase, 0});
+  }
+  add_record(lines, t, "job bare",
+             {JobKey{t.model.find_job("run-2")}, JobRecord{bare_job(), JobPhase::open}, 0});
+}
+
+void add_chunk_records(GoldenLines& lines, Tables& t) {
+  ChunkRecord chunk;
+  add_record(lines, t, "chunk bare", {ChunkKey{t.job, 0}, chunk, 0});
+  chunk.done = 0xdeadbeefcafef00d;
+  chunk.restarted = 1ULL << 63;
+  chunk.placed = {{64, t.machine, (1ULL << 60) + 7, true, 12}, {65, t.machine, 3, false, -1}};
+  chunk.saved[66] = {30, 45, 61};
+  chunk.finishes = {{67, 12.5, 40}};
+  add_record(lines, t, "chunk full", {ChunkKey{t.job, 1}, chunk, 0});
+}
+
+void add_machine_records(GoldenLines& lines, Tables& t) {
+  MachineRecord machine;
+  machine.part = PartIndex{0};
+  machine.type = TypeIndex{0};
+  machine.zone = ZoneIndex{0};
+  add_record(lines, t, "machine bare", {MachineKey{t.machine}, machine, 0});
+  machine.part = PartIndex{1};
+  machine.zone = ZoneIndex{1};
+  machine.spot = machine.up = true;
+  machine.mark = MachineMark::deleting;
+  machine.wanted_by = PartIndex{2};
+  machine.market = t.north;
+  machine.bid = "bid-1";
+  add_record(lines, t, "machine full", {MachineKey{t.machine}, machine, 0});
+}
+
+void add_claim_records(GoldenLines& lines, Tables& t) {
+  add_record(lines, t, "claim pool", {ClaimKey{pool_part}, ClaimRecord{"node-0", 9}, 9});
+  add_record(lines, t, "claim part", {ClaimKey{PartIndex{1}}, ClaimRecord{"node-0", 9}, 9});
+  add_record(lines, t, "node", {NodeKey{"node-0"}, ClaimRecord{"node-0", 9}, 9});
+}
+
+void add_money_records(GoldenLines& lines, Tables& t) {
+  BidRecord bid;
+  bid.market = t.north;
+  bid.type = TypeIndex{0};
+  bid.zone = ZoneIndex{1};
+  bid.spot = true;
+  bid.limit = 12'500'000;
+  bid.term_s = 1800;
+  bid.sent_by = 1700000100;
+  bid.deliver_s = 45;
+  bid.machines = {{PartIndex{1}, 2}, {PartIndex{2}, 3}};
+  add_record(lines, t, "bid", {BidKey{"bid-1"}, bid, 0});
+  add_record(lines, t, "ledger bare", {LedgerKey{}, LedgerRecord{}, 0});
+  add_record(lines, t, "ledger",
+             {LedgerKey{}, LedgerRecord{19675, {{PartIndex{1}, 5}, {PartIndex{2}, 7}}}, 0});
+  MarketRecord market;
+  market.evidence = {1, 2, 3, 4, 5, 6, 7, 8};
+  add_record(lines, t, "market", {MarketKey{t.north}, market, 0});
+  market.shut = true;
+  market.why = "overcharged";
+  add_record(lines, t, "market shut", {MarketKey{t.north}, market, 0});
+}
+
+void add_agreed_records(GoldenLines& lines, Tables& t) {
+  AgreedRecord agreed;
+  agreed.state = "cold";
+  agreed.serial = 1;
+  agreed.at = 1700000000.5;
+  add_record(lines, t, "agreed bare", {AgreedKey{"model/chat"}, agreed, 0});
+  agreed.version = 2;
+  agreed.epoch = 3;
+  agreed.why = "idle";
+  agreed.counts = {{"replicas", 2}};
+  agreed.notes = {{"job", "run-1"}};
+  add_record(lines, t, "agreed full", {AgreedKey{"model/chat"}, agreed, 0});
+}
+
+TEST(Golden, StateKeysAndValues) {
+  GoldenLines lines;
+  Tables tables;
+  add_job_records(lines, tables);
+  add_chunk_records(lines, tables);
+  add_machine_records(lines, tables);
+  add_claim_records(lines, tables);
+  add_money_records(lines, tables);
+  add_agreed_records(lines, tables);
+  lines.add("live prefix", state::live_prefix);
+  lines.add("catalog key", state::catalog_key);
+  lines.add("pool name", state::pool_name);
+  lines.expect_same("state.txt");
+}
+
+TEST(Golden, StateTransactions) {
+  GoldenLines lines;
+  Tables tables;
+  Json record = state::job_value(bare_job(), JobPhase::open, tables.model.names);
+  lines.add_body("submission", service::submission_txn("run-2", record));
+  lines.add_body("withdrawal", service::withdrawal_txn("run-2", record, 41));
+  Write write;
+  write.id = 1;
+  write.txn.guards = {{JobKey{tables.job}, 41}};
+  write.txn.changes = {{JobKey{tables.job}, std::monostate(), 0}, {FinalKey{tables.job}, JobPhase::done, 0}};
+  service::Outbox outbox;
+  lines.add_body("outbox", outbox.keep(write, tables.model).body);
+  lines.expect_same("transactions.txt");
+}
+
+void add_kind(GoldenLines& lines, const accord::Kind& kind) {
+  lines.add(kind.name, kind.key("x"));
+  for (const accord::Kind::Step& step : kind.steps)
+    lines.add(kind.name + " step", step.from + " > " + step.to);
+}
+
+std::string field_names(const Json& j) {
+  std::string names;
+  for (const auto& [key, value] : j.items())
+    names += (names.empty() ? "" : " ") + key + (value.is_object() ? "{" + field_names(value) + "}" : "");
+  return names;
+}
+
+release::Calendar one_release() {
+  release::Terms terms;
+  terms.name = "manual";
+  terms.revision = "r1";
+  terms.editions = {{"ar", {{"run-ar", "", "", 1}}, {"run-pub-ar", "", "", 1}},
+                    {"fr", {{"", "class", "img", 2}}, {"", "publish", "img", 1}}};
+  return {3, {terms}};
+}
+
+models::Settings one_model() {
+  models::Terms terms;
+  terms.name = "chat";
+  terms.job_class = "class";
+  terms.calls = {"call"};
+  terms.least = 1;
+  return {1, {terms}};
+}
+
+TEST(Golden, DurableDecisions) {
+  GoldenLines lines;
+  for (const accord::Kind* kind :
+       {&release::terms_kind(), &release::decision_kind(), &models::decision_kind()})
+    add_kind(lines, *kind);
+  // Names of the notes and counts in the records that controllers write.
+  lab::Cluster cluster(1);
+  cluster.node(0).agree(one_release(), one_model());
+  cluster.add_machine("m1");
+  JobSpec standing = lab::test_job("run-1", 1);
+  standing.shape = Shape::service;
+  cluster.submit(standing);
+  cluster.submit(lab::test_job("run-ar", 1));
+  cluster.run(15);
+  for (const auto& [key, entry] : cluster.state.keys()) {
+    if (key.rfind("o/d/", 0) == 0)
+      lines.add(key, entry.value.at("s").get<std::string>() + " " + field_names(entry.value));
+  }
+  lines.expect_same("decisions.txt");
+}
+
+TEST(Golden, ReleaseTerms) {
+  GoldenLines lines;
+  release::Terms terms = one_release().releases[0];
+  lines.add("bare", release::to_text(terms));
+  terms.when = release::Appointed{"Africa/Tunis", {1, 4}, "", 21600, 7200, {"2027-01-01", "2027-03-20"}};
+  lines.add("weekly", release::to_text(terms));
+  terms.when = release::Appointed{"UTC", {}, "2026-12-24", 5, 0, {}};
+  lines.add("dated", release::to_text(terms));
+  for (const auto& [name, body] : read_inputs("input_terms.txt")) {
+    auto read = release::from_text(body.dump());
+    ASSERT_TRUE(read) << name;
+    lines.add("read " + name, release::to_text(*read));
+  }
+  lines.expect_same("terms.txt");
+}
+
+TEST(Golden, JobBodiesWritten) {
+  GoldenLines lines;
+  Names names = lab::test_names();
+  lines.add_body("submission full", wire::write_submission(full_job(), names));
+  lines.add_body("submission bare", wire::write_submission(bare_job(), names));
+  JobSpec spec = bare_job();
+  for (Shape shape : {Shape::array, Shape::gang, Shape::service}) {
+    spec.shape = shape;
+    lines.add("shape", wire::write_submission(spec, names).at("shape").dump());
+  }
+  for (Rank rank : {Rank::low, Rank::normal, Rank::high, Rank::production}) {
+    spec.rank = rank;
+    lines.add("rank", wire::write_submission(spec, names).at("rank").dump());
+  }
+  for (JobPhase phase : {JobPhase::open, JobPhase::done, JobPhase::cancelled})
+    lines.add_body("status", wire::job_status("run-1", name_of(phase), 3, 4));
+  lines.expect_same("job_bodies.txt");
+}
+
+TEST(Golden, WorkerBodiesWritten) {
+  GoldenLines lines;
+  std::vector<Order> orders = {{OrderVerb::start, "run-1", 3, 7, 0},
+                               {OrderVerb::kill, "run-1", 4, 8, 2.5},
+                               {OrderVerb::clear, "run-1", 5, 9, 0}};
+  lines.add_body("answer ok", wire::write_answer({ReportAnswer::Kind::ok, "", 41, orders, false}));
+  lines.add_body("answer bare", wire::write_answer({ReportAnswer::Kind::ok, "", 41, {}, false}));
+  lines.add_body("answer redirect",
+                 wire::write_answer({ReportAnswer::Kind::redirect, "node-1", 0, {}, true}));
+  lines.add_body("direct", wire::write_direct({MachineIndex{0}, 2, 41, orders}));
+  lines.expect_same("worker_bodies.txt");
+}
+
+TEST(Golden, CloudBodiesWritten) {
+  GoldenLines lines;
+  Names names = lab::test_names();
+  MachineType type{{32, 4, 128}, 200, 0.5, 10, 3, 20, {}};
+  lines.add_body("catalog", wire::write_catalog({{"std", type, {"a", "b"}}}));
+  lines.add_body("rental", wire::write_rental({"hire-1", TypeIndex{0}, ZoneIndex{1}, true, 3, {}}, names));
+  lines.add_body("delete", wire::write_delete({"host-1", "host-2"}));
+  lines.expect_same("cloud_bodies.txt");
+}
+
+TEST(Golden, SubmissionsRead) {
+  GoldenLines lines;
+  for (const auto& [name, body] : read_inputs("input_submissions.txt")) {
+    Names names = lab::test_names();
+    JobSpec spec;
+    auto rejection = wire::read_submission(body, names, spec);
+    lines.add(name, rejection ? std::to_string(rejection->status) + " " + rejection->reason
+                              : wire::write_submission(spec, names).dump());
+  }
+  lines.expect_same("submissions_read.txt");
+}
+
+TEST(Golden, SubmissionFieldsReachTheirMeaning) {
+  Json body = input("input_submissions.txt", "full");
+  Names names = lab::test_names();
+  JobSpec spec;
+  ASSERT_FALSE(wire::read_submission(body, names, spec));
+  EXPECT_EQ(spec.ref, "run-000412");
+  EXPECT_EQ(names.classes.name(spec.job_class), "train");
+  EXPECT_EQ(names.images.name(spec.image), "img-07");
+  EXPECT_EQ(names.parts.name(spec.part), "red");
+  EXPECT_EQ(spec.shape, Shape::gang);
+  EXPECT_EQ(spec.rank, Rank::high);
+  EXPECT_EQ(spec.tasks, 2U);
+  EXPECT_EQ(spec.need.cpus, 8);
+  EXPECT_EQ(spec.need.gpus, 1);
+  EXPECT_EQ(spec.need.memory_gb, 64);
+  EXPECT_EQ(spec.image_gb, 6.25);
+  EXPECT_EQ(spec.types, std::vector<TypeIndex>{TypeIndex{0}});
+  EXPECT_EQ(spec.zone, ZoneIndex{1});
+  EXPECT_TRUE(spec.one_zone);
+  EXPECT_FALSE(spec.scatter);
+  EXPECT_TRUE(spec.spot);
+  EXPECT_EQ(spec.estimate_s, 240);
+  EXPECT_EQ(spec.save_every_s, 30);
+  EXPECT_EQ(spec.flush_s, 4);
+  EXPECT_EQ(spec.deadline_s, 900);
+}
+
+TEST(Golden, ReportsRead) {
+  auto full = wire::read_report(input("input_reports.txt", "full"));
+  ASSERT_TRUE(full);
+  EXPECT_EQ(full->machine, "host-1");
+  EXPECT_EQ(full->address, "10.1.0.1:9000");
+  EXPECT_EQ(full->type, "std");
+  EXPECT_EQ(full->zone, "b");
+  EXPECT_TRUE(full->spot);
+  EXPECT_EQ(full->tenure, 2U);
+  EXPECT_EQ(full->serial, 8U);
+  EXPECT_EQ(full->token, 41U);
+  EXPECT_EQ(full->recall_s, 12.5);
+  const std::vector<std::pair<TaskPhase, EndCause>> expected = {
+      {TaskPhase::fetching, EndCause::none}, {TaskPhase::gathering, EndCause::none},
+      {TaskPhase::running, EndCause::none},  {TaskPhase::saving, EndCause::none},
+      {TaskPhase::ended, EndCause::done},    {TaskPhase::ended, EndCause::stopped},
+      {TaskPhase::ended, EndCause::peers},   {TaskPhase::ended, EndCause::incomplete},
+      {TaskPhase::ended, EndCause::error},   {TaskPhase::ended, EndCause::no_room},
+      {TaskPhase::ended, EndCause::busy},    {TaskPhase::ended, EndCause::no_such},
+      {TaskPhase::ended, EndCause::error},  // a cause that is not known
+  };
+  ASSERT_EQ(full->tasks.size(), expected.size());
+  for (std::size_t i = 0; i < expected.size(); ++i) {
+    const TaskReport& task = full->tasks[i];
+    EXPECT_EQ(task.job, "run-1");
+    EXPECT_EQ(task.task, i);
+    EXPECT_EQ(task.attempt, 100 + i);
+    EXPECT_EQ(task.phase, expected[i].first) << i;
+    EXPECT_EQ(task.cause, expected[i].second) << i;
+    EXPECT_EQ(task.saved, i == 5) << i;
+  }
+  auto bare = wire::read_report(input("input_reports.txt", "bare"));
+  ASSERT_TRUE(bare);
+  EXPECT_LT(bare->recall_s, 0);
+  EXPECT_FALSE(bare->spot);
+  EXPECT_TRUE(bare->tasks.empty());
+}
+
+TEST(Golden, CloudAnswersRead) {
+  const std::string file = "input_cloud.txt";
+  auto catalog = wire::read_catalog(input(file, "catalog"));
+  ASSERT_TRUE(catalog);
+  ASSERT_EQ(catalog->size(), 1U);
+  const wire::CatalogEntry& entry = catalog->front();
+  EXPECT_EQ(wire::write_catalog(*catalog), input(file, "catalog"));
+  EXPECT_EQ(entry.name, "std");
+  EXPECT_EQ(entry.type.room.cpus, 32);
+  EXPECT_EQ(entry.type.room.gpus, 4);
+  EXPECT_EQ(entry.type.room.memory_gb, 128);
+  EXPECT_EQ(entry.type.cache_gb, 200);
+  EXPECT_EQ(entry.type.fetch_gb_per_s, 0.5);
+  EXPECT_EQ(entry.type.price, 10);
+  EXPECT_EQ(entry.type.spot_price, 3);
+  EXPECT_EQ(entry.type.boot_s, 20);
+  EXPECT_EQ(entry.zones, (std::vector<std::string>{"a", "b"}));
+  EXPECT_EQ(wire::read_hosts(input(file, "hosts")), (std::vector<std::string>{"host-1", "host-2"}));
+  auto page = wire::read_list(input(file, "list"));
+  ASSERT_TRUE(page);
+  EXPECT_TRUE(page->more);
+  ASSERT_EQ(page->machines.size(), 3U);
+  using Phase = ListedMachine::Phase;
+  const Phase phases[] = {Phase::starting, Phase::running, Phase::failed};
+  for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(page->machines[i].phase, phases[i]) << i;
+  const ListedMachine& listed = page->machines[1];
+  EXPECT_EQ(listed.name, "host-2");
+  EXPECT_EQ(listed.address, "10.1.0.2:9000");
+  EXPECT_EQ(listed.type, "std");
+  EXPECT_EQ(listed.zone, "b");
+  EXPECT_TRUE(listed.spot);
+  EXPECT_EQ(listed.age_s, 7.5);
+}
+
+market::Call market_call(market::CallKind kind) {
+  market::Call call;
+  call.kind = kind;
+  call.kinds = {{TypeIndex{0}, ZoneIndex{1}, true}};
+  call.bid = "bid-1";
+  call.quote = "quote-1";
+  call.count = 3;
+  call.limit = 12'500'000;
+  call.term_s = 1800;
+  call.deliver_s = 45;
+  call.round = 2;
+  call.rate = 11'250'000;
+  call.hosts = {"north.1", "north.2"};
+  call.from = 17;
+  return call;
+}
+
+TEST(Golden, MarketCallsWritten) {
+  using Kind = market::CallKind;
+  GoldenLines lines;
+  const std::pair<const char*, Kind> calls[] = {
+      {"quotes", Kind::quotes},   {"bid", Kind::bid},           {"status", Kind::status},
+      {"confirm", Kind::confirm}, {"withdraw", Kind::withdraw}, {"give back", Kind::give_back},
+      {"charges", Kind::charges},
+  };
+  for (const auto& [name, kind] : calls) {
+    wire::MarketRequest request = wire::write_market_call(market_call(kind), lab::test_names());
+    lines.add(std::string(name) + " path", (request.post ? "POST " : "GET ") + request.path);
+    lines.add_body(name, request.body);
+  }
+  lines.expect_same("market_calls.txt");
+}
+
+market::Answer market_answer(market::CallKind kind, const std::string& name) {
+  std::string body = wire::encode(input("input_market.txt", name));
+  return wire::read_market_answer(market_call(kind), 200, body, 0, lab::test_names());
+}
+
+TEST(Golden, MarketQuotesAndChargesRead) {
+  market::Answer quotes = market_answer(market::CallKind::quotes, "quotes");
+  ASSERT_EQ(quotes.kind, market::AnswerKind::ok);
+  ASSERT_EQ(quotes.quotes.size(), 1U);
+  const market::QuoteNews& quote = quotes.quotes[0];
+  EXPECT_EQ(quote.quote, "quote-1");
+  EXPECT_EQ(quote.kind, (Kind{TypeIndex{0}, ZoneIndex{1}, true}));
+  EXPECT_EQ(quote.count, 3U);
+  EXPECT_EQ(quote.rate, 2.5);
+  EXPECT_EQ(quote.valid_s, 4);
+  EXPECT_EQ(quote.deliver_s, 45);
+  market::Answer charges = market_answer(market::CallKind::charges, "charges");
+  ASSERT_EQ(charges.kind, market::AnswerKind::ok);
+  ASSERT_EQ(charges.charges.size(), 1U);
+  EXPECT_EQ(charges.charges[0].no, 18U);
+  EXPECT_EQ(charges.charges[0].bid, "bid-1");
+  EXPECT_EQ(charges.charges[0].amount, 1'250'000);
+  market::Answer returned = market_answer(market::CallKind::give_back, "returned");
+  ASSERT_EQ(returned.kind, market::AnswerKind::ok);
+  EXPECT_EQ(returned.returned, (std::vector<std::string>{"north.1", "north.2"}));
+}
+
+TEST(Golden, MarketBidsRead) {
+  using Phase = market::MarketPhase;
+  const std::pair<const char*, Phase> phases[] = {
+      {"open", Phase::open}, {"raised", Phase::raised},       {"won", Phase::won},
+      {"lost", Phase::lost}, {"withdrawn", Phase::withdrawn}, {"closed", Phase::closed}};
+  for (const auto& [name, phase] : phases) {
+    market::Answer answer = market_answer(market::CallKind::status, name);
+    ASSERT_EQ(answer.kind, market::AnswerKind::ok) << name;
+    ASSERT_TRUE(answer.bid) << name;
+    EXPECT_EQ(answer.bid->phase, phase) << name;
+    EXPECT_EQ(answer.bid->charged, 500'000) << name;
+  }
+  market::BidNews raised = *market_answer(market::CallKind::bid, "raised").bid;
+  EXPECT_EQ(raised.round, 2U);
+  EXPECT_EQ(raised.raise, 3'000'000);
+  market::BidNews won = *market_answer(market::CallKind::confirm, "won").bid;
+  EXPECT_EQ(won.rate, 2'500'000);
+  EXPECT_EQ(won.expects, 1U);
+  ASSERT_EQ(won.hosts.size(), 1U);
+  EXPECT_EQ(won.hosts[0].name, "north.1");
+  EXPECT_EQ(won.hosts[0].address, "10.2.0.1:9000");
+  EXPECT_EQ(won.hosts[0].kind, (Kind{TypeIndex{0}, ZoneIndex{1}, true}));
+}
+
+TEST(Golden, PeerNews) {
+  GoldenLines lines;
+  service::PeerNews full{"node-1", 1ULL << 40, true, {"a", "b"}, {{"red", 7, 2, 9, 3}}, {"host-1"}};
+  lines.add("full", hex(service::encode(full)));
+  lines.add("bare", hex(service::encode({"node-1", 0, false, {}, {}, {}})));
+  // As an older version sends it: map of node, revision and state_ok.
+  const std::string old = "\x83\xa4node\xa6node-1\xa8revision\x05\xa8state_ok\xc3";
+  auto read = service::decode_news(old);
+  ASSERT_TRUE(read);
+  lines.add("read from old", hex(service::encode(*read)));
+  lines.expect_same("peer_news.txt");
+}
+
+config::Config golden_config() {
+  return config::load(golden_path("service.toml"), {golden_path("operator.yaml")});
+}
+
+TEST(Golden, ServiceSettingsRead) {
+  const config::Config config = golden_config();
+  const Settings& s = config.settings;
+  EXPECT_EQ(s.node, "node-0");
+  EXPECT_EQ(net::to_string(config.bind), "127.0.0.1:8080");
+  EXPECT_EQ(net::to_string(config.peer_bind), "127.0.0.1:8081");
+  ASSERT_EQ(config.peers.size(), 1U);
+  EXPECT_EQ(config.peers[0].node, "node-1");
+  EXPECT_EQ(net::to_string(config.peers[0].address), "127.0.0.1:8082");
+  EXPECT_EQ(net::to_string(config.cloud), "127.0.0.1:8083");
+  EXPECT_EQ(net::to_string(config.state), "127.0.0.1:8084");
+  EXPECT_TRUE(config.names.zones.find("a").valid() && config.names.zones.find("b").valid());
+  ASSERT_TRUE(config.names.parts.find("red") == PartIndex{1});
+  EXPECT_EQ(s.teams[1].guaranteed.cpus, 3);
+  EXPECT_EQ(s.teams[1].guaranteed.gpus, 4);
+  EXPECT_EQ(s.teams[1].most.cpus, 7);
+  EXPECT_EQ(s.teams[1].most.gpus, 8);
+  EXPECT_EQ(s.report_s, 1.25);
+  EXPECT_EQ(s.lease_s, 11);
+  EXPECT_EQ(s.gang_wait_s, 31);
+  EXPECT_EQ(s.gang_peer_s, 9);
+  EXPECT_EQ(s.cancel_s, 60);
+  EXPECT_EQ(s.state_rps, 201);
+  EXPECT_EQ(s.state_write_rps, 81);
+  EXPECT_EQ(s.value_kb, 9);
+  EXPECT_EQ(s.txn_ops, 49U);
+  EXPECT_EQ(s.cloud_rps, 6.5);
+  EXPECT_EQ(s.list_lag_s, 4.5);
+  EXPECT_EQ(s.socket_limit, 901);
+  EXPECT_EQ(s.deadline_multiples, std::vector<double>{1.5});
+  EXPECT_EQ(config.skew_s, 2);
+}
+
+TEST(Golden, OperatorSettingsRead) {
+  const OperatorSettings op = golden_config().settings.op;
+  EXPECT_EQ(op.finished_ratio, 0.7);
+  EXPECT_EQ(op.multiplier, 1.75);
+  EXPECT_EQ(op.baseline_floor_s, 21);
+  EXPECT_EQ(op.block_s, 32);
+  EXPECT_EQ(op.check_interval_s, 1.5);
+  EXPECT_FALSE(op.restart_slow);
+  EXPECT_EQ(op.hold_life_s, 3.5);
+  EXPECT_EQ(op.idle_keep_s, 13);
+  EXPECT_EQ(op.spot_keep_factor, 2.5);
+  EXPECT_EQ(op.give_back_s, 14);
+  EXPECT_EQ(op.boot_patience, 6);
+  EXPECT_EQ(op.refusal_pause_s, 15);
+  EXPECT_EQ(op.rent_patience_s, 5.5);
+  EXPECT_EQ(op.begin_within_s, 241);
+  EXPECT_EQ(op.promise_share, 0.3);
+  EXPECT_FALSE(op.use_spot);
+  EXPECT_FALSE(op.preempt);
+  EXPECT_EQ(op.cloud_list_s, 4.25);
+  EXPECT_EQ(op.mark_delay_s, 22);
+  EXPECT_EQ(op.pass_interval_s, 0.06);
+}
+
+TEST(Golden, MarketSettingsRead) {
+  const market::Settings s = golden_config().markets;
+  EXPECT_EQ(s.all.per_hour, 501'000'000);
+  EXPECT_EQ(s.all.per_window, 4'001'000'000);
+  ASSERT_EQ(s.teams.count(PartIndex{1}), 1U);
+  EXPECT_EQ(s.teams.at(PartIndex{1}).per_hour, 301'000'000);
+  EXPECT_EQ(s.teams.at(PartIndex{1}).per_window, 2'501'000'000);
+  EXPECT_EQ(s.window_s, 86000);
+  EXPECT_EQ(s.term_s, 1801);
+  EXPECT_EQ(s.quote_every_s, 4.5);
+  EXPECT_EQ(s.answer_s, 3.5);
+  EXPECT_EQ(s.patience_s, 61);
+  EXPECT_EQ(s.spare_share, 0.55);
+  EXPECT_EQ(s.trial_share, 0.35);
+  EXPECT_EQ(s.limit_factor, 1.6);
+  EXPECT_EQ(s.starve_s, 601);
+  EXPECT_EQ(s.starve_share, 0.15);
+  ASSERT_EQ(s.markets.size(), 1U);
+  EXPECT_EQ(s.markets[0].name, "north");
+  EXPECT_EQ(s.markets[0].address, "127.0.0.1:9001");
+  EXPECT_EQ(s.markets[0].rps, 5);
+  EXPECT_TRUE(s.markets[0].paused);
+  EXPECT_TRUE(s.markets[0].forgive);
+}
+
+TEST(Golden, CalendarRead) {
+  const release::Calendar calendar = golden_config().calendar;
+  GoldenLines lines;
+  lines.add("version", std::to_string(calendar.version));
+  for (const release::Terms& terms : calendar.releases) lines.add(terms.name, release::to_text(terms));
+  lines.expect_same("calendar.txt");
+}
+
+TEST(Golden, ModelsProgressAndRecoveryRead) {
+  const config::Config config = golden_config();
+  ASSERT_EQ(config.models.models.size(), 1U);
+  const models::Terms& m = config.models.models[0];
+  EXPECT_EQ(m.name, "translate");
+  EXPECT_EQ(m.job_class, "serve-translate");
+  EXPECT_EQ(m.image, "translate-70b");
+  EXPECT_EQ(m.calls, std::vector<std::string>{"call"});
+  EXPECT_EQ(m.least, 1U);
+  EXPECT_EQ(m.most, 4U);
+  EXPECT_EQ(m.calls_per_replica, 9);
+  EXPECT_EQ(m.idle_factor, 1.75);
+  EXPECT_EQ(m.idle_floor_s, 33);
+  EXPECT_TRUE(config.settings.progress.enabled);
+  EXPECT_EQ(config.settings.progress.slowest, 0.25);
+  EXPECT_EQ(config.settings.progress.fastest, 1.5);
+  const recovery::Settings& r = config.recovery;
+  EXPECT_TRUE(r.enabled);
+  EXPECT_EQ(r.heard_share, 0.65);
+  EXPECT_EQ(r.enough_share, 0.95);
+  EXPECT_EQ(r.multiplier, 1.6);
+  EXPECT_EQ(r.demand_window_s, 34);
+  EXPECT_EQ(r.return_share, 0.2);
+  EXPECT_EQ(r.replace_share, 0.25);
+  EXPECT_FALSE(r.delete_suspects);
+}
+
+/// What loading the operators' settings says with one more line in them, without the file's path.
+std::string operator_error(const std::string& text) {
+  std::string path = ::testing::TempDir() + "oxbowmill-golden-" + std::to_string(::getpid()) + ".yaml";
+  std::ofstream(path) << text;
+  std::string error;
+  try {
+    config::load(golden_path("service.toml"), {path});
+  } catch (const config::Error& e) {
+    error = e.what();
+  }
+  std::remove(path.c_str());
+  return error.rfind(path + ": ", 0) == 0 ? error.substr(path.size() + 2) : error;
+}
+
+TEST(Golden, UnknownOperatorSettingsAreNamed) {
+  // Before each line of the file that has a plain key, the same map gets an unknown one.
+  GoldenLines lines;
+  const std::string text = read_file(golden_path("operator.yaml")).value_or("");
+  ASSERT_EQ(operator_error(text), "");
+  std::size_t at = 0;
+  while (at < text.size()) {
+    std::size_t end = text.find('\n', at), first = text.find_first_not_of(" ", at);
+    std::string line = text.substr(at, end - at);
+    if (text[first] != '-' && text[first] != '#') {
+      std::string indent(first - at, ' ');
+      std::string changed = text.substr(0, at) + indent + "a_key_nobody_knows: 1\n" + text.substr(at);
+      lines.add(line.substr(0, line.find(':')), operator_error(changed));
+    }
+    at = end + 1;
+  }
+  lines.expect_same("unknown_settings.txt");
+}
+
+/// Names of the options, arguments and commands that a help text lists, with their environment variables.
+std::vector<std::string> help_names(const std::string& command) {
+  std::vector<std::string> names;
+  FILE* pipe = ::popen((command + " --help 2>&1").c_str(), "r");
+  if (pipe == nullptr) return names;
+  std::string text;
+  char buffer[4096];
+  for (std::size_t n = 0; (n = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;) text.append(buffer, n);
+  EXPECT_EQ(::pclose(pipe), 0) << command;
+  std::istringstream in(text);
+  for (std::string line; std::getline(in, line);) {
+    if (line.size() < 3 || line.compare(0, 2, "  ") != 0 || line[2] == ' ') continue;
+    std::string name = line.substr(2, line.find(' ', 2) - 2);
+    std::size_t variable = line.find("(Env:");
+    if (variable != std::string::npos)
+      name += " " + line.substr(variable, line.find(')', variable) - variable + 1);
+    names.push_back(name);
+  }
+  return names;
+}
+
+void add_help(GoldenLines& lines, const std::string& program, const std::string& title,
+              const std::vector<std::string>& commands) {
+  for (const std::string& name : help_names(program)) lines.add(title, name);
+  for (const std::string& command : commands) {
+    for (const std::string& name : help_names(program + " " + command))
+      lines.add(title + " " + command, name);
+  }
+}
+
+TEST(Golden, ProgramArguments) {
+  GoldenLines lines;
+  add_help(lines, PROGRAM, "oxbowmill", {});
+  // Defaults from the surroundings must not matter.
+  add_help(lines, std::string("env -u OXBOW_CONFIG -u OXBOW_NODES -u OXBOW_TEAM ") + OXBOW, "oxbow",
+           {"submit", "status", "wait", "withdraw"});
+  add_help(lines, OXBOW_LAB, "oxbow-lab", {"markets", "cluster", "agreed", "histories", "scale", "market"});
+  lines.expect_same("arguments.txt");
+}
+
+}  // namespace
+}  // namespace oxbowmill
