--- a/app/main.cpp
+++ b/app/main.cpp
@@ -14,7 +14,7 @@
 
 constexpr int bad_usage = 2;
 
-void set_up_log() {
+void configure_logging() {
   spdlog::set_default_logger(spdlog::stderr_logger_st("oxbowmill"));
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(level == nullptr ? spdlog::level::info : spdlog::level::from_str(level));
@@ -22,12 +22,12 @@
 }
 
 /// The calendar is read again on SIGHUP; one that cannot be read leaves the old one in force.
-struct Reload {
-  oxbowmill::service::Node* node = nullptr;
+struct CalendarReload {
+  oxbowmill::service::Controller* controller = nullptr;
   const std::vector<std::string>& files;
-  void read() const {
+  void reload() const {
     try {
-      node->load_calendar(oxbowmill::config::load_calendar(files));
+      controller->load_calendar(oxbowmill::config::load_calendar(files));
     } catch (const std::exception& e) {
       SPDLOG_ERROR("calendar not read again: {}", e.what());
     }
@@ -37,7 +37,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  set_up_log();
+  configure_logging();
   CLI::App app{"oxbowmill, a cluster scheduler: runs one controller"};
   std::string config_file;
   std::vector<std::string> operator_files;
@@ -67,18 +67,18 @@
     return 0;
   }
   try {
-    auto base = oxbowmill::net::make_base();
+    auto base = oxbowmill::net::make_event_base();
     // Before the log says that it listens: a signal that came sooner ended the controller. It is read once
     // the loop runs, and by then there is a node.
-    Reload reload{nullptr, operator_files};
+    CalendarReload reload{nullptr, operator_files};
     std::unique_ptr<event, void (*)(event*)> hangup(
         evsignal_new(
-            base.get(), SIGHUP, [](evutil_socket_t, short, void* r) { static_cast<Reload*>(r)->read(); },
-            &reload),
+            base.get(), SIGHUP,
+            [](evutil_socket_t, short, void* r) { static_cast<CalendarReload*>(r)->reload(); }, &reload),
         event_free);
     event_add(hangup.get(), nullptr);
-    oxbowmill::service::Node node(base.get(), std::move(config));
-    reload.node = &node;
+    oxbowmill::service::Controller node(base.get(), std::move(config));
+    reload.controller = &node;
     event_base_dispatch(base.get());
   } catch (const std::exception& e) {
     SPDLOG_ERROR("cannot run: {}", e.what());
--- a/app/oxbow.cpp
+++ b/app/oxbow.cpp
@@ -14,25 +14,33 @@
 
 using namespace oxbowmill;
 using client::Reply;
-using client::Verdict;
+using client::RequestOutcome;
 using wire::Json;
 
 // Exit codes, as docs/clients.md says.
-enum Exit { ok = 0, cancelled = 1, bad_usage = 2, refused = 3, unknown = 4, unavailable = 5, late = 6 };
+enum ExitCode {
+  ok = 0,
+  cancelled = 1,
+  bad_usage = 2,
+  refused = 3,
+  unknown = 4,
+  unavailable = 5,
+  timed_out = 6
+};
 
-int code_of(const Reply& o) {
-  switch (o.verdict) {
-    case Verdict::ok:
-      return o.status.phase == "cancelled" ? Exit::cancelled : Exit::ok;
-    case Verdict::malformed:
-    case Verdict::impossible:
-      return Exit::refused;
-    case Verdict::unknown:
-      return Exit::unknown;
-    case Verdict::again:
-      return o.out_of_time ? Exit::late : Exit::unavailable;
+int exit_code_of(const Reply& reply) {
+  switch (reply.outcome) {
+    case RequestOutcome::ok:
+      return reply.status.phase == "cancelled" ? ExitCode::cancelled : ExitCode::ok;
+    case RequestOutcome::malformed:
+    case RequestOutcome::impossible:
+      return ExitCode::refused;
+    case RequestOutcome::unknown:
+      return ExitCode::unknown;
+    case RequestOutcome::retry:
+      return reply.timed_out ? ExitCode::timed_out : ExitCode::unavailable;
   }
-  return Exit::unavailable;
+  return ExitCode::unavailable;
 }
 
 std::vector<net::Address> addresses(const std::string& list) {
@@ -45,19 +53,19 @@
 }
 
 /// The kind of value that the protocol wants of each field of a job file.
-Json value_of(const std::string& key, const YAML::Node& n) {
+Json value_of(const std::string& key, const YAML::Node& yaml_node) {
   static const std::set<std::string> texts = {"ref", "jobclass", "owner", "shape", "rank", "bundle", "yard"};
   static const std::set<std::string> flags = {"same_place", "scatter", "loaners"};
   static const std::set<std::string> numbers = {"vcpus",     "accelerators", "memory_gb", "size_gb",
                                                 "runtime_s", "save_every_s", "flush_s",   "due_s"};
   if (key != "shards" && key != "rigs" && texts.count(key) + flags.count(key) + numbers.count(key) == 0)
     throw std::invalid_argument("unknown field");
-  if (n.IsNull()) return nullptr;
-  if (key == "shards") return n.as<std::uint32_t>();
-  if (key == "rigs") return n.as<std::vector<std::string>>();
-  if (flags.count(key) != 0) return n.as<bool>();
-  if (numbers.count(key) != 0) return n.as<double>();
-  return n.as<std::string>();
+  if (yaml_node.IsNull()) return nullptr;
+  if (key == "shards") return yaml_node.as<std::uint32_t>();
+  if (key == "rigs") return yaml_node.as<std::vector<std::string>>();
+  if (flags.count(key) != 0) return yaml_node.as<bool>();
+  if (numbers.count(key) != 0) return yaml_node.as<double>();
+  return yaml_node.as<std::string>();
 }
 
 void read_job(const std::string& file, Json& job) {
@@ -75,23 +83,23 @@
   }
 }
 
-void print(const Reply& o, bool as_json) {
+void print(const Reply& reply, bool as_json) {
   if (as_json) {
-    Json j = {{"ref", o.status.ref}, {"tries", o.tries}};
-    if (o.verdict == Verdict::ok) {
-      j["phase"] = o.status.phase;
-      j["done"] = o.status.done;
-      j["running"] = o.status.running;
+    Json json = {{"ref", reply.status.ref}, {"tries", reply.attempts}};
+    if (reply.outcome == RequestOutcome::ok) {
+      json["phase"] = reply.status.phase;
+      json["done"] = reply.status.done;
+      json["running"] = reply.status.running;
     } else {
-      j["error"] = o.reason;
-      j["again"] = client::may_try_again(o.verdict);
+      json["error"] = reply.reason;
+      json["again"] = client::is_retryable(reply.outcome);
     }
-    std::cout << j.dump() << std::endl;
-  } else if (o.verdict == Verdict::ok) {
-    std::cout << o.status.ref << " " << o.status.phase << " done " << o.status.done << " running "
-              << o.status.running << std::endl;
+    std::cout << json.dump() << std::endl;
+  } else if (reply.outcome == RequestOutcome::ok) {
+    std::cout << reply.status.ref << " " << reply.status.phase << " done " << reply.status.done << " running "
+              << reply.status.running << std::endl;
   } else {
-    std::cerr << "oxbow: " << o.reason << '\n';
+    std::cerr << "oxbow: " << reply.reason << '\n';
   }
 }
 
@@ -106,11 +114,11 @@
   // both.
   app.set_config("--config", std::getenv("OXBOW_CONFIG") != nullptr ? std::getenv("OXBOW_CONFIG") : "");
   std::string nodes, team, file, ref;
-  client::Patience patience;
+  client::RetryPolicy patience;
   bool as_json = false;
   app.add_option("--nodes", nodes, "controllers, IPv4:port with commas between")->envname("OXBOW_NODES");
   app.add_option("--team", team, "team that a job belongs to, unless it says so")->envname("OXBOW_TEAM");
-  app.add_option("--patience", patience.total_s, "seconds until a request is given up")
+  app.add_option("--patience", patience.total_timeout_s, "seconds until a request is given up")
       ->check(CLI::PositiveNumber);
   app.add_flag("--json", as_json, "answers as JSON");
 
@@ -135,7 +143,7 @@
   try {
     app.parse(argc, argv);
     client::Client c(addresses(nodes), patience);
-    Reply o;
+    Reply reply;
     if (submit->parsed()) {
       if (!team.empty()) job["owner"] = team;
       if (!file.empty()) read_job(file, job);
@@ -151,23 +159,23 @@
         if (!job.contains(key)) throw std::invalid_argument(std::string(key) + ": missing");
       }
       ref = job["ref"].get<std::string>();
-      o = c.submit(job);
+      reply = c.submit(job);
     } else if (status->parsed()) {
-      o = c.poll(ref);
+      reply = c.poll(ref);
     } else if (wait->parsed()) {
-      o = c.wait(ref, within, [as_json](const Reply& p) { print(p, as_json); });
+      reply = c.wait(ref, within, [as_json](const Reply& p) { print(p, as_json); });
     } else {
-      o = c.withdraw(ref);
+      reply = c.withdraw(ref);
     }
-    if (o.status.ref.empty()) o.status.ref = ref;
-    print(o, as_json);
-    int code = code_of(o);
+    if (reply.status.ref.empty()) reply.status.ref = ref;
+    print(reply, as_json);
+    int code = exit_code_of(reply);
     // Withdrawing is meant to cancel.
-    return withdraw->parsed() && code == Exit::cancelled ? static_cast<int>(Exit::ok) : code;
+    return withdraw->parsed() && code == ExitCode::cancelled ? static_cast<int>(ExitCode::ok) : code;
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : static_cast<int>(Exit::bad_usage);
+    return app.exit(e) == 0 ? 0 : static_cast<int>(ExitCode::bad_usage);
   } catch (const std::exception& e) {
     std::cerr << "oxbow: " << e.what() << '\n';
-    return Exit::bad_usage;
+    return ExitCode::bad_usage;
   }
 }
--- a/app/oxbow_lab.cpp
+++ b/app/oxbow_lab.cpp
@@ -23,12 +23,13 @@
 
 using namespace oxbowmill;
 
-bool ends_with(const std::string& s, const std::string& end) {
-  return s.size() >= end.size() && s.compare(s.size() - end.size(), end.size(), end) == 0;
+bool ends_with(const std::string& text, const std::string& end) {
+  return text.size() >= end.size() && text.compare(text.size() - end.size(), end.size(), end) == 0;
 }
 
 template <class Rows, class Summary>
-int write_out(const std::string& name, const Rows& rows, const Summary& summary, const std::string& report) {
+int write_results(const std::string& name, const Rows& rows, const Summary& summary,
+                  const std::string& report) {
   std::cout << lab::table(name, summary);
   if (report.empty()) return 0;
   std::ofstream out(report);
@@ -41,62 +42,67 @@
   return 0;
 }
 
-int markets(const std::string& file, unsigned seeds, unsigned threads, const std::string& report,
-            unsigned long long one, const std::string& policy) {
-  lab::Scenario s = lab::load_scenario(file);
-  if (one != 0) {
+int run_markets(const std::string& file, unsigned seeds, unsigned threads, const std::string& report,
+                unsigned long long single_seed, const std::string& policy) {
+  lab::MarketScenario scenario = lab::load_scenario(file);
+  if (single_seed != 0) {
     const auto* p = std::find_if(std::begin(lab::policies), std::end(lab::policies),
                                  [&](lab::Policy x) { return policy == lab::name_of(x); });
     if (p == std::end(lab::policies)) throw std::runtime_error("--policy: none is named " + policy);
-    std::cout << lab::table(s.name, lab::summarise({{*p, one, lab::MarketWorld(s, *p, one).run()}}));
+    std::cout << lab::table(
+        scenario.name,
+        lab::summarise({{*p, single_seed, lab::MarketSimulation(scenario, *p, single_seed).run()}}));
     return 0;
   }
-  auto rows = lab::play(s, seeds, threads);
-  return write_out(s.name, rows, lab::summarise(rows), report);
+  auto rows = lab::play(scenario, seeds, threads);
+  return write_results(scenario.name, rows, lab::summarise(rows), report);
 }
 
-int cluster(const std::string& file, const std::string& fleet, unsigned seeds, unsigned threads,
-            const std::string& report, unsigned long long one, const std::string& way) {
-  lab::FleetScenario s = lab::load_fleet_scenario(file, fleet);
-  if (one != 0) {
-    const auto* w = std::find_if(std::begin(lab::ways), std::end(lab::ways),
-                                 [&](lab::Way x) { return way == lab::name_of(x); });
-    if (w == std::end(lab::ways)) throw std::runtime_error("--way: none is named " + way);
-    std::cout << lab::csv(s.name, {{*w, one, lab::FleetWorld(s, *w, one).run()}});
+int run_cluster(const std::string& file, const std::string& fleet, unsigned seeds, unsigned threads,
+                const std::string& report, unsigned long long single_seed, const std::string& variant) {
+  lab::ClusterScenario scenario = lab::load_cluster_scenario(file, fleet);
+  if (single_seed != 0) {
+    const auto* w = std::find_if(std::begin(lab::simulation_variants), std::end(lab::simulation_variants),
+                                 [&](lab::SimulationVariant x) { return variant == lab::name_of(x); });
+    if (w == std::end(lab::simulation_variants)) throw std::runtime_error("--way: none is named " + variant);
+    std::cout << lab::csv(scenario.name,
+                          {{*w, single_seed, lab::ClusterSimulation(scenario, *w, single_seed).run()}});
     return 0;
   }
-  auto rows = lab::play(s, seeds, threads);
-  auto summary = lab::summarise(s, rows);
-  write_out(s.name + " on " + s.fleet, rows, summary, report);
+  auto rows = lab::play(scenario, seeds, threads);
+  auto summary = lab::summarise(scenario, rows);
+  write_results(scenario.name + " on " + scenario.cluster, rows, summary, report);
   // A broken rule is a failure whatever the figures say.
-  return std::any_of(summary.begin(), summary.end(), [](const auto& x) { return x.broken != 0; }) ? 1 : 0;
+  return std::any_of(summary.begin(), summary.end(), [](const auto& x) { return x.violations != 0; }) ? 1 : 0;
 }
 
-int histories(unsigned long long from, unsigned seeds, unsigned threads) {
-  std::vector<lab::FleetResult> results(seeds);
-  lab::in_parallel(seeds, threads, [&](std::size_t i) {
-    results[i] = lab::FleetWorld(lab::random_history(from + i), lab::Way::now, from + i).run();
+int run_histories(unsigned long long from, unsigned seeds, unsigned threads) {
+  std::vector<lab::ClusterResult> results(seeds);
+  lab::run_in_parallel(seeds, threads, [&](std::size_t i) {
+    results[i] = lab::ClusterSimulation(lab::random_history(from + i),
+                                        lab::SimulationVariant::with_reconciliation, from + i)
+                     .run();
   });
   unsigned broken = 0;
   for (unsigned i = 0; i < seeds; ++i) {
-    if (results[i].broken.empty()) continue;
+    if (results[i].violations.empty()) continue;
     ++broken;
-    std::cout << "seed " << from + i << ": " << results[i].broken.front() << " and "
-              << results[i].broken.size() - 1 << " more; needs\n"
-              << lab::script(lab::shrunk(lab::random_history(from + i), from + i));
+    std::cout << "seed " << from + i << ": " << results[i].violations.front() << " and "
+              << results[i].violations.size() - 1 << " more; needs\n"
+              << lab::to_script(lab::shrunk(lab::random_history(from + i), from + i));
   }
   std::cout << seeds << " histories from seed " << from << ", " << broken << " with a rule broken\n";
   return broken != 0 ? 1 : 0;
 }
 
-int agreed(const std::string& file, unsigned seeds, unsigned threads) {
-  lab::AgreedScenario s = lab::load_agreed(file);
-  auto rows = lab::play_agreed(s, seeds, threads);
+int run_decisions(const std::string& file, unsigned seeds, unsigned threads) {
+  lab::DecisionScenario s = lab::load_decision_scenario(file);
+  auto rows = lab::play_decisions(s, seeds, threads);
   std::cout << lab::table(s, rows);
-  return std::any_of(rows.begin(), rows.end(), [](const auto& r) { return r.broken != 0; }) ? 1 : 0;
+  return std::any_of(rows.begin(), rows.end(), [](const auto& r) { return r.violations != 0; }) ? 1 : 0;
 }
 
-int scale(const std::string& file, lab::ScaleOptions options, const std::string& report_file) {
+int run_scale(const std::string& file, lab::ScaleOptions options, const std::string& report_file) {
   lab::ScaleSettings settings = lab::load_scale_settings(file);
   if (options.directory.empty())
     options.directory =
@@ -108,19 +114,19 @@
     out << report.figures.dump(2) << '\n';
     if (!out) throw std::runtime_error(report_file + ": cannot be written");
   }
-  return report.broken.empty() ? 0 : 1;
+  return report.violations.empty() ? 0 : 1;
 }
 
-int serve(const std::string& file, const std::string& name, const std::string& listen) {
-  lab::Scenario s = lab::load_scenario(file);
-  auto c = std::find_if(s.markets.begin(), s.markets.end(),
-                        [&](const lab::Character& x) { return x.name == name; });
-  if (c == s.markets.end()) throw std::runtime_error(file + ": markets: none is named " + name);
-  auto base = net::make_base();
+int serve_market(const std::string& file, const std::string& name, const std::string& listen) {
+  lab::MarketScenario s = lab::load_scenario(file);
+  auto market = std::find_if(s.markets.begin(), s.markets.end(),
+                             [&](const lab::MarketBehavior& x) { return x.name == name; });
+  if (market == s.markets.end()) throw std::runtime_error(file + ": markets: none is named " + name);
+  auto base = net::make_event_base();
   auto start = std::chrono::steady_clock::now();
-  lab::MarketServer server(base.get(), net::parse_bind_address(listen), lab::Market(*c, 1, {}, {}), [start] {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
-  });
+  lab::MarketServer server(
+      base.get(), net::parse_bind_address(listen), lab::SimulatedMarket(*market, 1, {}, {}),
+      [start] { return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(); });
   std::cout << "market " << name << " listens on " << net::to_string(server.address()) << std::endl;
   event_base_dispatch(base.get());
   return 0;
@@ -137,32 +143,36 @@
   app.require_subcommand(1);
   std::string file, report, policy = "planner";
   unsigned seeds = 200, threads = std::max(1U, std::thread::hardware_concurrency());
-  unsigned long long one = 0, from = 1;
-  auto* m = app.add_subcommand("markets", "bidding on stand-in markets, beside its baselines");
-  m->add_option("scenario", file, "scenario file (YAML)")->required();
-  m->add_option("--seeds", seeds, "how many seeds, from 1 on");
-  m->add_option("--threads", threads, "how many at a time");
-  m->add_option("--report", report, "file for the figures: .json by policy, else CSV by seed");
-  m->add_option("--one", one, "play this seed alone (LOG_LEVEL=info tells what happens)");
-  m->add_option("--policy", policy, "with --one: planner, cheapest, one, even or bound");
-  std::string way = "now", fleet;
-  auto* c = app.add_subcommand("cluster", "a whole cluster through a start, beside its undisturbed twin");
-  c->add_option("scenario", file, "scenario file (YAML)")->required();
-  c->add_option("--fleet", fleet, "the cluster that has its faults (YAML)")->required();
-  c->add_option("--seeds", seeds, "how many seeds, from 1 on");
-  c->add_option("--threads", threads, "how many at a time");
-  c->add_option("--report", report, "file for the figures: .json by way, else CSV by second");
-  c->add_option("--one", one, "play this seed alone, second by second (LOG_LEVEL=info tells what happens)");
-  c->add_option("--way", way, "with --one: twin, before, now or bound");
-  auto* g = app.add_subcommand("agreed", "releases or a model with its calls, beside simpler ways");
-  g->add_option("scenario", file, "scenario file (YAML)")->required();
-  g->add_option("--seeds", seeds, "how many seeds, from 1 on");
-  g->add_option("--threads", threads, "how many at a time");
-  auto* h =
+  unsigned long long single_seed = 0, from = 1;
+  auto* markets_command = app.add_subcommand("markets", "bidding on stand-in markets, beside its baselines");
+  markets_command->add_option("scenario", file, "scenario file (YAML)")->required();
+  markets_command->add_option("--seeds", seeds, "how many seeds, from 1 on");
+  markets_command->add_option("--threads", threads, "how many at a time");
+  markets_command->add_option("--report", report, "file for the figures: .json by policy, else CSV by seed");
+  markets_command->add_option("--one", single_seed,
+                              "play this seed alone (LOG_LEVEL=info tells what happens)");
+  markets_command->add_option("--policy", policy, "with --one: planner, cheapest, one, even or bound");
+  std::string variant = "now", fleet;
+  auto* cluster_command =
+      app.add_subcommand("cluster", "a whole cluster through a start, beside its undisturbed twin");
+  cluster_command->add_option("scenario", file, "scenario file (YAML)")->required();
+  cluster_command->add_option("--fleet", fleet, "the cluster that has its faults (YAML)")->required();
+  cluster_command->add_option("--seeds", seeds, "how many seeds, from 1 on");
+  cluster_command->add_option("--threads", threads, "how many at a time");
+  cluster_command->add_option("--report", report, "file for the figures: .json by way, else CSV by second");
+  cluster_command->add_option("--one", single_seed,
+                              "play this seed alone, second by second (LOG_LEVEL=info tells what happens)");
+  cluster_command->add_option("--way", variant, "with --one: twin, before, now or bound");
+  auto* decisions_command =
+      app.add_subcommand("agreed", "releases or a model with its calls, beside simpler ways");
+  decisions_command->add_option("scenario", file, "scenario file (YAML)")->required();
+  decisions_command->add_option("--seeds", seeds, "how many seeds, from 1 on");
+  decisions_command->add_option("--threads", threads, "how many at a time");
+  auto* histories_command =
       app.add_subcommand("histories", "random troubles for a small cluster; what breaks a rule is shrunk");
-  h->add_option("--from", from, "the first seed");
-  h->add_option("--seeds", seeds, "how many seeds");
-  h->add_option("--threads", threads, "how many at a time");
+  histories_command->add_option("--from", from, "the first seed");
+  histories_command->add_option("--seeds", seeds, "how many seeds");
+  histories_command->add_option("--threads", threads, "how many at a time");
   lab::ScaleOptions scale_options;
   scale_options.program = (std::filesystem::path(argv[0]).parent_path() / "oxbowmill").string();
   auto* cell =
@@ -180,12 +190,13 @@
   one_market->add_option("--listen", listen, "IPv4:port; port 0: the system's choice");
   try {
     app.parse(argc, argv);
-    if (one_market->parsed()) return serve(file, name, listen);
-    if (cell->parsed()) return scale(file, scale_options, report);
-    if (h->parsed()) return histories(from, seeds, threads);
-    if (g->parsed()) return agreed(file, seeds, threads);
-    if (c->parsed()) return cluster(file, fleet, seeds, threads, report, one, way);
-    return markets(file, seeds, threads, report, one, policy);
+    if (one_market->parsed()) return serve_market(file, name, listen);
+    if (cell->parsed()) return run_scale(file, scale_options, report);
+    if (histories_command->parsed()) return run_histories(from, seeds, threads);
+    if (decisions_command->parsed()) return run_decisions(file, seeds, threads);
+    if (cluster_command->parsed())
+      return run_cluster(file, fleet, seeds, threads, report, single_seed, variant);
+    return run_markets(file, seeds, threads, report, single_seed, policy);
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : 2;
   } catch (const std::exception& e) {
--- a/include/oxbowmill/client/attempts.h
+++ b/include/oxbowmill/client/attempts.h
@@ -18,52 +18,52 @@
 const char* name_of(AttemptState s);
 
 /// What an answer means for the caller.
-enum class Verdict : std::uint8_t {
+enum class RequestOutcome : std::uint8_t {
   ok,          // 200, 201
   malformed,   // 400: not to be tried again
   impossible,  // 422: not to be tried again
   unknown,     // 404: nobody was told that this job is accepted
-  again,       // refused for now, or no answer: may be tried again under the same id
+  retry,       // refused for now, or no answer: may be tried again under the same id
 };
-Verdict verdict_of(int status);
-inline bool may_try_again(Verdict v) {
-  return v == Verdict::again;
+RequestOutcome outcome_of(int status);
+inline bool is_retryable(RequestOutcome v) {
+  return v == RequestOutcome::retry;
 }
 
-struct Patience {
-  double answer_s = 5;  // for one answer
-  double total_s = 60;  // for the whole request, pauses included
-  double first_pause_s = 1, most_pause_s = 30;
+struct RetryPolicy {
+  double response_timeout_s = 5;  // for one answer
+  double total_timeout_s = 60;    // for the whole request, pauses included
+  double initial_backoff_s = 1, max_backoff_s = 30;
 };
 
-class Attempts {
+class RequestRetrier {
  public:
-  Attempts(std::size_t nodes, Patience patience, std::uint64_t seed, double now);
+  RequestRetrier(std::size_t nodes, RetryPolicy patience, std::uint64_t seed, double now);
 
   AttemptState state() const { return state_; }
-  std::size_t node() const { return node_; }
-  double next_at() const { return next_at_; }
-  double ends_at() const { return ends_at_; }
+  std::size_t controller() const { return controller_; }
+  double next_attempt_at() const { return next_attempt_at_; }
+  double deadline() const { return deadline_; }
   /// How long to wait for the answer of what is sent now.
-  double answer_within(double now) const;
-  int sent() const { return sent_; }
+  double response_timeout(double now) const;
+  int attempts() const { return attempts_; }
 
   void on_sent(double now);
   /// `status` 0: no answer or no connection. `retry_after_s` 0: not said.
-  void on_answer(int status, double retry_after_s, double now);
+  void on_response(int status, double retry_after_s, double now);
   /// Time passes: a pause may end, the whole may be over.
   void tick(double now);
 
  private:
   void set_state(AttemptState s);
-  Patience patience_;
-  std::size_t nodes_;
+  RetryPolicy policy_;
+  std::size_t controller_count_;
   std::mt19937_64 random_;
   AttemptState state_ = AttemptState::ready;
-  std::size_t node_ = 0;
-  std::size_t silent_ = 0;  // nodes in a row that gave no answer
-  int pauses_ = 0, sent_ = 0;
-  double next_at_ = 0, ends_at_ = 0;
+  std::size_t controller_ = 0;
+  std::size_t unresponsive_in_a_row_ = 0;  // nodes in a row that gave no answer
+  int backoffs_ = 0, attempts_ = 0;
+  double next_attempt_at_ = 0, deadline_ = 0;
 };
 
 }  // namespace oxbowmill::client
--- a/include/oxbowmill/config/config.h
+++ b/include/oxbowmill/config/config.h
@@ -17,7 +17,7 @@
 using Error = yaml::Error;
 
 struct Peer {
-  std::string node;
+  std::string controller;
   net::Address address;
 };
 
@@ -26,10 +26,10 @@
   Names names;
   market::Settings markets;
   recovery::Settings recovery;
-  release::Calendar calendar;
+  release::ReleaseCalendar calendar;
   models::Settings models;
-  double skew_s = 1;  // bound of the time of day's error
-  net::Address bind, peer_bind, cloud, state;
+  double clock_skew_s = 1;  // bound of the time of day's error
+  net::Address bind, peer_bind, cloud, state_service;
   std::vector<Peer> peers;
 };
 
@@ -38,6 +38,6 @@
 /// Reads an operators' file into the settings; teams and markets are names of its `names`.
 void load_operator(const std::string& yaml_file, Config& config);
 /// The calendar alone, read again from the operators' files that hold one.
-release::Calendar load_calendar(const std::vector<std::string>& yaml_files);
+release::ReleaseCalendar load_calendar(const std::vector<std::string>& yaml_files);
 
 }  // namespace oxbowmill::config
--- a/include/oxbowmill/core/capacity_tracker.h
+++ b/include/oxbowmill/core/capacity_tracker.h
@@ -10,14 +10,14 @@
 
 class CapacityTracker {
  public:
-  explicit CapacityTracker(Model& model);
+  explicit CapacityTracker(ClusterState& model);
 
   /// Takes in what has changed since the last time, and gives back what was taken provisionally.
   void refresh(Seconds now);
-  FreeCapacity& of(PartIndex partition) { return partitions_[partition.v]; }
-  const FreeCapacity& of(PartIndex partition) const { return partitions_[partition.v]; }
+  FreeCapacity& free_capacity(PartitionIndex partition) { return partitions_[partition.value]; }
+  const FreeCapacity& free_capacity(PartitionIndex partition) const { return partitions_[partition.value]; }
   /// Rises whenever a machine of the partition offers something else than before.
-  std::uint64_t version(PartIndex partition) const { return versions_[partition.v]; }
+  std::uint64_t version(PartitionIndex partition) const { return versions_[partition.value]; }
   /// Seconds that the fetches under way on the machine still take, one after the other.
   Seconds fetch_backlog_s(MachineIndex machine, Seconds now) const;
   /// Throws std::logic_error where the index differs from a look at every machine. For tests: costs a full
@@ -26,29 +26,29 @@
 
  private:
   /// Nothing but time can change it before `until`.
-  struct Sight {
+  struct CapacityEstimate {
     std::optional<MachineCapacity> capacity;
-    Seconds until = std::numeric_limits<double>::infinity();
+    Seconds valid_until = std::numeric_limits<double>::infinity();
   };
-  Sight look_at(MachineIndex machine, Seconds now) const;
-  Sight look_at_booting(MachineIndex machine, Seconds now) const;
+  CapacityEstimate estimate_capacity(MachineIndex machine, Seconds now) const;
+  CapacityEstimate estimate_booting_capacity(MachineIndex machine, Seconds now) const;
   void add_tasks(const Machine& machine, MachineCapacity& capacity) const;
   void update(MachineIndex machine, Seconds now);
   /// Rooms of types decide in which group a machine stands.
-  void note_catalog();
+  void refresh_type_capacities();
 
-  Model& model_;
+  ClusterState& state_;
   std::vector<FreeCapacity> partitions_;
   std::vector<std::uint64_t> versions_;
-  std::vector<PartIndex> holder_;  // by machine: whose index has it
+  std::vector<PartitionIndex> indexed_partitions_;  // by machine: whose index has it
   struct Recheck {
-    Seconds at = 0;
+    Seconds due_at = 0;
     MachineIndex machine;
-    friend bool operator>(const Recheck& a, const Recheck& b) { return a.at > b.at; }
+    friend bool operator>(const Recheck& a, const Recheck& b) { return a.due_at > b.due_at; }
   };
   std::priority_queue<Recheck, std::vector<Recheck>, std::greater<>> rechecks_;
   std::vector<Seconds> recheck_at_;  // by machine: the earliest one that is queued
-  std::vector<Amounts> type_rooms_;
+  std::vector<Resources> type_capacities_;
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/core/fleet.h
+++ b/include/oxbowmill/core/fleet.h
@@ -13,98 +13,103 @@
   double age_s = 0;
 };
 
-enum class RentState : std::uint8_t { asked, in_doubt };
+enum class ScaleOutState : std::uint8_t { requested, unconfirmed };
 
 constexpr Seconds demand_interval_s = 0.25;  // between two looks of the leader at who needs machines
 
-class Fleet {
+class Autoscaler {
  public:
-  Fleet(Model& model, Scheduler& scheduler);
+  Autoscaler(ClusterState& model, Scheduler& scheduler);
 
-  void pass(Clock clock, Effects& out);
+  void run_cycle(Clock clock, Effects& out);
   /// `answered`: the cloud gave a definite answer; an empty list is a refusal.
-  void on_rented(const std::string& request, bool answered, const std::vector<std::string>& machines,
-                 Seconds now);
+  void on_scale_out_result(const std::string& request, bool answered,
+                           const std::vector<std::string>& machines, Seconds now);
   void on_deleted(const std::vector<MachineIndex>& machines, bool confirmed);
   void on_listed(const std::vector<ListedMachine>& machines, Seconds now);
   void on_list_failed() { listing_ = false; }
   /// From now on needs go to it first, and the cloud gets what it leaves.
   void set_source(MachineSource* source) { source_ = source; }
   /// Rentals and returns go through it from now on.
-  void set_gate(Gate* gate) { gate_ = gate; }
+  void set_recovery_admission(RecoveryAdmission* recovery_admission) {
+    recovery_admission_ = recovery_admission;
+  }
   /// A machine of a market is there.
-  void take_in(const std::string& name, const std::string& address, const MachineRecord& rec);
+  void adopt(const std::string& name, const std::string& address, const MachineRecord& record);
   /// Work is to leave these machines, and they go back.
   void drain(const std::vector<MachineIndex>& machines);
 
  private:
-  struct Rent {
-    RentOrder order;
-    RentState state = RentState::asked;
+  struct ScaleOut {
+    ScaleOutRequest request;
+    ScaleOutState state = ScaleOutState::requested;
     Seconds retry_at = 0;
   };
-  void adopt(const std::string& name, const MachineRecord& rec, std::uint64_t tenure = 0);
+  void queue_adoption(const std::string& name, const MachineRecord& record, std::uint64_t agent_epoch = 0);
   void write_adoptions(Effects& out);
   void write_moves(Effects& out);
-  void serve_demand(Clock clock, Effects& out);
-  std::vector<Waiting> demand_order(Clock clock, std::set<JobIndex>& guaranteed) const;
-  std::vector<CandidateNode> part_bins(PartIndex part, Seconds now) const;
+  void reconcile_demand(Clock clock, Effects& out);
+  std::vector<WaitingJob> demand_order(Clock clock, std::set<JobIndex>& guaranteed) const;
+  std::vector<CandidateMachine> partition_candidates(PartitionIndex partition, Seconds now) const;
   /// Machines of other parts that may be drained for this job.
-  std::vector<CandidateNode> victims(const Job& j, bool guaranteed, Clock clock) const;
-  void move_machine(MachineIndex m, PartIndex to, bool ask_owner);
-  void rent_for(const Job& j, std::uint32_t tasks, Clock clock, std::vector<CandidateNode>& bins);
-  void note_need(JobIndex ji, std::uint32_t tasks, bool guaranteed, Clock clock);
-  void serve_needs(std::vector<std::vector<CandidateNode>>& own, Clock clock, Effects& out);
-  void note_turnover(const Job& j, const CandidateNode& b, std::uint32_t count, Seconds now);
+  std::vector<CandidateMachine> preemption_candidates(const Job& job, bool guaranteed, Clock clock) const;
+  void move_machine(MachineIndex machine_index, PartitionIndex target, bool ask_owner);
+  void request_machines(const Job& job, std::uint32_t tasks, Clock clock,
+                        std::vector<CandidateMachine>& bins);
+  void note_unmet_demand(JobIndex job_index, std::uint32_t tasks, bool guaranteed, Clock clock);
+  void serve_unmet_demands(std::vector<std::vector<CandidateMachine>>& candidates_by_partition, Clock clock,
+                           Effects& out);
+  void note_turnover(const Job& job, const CandidateMachine& right, std::uint32_t count, Seconds now);
   /// Rents whole machines ahead of the gangs that will want them.
-  void stand_by(const std::vector<CandidateNode>& idle, Clock clock);
+  void keep_warm_machines(const std::vector<CandidateMachine>& idle, Clock clock);
   /// Has machines ready for the work of those that may be gone, beyond what stands idle.
-  void replace_suspects(std::size_t idle, Clock clock);
-  bool may_rent(PartIndex part, JobIndex job, bool guaranteed, Seconds now) const {
-    return gate_ == nullptr || gate_->may_rent(part, job, guaranteed, now);
+  void replace_suspected_machines(std::size_t idle, Clock clock);
+  bool may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) const {
+    return recovery_admission_ == nullptr ||
+           recovery_admission_->may_scale_out(partition, job, guaranteed, now);
   }
   /// This pass's request for the kind.
-  RentOrder& asking(const Kind& k);
+  ScaleOutRequest& new_request_for(const MachineKind& kind);
   void return_machines(Clock clock, Effects& out);
-  bool refused(const Kind& k, Seconds now) const;
+  bool is_refused(const MachineKind& kind, Seconds now) const;
   /// A request for it is under way.
-  bool asked_for(const Kind& k) const;
+  bool is_requested(const MachineKind& kind) const;
   /// The job may have cheap machines, and the cloud has not refused them of late.
-  bool cheap_to_be_had(const JobSpec& spec, Seconds now) const;
+  bool is_spot_available_for(const JobSpec& spec, Seconds now) const;
 
-  Model& model_;
+  ClusterState& state_;
   Scheduler& scheduler_;
   MachineSource* source_ = nullptr;
-  Gate* gate_ = nullptr;
-  std::vector<Need> needs_;  // of this pass
+  RecoveryAdmission* recovery_admission_ = nullptr;
+  std::vector<UnmetDemand> unmet_demands_;  // of this pass
   struct Adoption {
-    MachineRecord rec;
-    std::uint64_t tenure = 0;  // of the worker that showed itself; 0: not heard
+    MachineRecord record;
+    std::uint64_t agent_epoch = 0;  // of the worker that showed itself; 0: not heard
   };
-  std::map<std::string, Adoption> adopt_;
+  std::map<std::string, Adoption> adoptions_;
   std::vector<std::pair<MachineIndex, MachineRecord>> moves_;  // of this pass
-  std::map<std::string, Rent> rents_;
-  std::vector<RentOrder> asking_;  // this pass's requests, one per kind
+  std::map<std::string, ScaleOut> scale_outs_;
+  std::vector<ScaleOutRequest> new_requests_;  // this pass's requests, one per kind
   /// Machines' worth of room that tasks have left lately, a second.
-  double freed_rate_ = 0, freed_seen_ = 0;
+  double freed_rate_ = 0, freed_observed_ = 0;
   struct Turnover {
     Seconds at = 0;
-    Kind kind;
+    MachineKind kind;
     std::uint32_t count = 0;
   };
-  std::deque<Turnover> turnover_;   // whole machines that gangs took or had rented of late
-  std::map<Kind, double> standby_;  // how many are to stand idle for them
+  std::deque<Turnover> turnover_;               // whole machines that gangs took or had rented of late
+  std::map<MachineKind, double> warm_targets_;  // how many are to stand idle for them
   struct Refusal {
     Seconds until = 0;
-    int in_a_row = 0;
+    int consecutive = 0;
   };
-  std::map<Kind, Refusal> refusals_;
+  std::map<MachineKind, Refusal> refusals_;
   std::map<std::string, Seconds> unknown_listed_;  // first listed without a record
   std::set<MachineIndex> deleting_;
-  std::set<MachineIndex> unwanted_;  // being drained, not to be used by any part
+  std::set<MachineIndex> draining_;  // being drained, not to be used by any part
   std::set<MachineIndex> deleted_;
-  std::uint64_t requests_ = 0;
-  Seconds next_ = 0, next_list_ = 0;
+  std::uint64_t request_count_ = 0;
+  Seconds next_cycle_at_ = 0, next_list_at_ = 0;
   Seconds listing_since_ = 0;
   bool listing_ = false;
 };
--- a/include/oxbowmill/core/free_capacity.h
+++ b/include/oxbowmill/core/free_capacity.h
@@ -15,38 +15,38 @@
 
 /// What one machine offers to new tasks.
 struct MachineCapacity {
-  CandidateNode node;                   // `start_s` and `spoils_s` depend on the job and are not filled in
-  Amounts leaving;                      // beside `node.room`: held by tasks that were told to stop
-  bool booting = false;                 // rented, not up yet: forecast capacity only
-  Seconds up_at = 0;                    // of a booting machine: when it is expected
-  bool fetching = false;                // images are being fetched there
-  bool preemptible = false;             // some task there may be stopped for work of higher rank
-  Rank lowest_rank = Rank::production;  // of such tasks
+  CandidateMachine candidate;    // `start_s` and `spoils_s` depend on the job and are not filled in
+  Resources releasing;           // beside `node.room`: held by tasks that were told to stop
+  bool booting = false;          // rented, not up yet: forecast capacity only
+  Seconds expected_up_at = 0;    // of a booting machine: when it is expected
+  bool fetching_images = false;  // images are being fetched there
+  bool preemptible = false;      // some task there may be stopped for work of higher rank
+  Priority lowest_priority = Priority::production;  // of such tasks
   std::vector<ImageIndex> images;
 };
-bool operator==(const MachineCapacity& a, const MachineCapacity& b);
+bool operator==(const MachineCapacity& left, const MachineCapacity& right);
 
 /// How a job looks at the machines.
 struct SelectionQuery {
   const JobSpec* spec = nullptr;
-  bool pressed = false;           // it has to begin soon: fetches under way at a machine count as well
-  bool spare_whole = false;       // whole ordinary machines are left to gangs
-  std::vector<bool> unreachable;  // by zone; empty: none
+  bool has_start_deadline = false;    // it has to begin soon: fetches under way at a machine count as well
+  bool avoid_whole_machines = false;  // whole ordinary machines are left to gangs
+  std::vector<bool> unreachable;      // by zone; empty: none
   /// Seconds that fetches under way on the machine still take.
   std::function<Seconds(MachineIndex)> fetch_backlog_s;
 };
 
 struct Selection {
-  std::vector<CandidateNode>
-      nodes;                    // those that were chosen, with their room less the tasks that they are to get
-  std::vector<Choice> choices;  // `node` is a position in `nodes`
+  std::vector<CandidateMachine>
+      machines;  // those that were chosen, with their room less the tasks that they are to get
+  std::vector<TaskAssignment> assignments;  // `node` is a position in `nodes`
   /// When the last of the chosen tasks could run.
   Seconds last_start_s() const;
 };
 
 class FreeCapacity {
  public:
-  explicit FreeCapacity(const Model& model) : model_(&model) {}
+  explicit FreeCapacity(const ClusterState& model) : state_(&model) {}
 
   /// Sets what the machine offers; none: nothing. True: it offers something else than before.
   bool update(MachineIndex machine, std::optional<MachineCapacity> capacity);
@@ -57,22 +57,22 @@
   /// Chooses machines for these tasks of the job, at most as many as fit; a gang gets all or none. `forecast`
   /// are nodes beside the free ones, with their `start_s` and `spoils_s`; `by_zone` holds where the job's
   /// other tasks are.
-  Selection select(const SelectionQuery& query, const std::vector<TaskNo>& tasks,
+  Selection select(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
                    const std::vector<std::uint32_t>& by_zone,
-                   const std::vector<CandidateNode>& forecast = {}) const;
+                   const std::vector<CandidateMachine>& forecast = {}) const;
   /// How many tasks of the job fit into machines of types on which it is packed with others, counted up to
   /// `most`.
-  std::size_t count_cheap_places(const SelectionQuery& query, std::size_t most) const;
+  std::size_t count_packed_places(const SelectionQuery& query, std::size_t most) const;
 
   /// Takes room for a task that is about to be placed. Until the machine is updated the next time it is gone.
-  void take(MachineIndex machine, const Amounts& need);
-  void take_leaving(MachineIndex machine, const Amounts& need);
+  void take(MachineIndex machine, const Resources& need);
+  void take_releasing(MachineIndex machine, const Resources& need);
   void add_fetch(MachineIndex machine, Seconds seconds);
   void host_service(MachineIndex machine);
   /// Machines that one of these four has changed, to be updated before the next cycle; forgets them.
   std::vector<MachineIndex> take_provisional();
 
-  const std::set<MachineIndex>& with_leaving() const { return with_leaving_; }
+  const std::set<MachineIndex>& with_releasing() const { return with_releasing_; }
   const std::set<MachineIndex>& booting() const { return booting_; }
   const std::set<MachineIndex>& preemptible() const { return preemptible_; }
   /// Entries that were looked at since it was made: what a cycle costs.
@@ -83,23 +83,23 @@
   struct GroupKey {
     TypeIndex type;
     ZoneIndex zone;
-    bool spot = false, lasting = false, whole = false, fetching = false;
+    bool spot = false, long_running = false, whole = false, fetching = false;
     friend bool operator<(const GroupKey& a, const GroupKey& b) {
-      return std::tie(a.type, a.zone, a.spot, a.lasting, a.whole, a.fetching) <
-             std::tie(b.type, b.zone, b.spot, b.lasting, b.whole, b.fetching);
+      return std::tie(a.type, a.zone, a.spot, a.long_running, a.whole, a.fetching) <
+             std::tie(b.type, b.zone, b.spot, b.long_running, b.whole, b.fetching);
     }
   };
-  struct RoomKey {
+  struct CapacityKey {
     double gpus = 0, cpus = 0;
     MachineIndex machine;
-    friend bool operator<(const RoomKey& a, const RoomKey& b) {
+    friend bool operator<(const CapacityKey& a, const CapacityKey& b) {
       return std::tie(a.gpus, a.cpus, a.machine) < std::tie(b.gpus, b.cpus, b.machine);
     }
   };
-  using RoomOrder = std::set<RoomKey>;
+  using CapacityOrder = std::set<CapacityKey>;
   struct Group {
-    RoomOrder all;
-    std::unordered_map<std::uint32_t, RoomOrder> by_image;
+    CapacityOrder all;
+    std::unordered_map<std::uint32_t, CapacityOrder> by_image;
   };
   struct Entry {
     MachineCapacity capacity;
@@ -109,20 +109,20 @@
   class Merge;
 
   GroupKey group_of(const Entry& entry) const;
-  static RoomKey room_of(const Entry& entry, MachineIndex machine);
+  static CapacityKey capacity_key_of(const Entry& entry, MachineIndex machine);
   void insert(MachineIndex machine, const Entry& entry);
   void erase(MachineIndex machine, const Entry& entry);
   template <class Change>
   void change(MachineIndex machine, Change change);
   bool is_offered(const SelectionQuery& query, const GroupKey& key) const;
-  Selection fill(const SelectionQuery& query, const std::vector<TaskNo>& tasks,
+  Selection fill(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
                  const std::vector<std::uint32_t>& by_zone, ZoneIndex only,
-                 const std::vector<CandidateNode>& forecast) const;
+                 const std::vector<CandidateMachine>& forecast) const;
 
-  const Model* model_;
+  const ClusterState* state_;
   std::unordered_map<std::uint32_t, Entry> machines_;
   std::map<GroupKey, Group> groups_;
-  std::set<MachineIndex> with_leaving_, booting_, preemptible_, provisional_;
+  std::set<MachineIndex> with_releasing_, booting_, preemptible_, provisional_;
   mutable std::uint64_t visits_ = 0;
 };
 
--- a/include/oxbowmill/core/gate.h
+++ b/include/oxbowmill/core/gate.h
@@ -11,26 +11,26 @@
 
 /// A machine to be had ready for the work of one that may be gone.
 struct Replacement {
-  MachineIndex suspect;
-  PartIndex part;
-  Kind kind;
+  MachineIndex suspected_machine;
+  PartitionIndex partition;
+  MachineKind kind;
 };
 
-class Gate {
+class RecoveryAdmission {
  public:
-  virtual ~Gate() = default;
+  virtual ~RecoveryAdmission() = default;
   /// Others of its zone speak and it does not: its room is not counted on.
-  virtual bool suspected(MachineIndex m) const = 0;
+  virtual bool suspected(MachineIndex machine_index) const = 0;
   /// To be deleted now, though something may be on it: the answer to the deletion is the proof that its tasks
   /// wait for, and sooner to be had than the end of its lease.
-  virtual bool condemned(MachineIndex m) const = 0;
+  virtual bool marked_for_deletion(MachineIndex machine_index) const = 0;
   /// Machines may be rented for this job of the part; without a job, to stand by.
-  virtual bool may_rent(PartIndex part, JobIndex job, bool guaranteed, Seconds now) = 0;
+  virtual bool may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) = 0;
   /// This idle machine may go back now; taken from what a start may send out.
-  virtual bool may_return(MachineIndex m, Seconds now) = 0;
+  virtual bool may_return(MachineIndex machine_index, Seconds now) = 0;
   /// In order of need; each stays in it until it was said to be under way, or its suspect spoke.
   virtual std::vector<Replacement> replacements(Seconds now) const = 0;
-  virtual void under_way(MachineIndex suspect) = 0;
+  virtual void replacement_started(MachineIndex suspect) = 0;
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/core/settings.h
+++ b/include/oxbowmill/core/settings.h
@@ -9,39 +9,40 @@
 namespace oxbowmill {
 
 struct Team {
-  Amounts guaranteed;  // 0: none
-  Amounts most;        // 0: no limit
+  Resources guaranteed;  // 0: none
+  Resources limit;       // 0: no limit
 };
 
 struct OperatorSettings {
   // The source's detector.
   double finished_ratio = 0.75;  // R
-  double multiplier = 1.5;       // M
+  double slow_multiplier = 1.5;  // M
   double baseline_floor_s = 20;  // B
-  double block_s = 30;           // how long a slow machine takes no new tasks
-  double check_interval_s = 1;
+  double slow_block_s = 30;      // how long a slow machine takes no new tasks
+  double slow_check_interval_s = 1;
   bool restart_slow = true;
   // Leadership.
-  double hold_life_s = 4;
+  double controller_lease_s = 4;
   // Fleet.
-  double idle_keep_s = 10;      // an idle machine is kept this long before it is returned
-  double spot_keep_factor = 3;  // times as long for spot machines
-  double give_back_s = 10;      // an empty machine of a part without waiting work goes to the pool after this
-  double boot_patience = 5;     // times the type's boot time until a machine counts as stuck
-  double refusal_pause_s = 10;
-  double rent_patience_s = 5;   // a job waits this long for room before machines are rented for it
-  double begin_within_s = 240;  // every job that can run is to have begun with all its tasks; 0: no promise
-  double promise_share = 0.25;  // of a part's machines, that such jobs may take before other ranks
+  double idle_retention_s = 10;      // an idle machine is kept this long before it is returned
+  double spot_retention_factor = 3;  // times as long for spot machines
+  double release_to_pool_s =
+      10;  // an empty machine of a part without waiting work goes to the pool after this
+  double boot_timeout_factor = 5;  // times the type's boot time until a machine counts as stuck
+  double refusal_backoff_s = 10;
+  double scale_out_delay_s = 5;   // a job waits this long for room before machines are rented for it
+  double start_deadline_s = 240;  // every job that can run is to have begun with all its tasks; 0: no promise
+  double start_deadline_share = 0.25;  // of a part's machines, that such jobs may take before other ranks
   bool use_spot = true;
   bool preempt = true;
-  double cloud_list_s = 4;
-  double mark_delay_s = 20;  // while changes are many, done marks that nobody waits for wait so long
-  double pass_interval_s = 0.05;
+  double cloud_list_interval_s = 4;
+  double done_mark_delay_s = 20;  // while changes are many, done marks that nobody waits for wait so long
+  double cycle_interval_s = 0.05;
 };
 
 /// Names and limits shared by all tables.
 struct Names {
-  NameTable<PartIndex> parts;  // 0: the idle pool, owned by the leader; then one part per team
+  NameTable<PartitionIndex> partitions;  // 0: the idle pool, owned by the leader; then one part per team
   NameTable<ZoneIndex> zones;
   NameTable<TypeIndex> types;
   NameTable<ImageIndex> images;
@@ -51,33 +52,38 @@
 };
 
 struct Settings {
-  std::string node;
-  std::uint32_t nodes = 1;
-  std::vector<std::string> all_nodes;  // names of all controllers that there are, this one's too
-  std::vector<Team> teams;             // by part; [0] unused
-  double report_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 8, cancel_s = 40;
-  double state_rps = 100, state_write_rps = 20, value_kb = 4;
-  std::size_t txn_ops = 12;
+  std::string controller_name;
+  std::uint32_t controller_count = 1;
+  std::vector<std::string> all_controllers;  // names of all controllers that there are, this one's too
+  std::vector<Team> teams;                   // by part; [0] unused
+  double report_interval_s = 1, lease_s = 10, gang_wait_timeout_s = 30, gang_peer_timeout_s = 8,
+         cancel_deadline_s = 40;
+  double state_rps = 100, state_write_rps = 20, max_value_kb = 4;
+  std::size_t max_transaction_ops = 12;
   int socket_limit = 0;                    // 0: none
   std::vector<double> deadline_multiples;  // of a job's deadline, as the users' aims name them; ascending
-  double cloud_rps = 2, list_lag_s = 4;
-  OperatorSettings op;
+  double cloud_rps = 2, cloud_list_lag_s = 4;
+  OperatorSettings operator_settings;
   progress::Settings progress;
 
   // Derived; see docs/design.md, "Time".
-  static constexpr double drift = 0.0005;
-  static constexpr double margin_s = 1.0;
+  static constexpr double clock_drift = 0.0005;
+  static constexpr double safety_margin_s = 1.0;
   static constexpr double report_timeout_s = 4.0;  // a worker drops responses after this
   /// After this long since we answered a report nothing of its session is left: the lease counts from when
   /// the report was sent, and an answer that comes after its time-out renews and starts nothing.
-  double lease_over_s() const { return std::max(lease_s, report_timeout_s) * (1 + 2 * drift) + margin_s; }
-  double grace_s() const;
+  double lease_expiry_s() const {
+    return std::max(lease_s, report_timeout_s) * (1 + 2 * clock_drift) + safety_margin_s;
+  }
+  double read_only_period_s() const;
   /// A machine that changes its owner, or whose owner has just begun, reports to it within this time.
-  double arrival_s() const { return 2 * report_s + report_timeout_s; }
+  double first_report_timeout_s() const { return 2 * report_interval_s + report_timeout_s; }
   /// Silence after a takeover that proves a machine holds nothing of the earlier owner.
-  double takeover_silence_s() const { return grace_s() * (1 + 2 * drift) + lease_over_s(); }
+  double failover_silence_s() const {
+    return read_only_period_s() * (1 + 2 * clock_drift) + lease_expiry_s();
+  }
 };
 
-constexpr PartIndex pool_part{0};
+constexpr PartitionIndex idle_pool{0};
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/core/token_bucket.h
+++ b/include/oxbowmill/core/token_bucket.h
@@ -8,31 +8,31 @@
 class TokenBucket {
  public:
   /// `rate` a second; up to `burst` at once.
-  TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
+  TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
   void set_rate(double rate, double burst) {
     rate_ = rate;
     burst_ = burst;
   }
-  bool take(double n, double now) {
+  bool take(double sample_weight, double now) {
     refill(now);
-    if (level_ < std::min(n, burst_)) return false;
-    level_ -= n;
+    if (tokens_ < std::min(sample_weight, burst_)) return false;
+    tokens_ -= sample_weight;
     return true;
   }
   /// Seconds until `n` can be taken.
-  double wait_for(double n, double now) {
+  double wait_for(double sample_weight, double now) {
     refill(now);
-    double missing = std::min(n, burst_) - level_;
+    double missing = std::min(sample_weight, burst_) - tokens_;
     return missing <= 0 ? 0 : missing / rate_;
   }
 
  private:
   void refill(double now) {
-    if (now > last_) level_ = std::min(burst_, level_ + (now - last_) * rate_);
-    last_ = now;
+    if (now > refilled_at_) tokens_ = std::min(burst_, tokens_ + (now - refilled_at_) * rate_);
+    refilled_at_ = now;
   }
-  double rate_, burst_, level_;
-  double last_ = 0;
+  double rate_, burst_, tokens_;
+  double refilled_at_ = 0;
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/core/waiting.h
+++ b/include/oxbowmill/core/waiting.h
@@ -5,13 +5,13 @@
 
 namespace oxbowmill {
 
-const char* name_of(WaitCause c);
+const char* name_of(PendingReason reason);
 
 /// Of the tasks that have not begun: how many, and what the first of them waits for. Seconds.
-struct Wait {
+struct PendingStatus {
   std::uint32_t tasks = 0;
-  WaitCause cause = WaitCause::none;
+  PendingReason reason = PendingReason::none;
 };
-Wait wait_of(const Model& model, const Job& j, Seconds now);
+PendingStatus pending_status_of(const ClusterState& model, const Job& job, Seconds now);
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/lab/agreed_world.h
+++ b/include/oxbowmill/lab/agreed_world.h
@@ -5,36 +5,36 @@
 
 namespace oxbowmill::lab {
 
-struct AgreedScenario {
+struct DecisionScenario {
   std::string name;
-  bool releases = false;  // else a model and its calls
-  double length_s = 7200;
-  double owner_ends_s = 0;  // mean time between two ends of the owner; 0: never
+  bool is_release_scenario = false;  // else a model and its calls
+  double duration_s = 7200;
+  double owner_failure_interval_s = 0;  // mean time between two ends of the owner; 0: never
   std::uint32_t machines = 12;
-  double every_s = 600;                  // mean time between bursts of calls, or between revisions
-  std::uint32_t burst = 5;               // calls a burst
-  double call_s = 20, fetch_s = 40;      // a call's run; a replica's fetch of the weights
-  double render_s = 60, publish_s = 10;  // medians, a factor of two both ways
-  double hand_s = 900;                   // how often somebody looks, where pairs are held by hand
-  models::Terms terms;
+  double arrival_interval_s = 600;           // mean time between bursts of calls, or between revisions
+  std::uint32_t calls_per_burst = 5;         // calls a burst
+  double call_s = 20, weights_fetch_s = 40;  // a call's run; a replica's fetch of the weights
+  double render_s = 60, publish_s = 10;      // medians, a factor of two both ways
+  double manual_check_interval_s = 900;      // how often somebody looks, where pairs are held by hand
+  models::ModelSpec terms;
 };
-AgreedScenario load_agreed(const std::string& file);
+DecisionScenario load_decision_scenario(const std::string& file);
 
-struct AgreedRow {
-  std::string way;
+struct DecisionRow {
+  std::string variant;
   std::uint64_t seed = 0;
   // A model: rounds, replicas started in a round before the first served, waiting of calls, hours with a
   // replica.
-  double epochs = 0, first_starts = 0, wait_median = 0, wait_95 = 0, gpu_hours = 0;
+  double rounds = 0, starts_before_serving = 0, wait_median = 0, wait_p95 = 0, gpu_hours = 0;
   // Releases: from "all rendered" to "both publishing run", the share of time with one edition stale.
-  double to_publish_median = 0, to_publish_max = 0, stale_share = 0;
-  double changes = 0;  // of decisions, a minute
-  int broken = 0;      // a task on two machines, a publishing task before its twins, work left undone
+  double to_publish_median = 0, to_publish_max = 0, stale_fraction = 0;
+  double changes_per_minute = 0;  // of decisions, a minute
+  int violations = 0;  // a task on two machines, a publishing task before its twins, work left undone
 };
 
 /// Every way on seeds 1 to `seeds`: a model always on, with a fixed idle time, as it is, and by one that
 /// knows the future; releases unpaired, held by hand, and as they are.
-std::vector<AgreedRow> play_agreed(const AgreedScenario& s, unsigned seeds, unsigned threads);
-std::string table(const AgreedScenario& s, const std::vector<AgreedRow>& rows);
+std::vector<DecisionRow> play_decisions(const DecisionScenario& scenario, unsigned seeds, unsigned threads);
+std::string table(const DecisionScenario& scenario, const std::vector<DecisionRow>& rows);
 
 }  // namespace oxbowmill::lab
--- a/include/oxbowmill/lab/fleet_experiment.h
+++ b/include/oxbowmill/lab/fleet_experiment.h
@@ -5,34 +5,34 @@
 
 namespace oxbowmill::lab {
 
-struct FleetRow {
-  Way way = Way::twin;
+struct ClusterRow {
+  SimulationVariant variant = SimulationVariant::without_faults;
   std::uint64_t seed = 0;
-  FleetResult result;
+  ClusterResult result;
 };
 
 /// Seeds 1 to `seeds`, every way on each, on several threads; rows by seed, then by way.
-std::vector<FleetRow> play(const FleetScenario& s, unsigned seeds, unsigned threads);
+std::vector<ClusterRow> play(const ClusterScenario& scenario, unsigned seeds, unsigned threads);
 
 /// Seconds from the fault until the running work is within a twentieth of the undisturbed twin's for ten
 /// seconds on end; the rest of the run where it never is.
-double time_to_level(const FleetResult& r, const FleetResult& twin, double fault_s);
+double time_to_level(const ClusterResult& result, const ClusterResult& twin, double fault_s);
 
 /// Medians over seeds, but for the least share served and the broken rules.
-struct FleetSummary {
-  Way way = Way::twin;
-  double level_s = 0, squared_s = 0;
-  double undone = 0, rentals = 0;             // machines; from the first fault on
+struct ClusterSummary {
+  SimulationVariant variant = SimulationVariant::without_faults;
+  double recovery_s = 0, reconciled_s = 0;
+  double wasted_scale_outs = 0, rentals = 0;  // machines; from the first fault on
   double peak_returns = 0, peak_changes = 0;  // a second, from the first fault on
-  double lost_s = 0;                          // GPU seconds of work that has to be repeated
+  double lost_run_time_s = 0;                 // GPU seconds of work that has to be repeated
   double suspected = 0, returned = 0, deleted_alive = 0;
-  double least_served = 1;  // of any class or team, to the twin, over all seeds
-  int broken = 0;
-  std::string first_broken;
+  double lowest_served_fraction = 1;  // of any class or team, to the twin, over all seeds
+  int violations = 0;
+  std::string first_violation;
 };
-std::vector<FleetSummary> summarise(const FleetScenario& s, const std::vector<FleetRow>& rows);
-std::string table(const std::string& scenario, const std::vector<FleetSummary>& s);
-std::string csv(const std::string& scenario, const std::vector<FleetRow>& rows);
-wire::Json json(const std::string& scenario, const std::vector<FleetSummary>& s);
+std::vector<ClusterSummary> summarise(const ClusterScenario& scenario, const std::vector<ClusterRow>& rows);
+std::string table(const std::string& scenario, const std::vector<ClusterSummary>& s);
+std::string csv(const std::string& scenario, const std::vector<ClusterRow>& rows);
+wire::Json json(const std::string& scenario, const std::vector<ClusterSummary>& s);
 
 }  // namespace oxbowmill::lab
--- a/include/oxbowmill/lab/hollow_fleet.h
+++ b/include/oxbowmill/lab/hollow_fleet.h
@@ -30,62 +30,62 @@
 std::string scale_machine_name(std::size_t i);
 std::size_t scale_machine_number(const std::string& name);
 
-class HollowFleet {
+class AgentSimulator {
  public:
-  HollowFleet(event_base* base, const ScaleSettings& settings, const ScaleAddresses& addresses,
-              ScaleEventWriter& events, std::function<double()> now);
-  ~HollowFleet();
+  AgentSimulator(event_base* base, const ScaleSettings& settings, const ScaleAddresses& addresses,
+                 ScaleEventWriter& events, std::function<double()> now);
+  ~AgentSimulator();
 
  private:
-  struct Run {
-    TaskNo task = 0;
+  struct TaskRun {
+    TaskNumber task = 0;
     Attempt attempt = 0;
-    double ready_at = 0, gathers_since = -1, started = -1, ends_at = 1e18;
+    double ready_at = 0, waiting_for_gang_since = -1, started_at = -1, ends_at = 1e18;
   };
-  struct Hollow;
+  struct SimulatedAgent;
   /// Members of one attempt of a gang, by task.
   struct Gang {
     Attempt attempt = 0;
-    std::map<TaskNo, std::size_t> members;  // and the machine's number
+    std::map<TaskNumber, std::size_t> members;  // and the machine's number
     bool running = false;
     double lost_at = -1;
   };
-  struct Due {
+  struct TimedEvent {
     double at = 0;
     std::size_t machine = 0;
-    std::string id;
+    std::string task_id;
     Attempt attempt = 0;
-    friend bool operator>(const Due& a, const Due& b) { return a.at > b.at; }
+    friend bool operator>(const TimedEvent& a, const TimedEvent& b) { return a.at > b.at; }
   };
   struct Counts {
     double reports = 0, report_bytes = 0, answer_bytes = 0, unanswered = 0, commands = 0, command_bytes = 0;
-    double late_s = 0;  // the worst lateness of the loop since it was last told
+    double max_lateness_s = 0;  // the worst lateness of the loop since it was last told
   };
   /// Its name.
   std::string add_machine(std::size_t zone, double up_at);
-  void power_off(Hollow& hollow);
+  void power_off(SimulatedAgent& hollow);
   void tick();
-  void tick_machine(Hollow& hollow, double now);
-  void send_report(Hollow& hollow, double now);
-  void on_answer(Hollow& hollow, const net::Response& response);
-  void on_command(Hollow& hollow, net::Request&& request);
+  void tick_machine(SimulatedAgent& hollow, double now);
+  void send_report(SimulatedAgent& hollow, double now);
+  void on_answer(SimulatedAgent& hollow, const net::Response& response);
+  void on_command(SimulatedAgent& hollow, net::Request&& request);
   /// Takes in what orders have started and stopped on the worker.
-  void take_in_tasks(Hollow& hollow);
-  void start_run(Hollow& hollow, const std::string& id, const TaskReport& task);
-  void end_run(Hollow& hollow, const std::string& id, const Run& run, bool saved);
-  void on_due(const Due& due, double now);
-  void image_is_there(Hollow& hollow, const std::string& id, Run& run, double now);
-  void begin_running(Hollow& hollow, const std::string& id, Run& run, double now);
-  void member_is_ready(Hollow& hollow, const std::string& id, Run& run, double now);
-  void finish(Hollow& hollow, const std::string& id, EndCause cause);
-  void wake_for(Hollow& hollow, double now);
+  void sync_tasks(SimulatedAgent& hollow);
+  void start_run(SimulatedAgent& hollow, const std::string& id, const TaskReport& task);
+  void end_run(SimulatedAgent& hollow, const std::string& id, const TaskRun& run, bool saved);
+  void on_due(const TimedEvent& event, double now);
+  void on_image_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now);
+  void begin_running(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now);
+  void on_member_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now);
+  void finish(SimulatedAgent& hollow, const std::string& id, EndCause cause);
+  void schedule_report(SimulatedAgent& hollow, double now);
   void apply(const ScaleFault& fault, double now);
-  std::vector<Hollow*> some_machines(std::uint32_t count);
+  std::vector<SimulatedAgent*> pick_machines(std::uint32_t count);
   void serve_cloud(net::Request&& request);
   wire::Json catalog() const;
-  wire::Json rent(const wire::Json& body);
+  wire::Json scale_out(const wire::Json& body);
   wire::Json list(const std::string& query) const;
-  void tell_counts();
+  void write_counts();
   double uniform(double a, double b) { return std::uniform_real_distribution<double>(a, b)(random_); }
 
   event_base* base_;
@@ -95,18 +95,18 @@
   std::function<double()> now_;
   std::mt19937_64 random_;
   RunLog log_;
-  std::map<std::size_t, std::unique_ptr<Hollow>> machines_;  // by number
+  std::map<std::size_t, std::unique_ptr<SimulatedAgent>> machines_;  // by number
   std::vector<std::size_t> next_in_zone_;
   std::map<std::string, Gang> gangs_;
-  std::set<std::string> done_;
+  std::set<std::string> finished_tasks_;
   std::map<std::string, double> saved_s_;
-  std::map<std::string, wire::Json> rentals_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::vector<net::ResponderPtr> held_;  // commands to machines that are cut off
+  std::map<std::string, wire::Json> scale_outs_;
+  std::priority_queue<TimedEvent, std::vector<TimedEvent>, std::greater<>> timed_events_;
+  std::vector<net::ResponderPtr> unanswered_commands_;  // commands to machines that are cut off
   std::vector<ScaleFault> faults_;
   Counts counts_;
   std::size_t alive_ = 0;
-  double began_ = 0, expected_tick_ = 0, next_told_ = 0;
+  double began_at_ = 0, expected_tick_ = 0, next_counts_at_ = 0;
   TokenBucket cloud_calls_;
   net::Timer timer_;
   std::unique_ptr<net::HttpServer> cloud_;
--- a/include/oxbowmill/lab/market.h
+++ b/include/oxbowmill/lab/market.h
@@ -14,23 +14,23 @@
 namespace oxbowmill::lab {
 
 /// How a market behaves; chances are per bid or per answer.
-struct Character {
+struct MarketBehavior {
   std::string name;
   double price = 8;  // per machine and hour, around which its quotes lie
   std::uint32_t capacity = 40;
   double delivery_s = 45, delivery_spread = 0.15;
   double valid_s = 12, auction_s = 2;
-  double bad_from_s = 0, bad_to_s = 1e9;  // what follows holds only then
-  double raise_chance = 0, raise_by = 1.2;
-  double never = 0;  // accepts and never delivers
-  double late = 0, late_by = 4;
-  double short_share = 1;  // of what it accepts it delivers so much
-  double wrong = 0, twice = 0;
-  double throttle = 0, garble = 0, absurd = 0;
-  double stall = 0;            // gets the request, gives no answer
-  double deaf = 0;             // does not even get it
-  bool keeps_running = false;  // says returned, and the machine runs on
-  double overcharge = 1;
+  double faults_from_s = 0, faults_to_s = 1e9;  // what follows holds only then
+  double raise_chance = 0, raise_factor = 1.2;
+  double never_delivers_chance = 0;  // accepts and never delivers
+  double late_chance = 0, late_factor = 4;
+  double delivered_fraction = 1;  // of what it accepts it delivers so much
+  double wrong_delivery_chance = 0, double_delivery_chance = 0;
+  double throttle_chance = 0, garbled_response_chance = 0, absurd_response_chance = 0;
+  double stall_chance = 0;         // gets the request, gives no answer
+  double lost_request_chance = 0;  // does not even get it
+  bool runs_after_return = false;  // says returned, and the machine runs on
+  double overcharge_factor = 1;
 };
 
 struct MarketReply {
@@ -39,13 +39,14 @@
   int retry_after_s = 0;
 };
 
-class Market {
+class SimulatedMarket {
  public:
-  Market(Character c, std::uint64_t seed, std::vector<std::string> types, std::vector<std::string> zones);
+  SimulatedMarket(MarketBehavior profile, std::uint64_t seed, std::vector<std::string> types,
+                  std::vector<std::string> zones);
 
   MarketReply handle(const std::string& method, const std::string& path, const std::string& body, double now);
   /// The same by a desk's call, through the codec both ways.
-  market::Answer ask(const market::Call& c, const Names& names, double now);
+  market::Answer call(const market::Call& c, const Names& names, double now);
   /// Auctions end, machines are delivered, terms run out.
   void tick(double now);
 
@@ -58,40 +59,42 @@
   const std::map<std::string, Host>& hosts() const { return hosts_; }
   /// What it says it has charged up to now.
   double charged(double now) const;
-  const Character& character() const { return c_; }
+  const MarketBehavior& behavior() const { return behavior_; }
   /// Bids that it got under this name with different contents.
-  int renamed = 0;
+  int reused_bid_names = 0;
 
  private:
   struct Bid {
-    wire::Json asked;
+    wire::Json request;
     std::string phase = "open";
-    double limit = 0, rate = 0, raise = 0, decides_at = 0, term_s = 0;
+    double limit = 0, rate = 0, raise = 0, decides_at = 0, duration_s = 0;
     std::uint64_t round = 0;
-    std::uint32_t count = 0, expects = 0;
+    std::uint32_t count = 0, expected_count = 0;
     std::vector<double> deliveries;  // times to come
     std::set<std::string> hosts;
-    bool wrong = false, twice = false;
-    double factor = 1;
+    bool delivers_wrong_machines = false, delivers_twice = false;
+    double overcharge_factor = 1;
   };
-  bool bad(double now) const { return now >= c_.bad_from_s && now < c_.bad_to_s; }
+  bool faults_active(double now) const {
+    return now >= behavior_.faults_from_s && now < behavior_.faults_to_s;
+  }
   bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(random_) < p; }
   wire::Json quotes(const wire::Json& body, double now);
   MarketReply bid(const wire::Json& body, double now);
   wire::Json state_of(const std::string& name, double now);
-  void decide(Bid& b, double now);
-  void accept(Bid& b, double rate, double now);
-  void deliver(const std::string& name, Bid& b, double now);
-  void maybe_close(Bid& b);
-  double charge(const Bid& b, double now) const;
+  void decide(Bid& bid, double now);
+  void accept(Bid& bid, double rate, double now);
+  void deliver(const std::string& name, Bid& bid, double now);
+  void maybe_close(Bid& bid);
+  double charge(const Bid& bid, double now) const;
   std::uint32_t busy() const;
 
-  Character c_;
+  MarketBehavior behavior_;
   std::mt19937_64 random_;
   std::vector<std::string> types_, zones_;
   std::map<std::string, Bid> bids_;
   std::map<std::string, Host> hosts_;
-  std::uint64_t named_ = 0, quoted_ = 0;
+  std::uint64_t last_host_number_ = 0, last_quote_number_ = 0;
 };
 
 }  // namespace oxbowmill::lab
--- a/include/oxbowmill/lab/market_server.h
+++ b/include/oxbowmill/lab/market_server.h
@@ -9,14 +9,15 @@
 class MarketServer {
  public:
   /// `now` in seconds, from 0 on: the market's character may change with it.
-  MarketServer(event_base* base, const net::Address& bind, Market market, std::function<double()> now);
+  MarketServer(event_base* base, const net::Address& bind, SimulatedMarket market,
+               std::function<double()> now);
   const net::Address& address() const { return server_.address(); }
-  Market& market() { return market_; }
+  SimulatedMarket& market() { return market_; }
   /// Before each request is handled.
   std::function<void(const net::Request&)> on_request;
 
  private:
-  Market market_;
+  SimulatedMarket market_;
   std::function<double()> now_;
   std::vector<net::ResponderPtr> stalled_;  // held open without an answer
   net::HttpServer server_;
--- a/include/oxbowmill/lab/market_world.h
+++ b/include/oxbowmill/lab/market_world.h
@@ -9,67 +9,68 @@
 
 namespace oxbowmill::lab {
 
-enum class Policy : std::uint8_t { planner, cheapest, one, even, bound };
-constexpr Policy policies[] = {Policy::planner, Policy::cheapest, Policy::one, Policy::even, Policy::bound};
-const char* name_of(Policy p);
+enum class Policy : std::uint8_t { planner, cheapest, single_market, even_split, oracle };
+constexpr Policy policies[] = {Policy::planner, Policy::cheapest, Policy::single_market, Policy::even_split,
+                               Policy::oracle};
+const char* name_of(Policy policy);
 
-struct Work {
-  double at = 0, run_s = 300, due_s = 600;  // due after its arrival
+struct JobArrival {
+  double arrives_at = 0, run_s = 300, due_s = 600;  // due after its arrival
   std::uint32_t machines = 4;
-  Rank rank = Rank::normal;
+  Priority priority = Priority::normal;
   bool guaranteed = false;
 };
 
-struct Scenario {
+struct MarketScenario {
   std::string name;
-  double length_s = 1500;
+  double duration_s = 1500;
   double drop_at_s = 60;  // when a zone drops and its work wants other machines
   std::uint32_t jobs = 16;
-  std::uint32_t most_machines = 6;
+  std::uint32_t max_machines = 6;
   double run_s = 300, slack_s = 150;
-  double guaranteed_share = 0.4, best_effort_share = 0.2;
+  double guaranteed_fraction = 0.4, best_effort_fraction = 0.2;
   std::uint32_t cloud_capacity = 8;
   double cloud_price = 10, cloud_ready_s = 60;
   market::Settings settings;  // without markets: these come from the characters
-  std::vector<Character> markets;
+  std::vector<MarketBehavior> markets;
 };
 /// Reads a scenario file (YAML); throws std::runtime_error with file, key and reason.
-Scenario load_scenario(const std::string& file);
+MarketScenario load_scenario(const std::string& file);
 
-struct Result {
+struct MarketResult {
   std::uint32_t jobs = 0, in_time = 0, guaranteed = 0, guaranteed_in_time = 0;
   std::uint32_t bought = 0, unused = 0;  // machines of markets
   double cost = 0;
-  int breaches = 0;  // moments at which paid and committed stood above the ceiling
-  int shut = 0;      // markets that the last leader had shut out
+  int breaches = 0;   // moments at which paid and committed stood above the ceiling
+  int suspended = 0;  // markets that the last leader had shut out
 };
 
-class MarketWorld {
+class MarketSimulation {
  public:
-  MarketWorld(const Scenario& s, Policy policy, std::uint64_t seed);
+  MarketSimulation(const MarketScenario& scenario, Policy policy, std::uint64_t seed);
   void step();  // half a second
-  Result run();
-  Result result() const;
+  MarketResult run();
+  MarketResult result() const;
 
   // Faults.
   void end_leader();  // ends at once; another one claims a second later
   void set_state_down(bool down) { state_down_ = down; }
   /// What becomes of the next transactions: applied without an answer, or held back until `release_writes`.
-  void lose_write_answers(int n) { lose_answers_ = n; }
-  void hold_writes(bool hold) { holding_writes_ = hold; }
+  void lose_write_responses(int position) { write_responses_to_lose_ = position; }
+  void delay_writes(bool delay) { delaying_writes_ = delay; }
   void release_writes();
   /// Calls that are held back reach their market later, though their leader has given them up.
-  void hold_calls(bool hold) { holding_calls_ = hold; }
+  void delay_calls(bool delay) { delaying_calls_ = delay; }
   void release_calls();
 
   double now = 1000;
   market::Settings settings;
-  std::vector<Market> markets;
-  std::vector<Work> work;
-  market::Desk* desk() { return leader_ ? &leader_->desk : nullptr; }
-  Model* model() { return leader_ ? &leader_->model : nullptr; }
+  std::vector<SimulatedMarket> markets;
+  std::vector<JobArrival> arrivals;
+  market::BiddingService* bidding_service() { return leader_ ? &leader_->bidding_service : nullptr; }
+  ClusterState* state() { return leader_ ? &leader_->cluster_state : nullptr; }
   /// Highest sum of what was paid and what open records may cost, over the ceiling of the window; at most 1.
-  double highest_use = 0, highest_hour = 0;
+  double highest_use = 0, max_hourly_spend = 0;
   /// Most machines that were on their way or there for a part, over what it needed then and the spare.
   double most_bought = 0;
   std::set<std::string> bid_names;
@@ -78,21 +79,21 @@
 
  private:
   struct Leader {
-    Leader(MarketWorld& w, std::uint64_t term);
-    Model model;
-    Hold hold;
+    Leader(MarketSimulation& simulation, std::uint64_t term);
+    ClusterState cluster_state;
+    ControllerLease lease;
     Scheduler scheduler;
-    market::Desk desk;
-    std::set<std::string> taken;  // machines with a record
+    market::BiddingService bidding_service;
+    std::set<std::string> adopted;  // machines with a record
   };
   struct Machine {
-    PartIndex part;
+    PartitionIndex partition;
     double ready_at = 0, busy_until = -1, idle_since = 0, price = 0, since = 0;
     std::size_t job = 0;
-    bool of_market = false, used = false;
+    bool from_market = false, used = false;
   };
   struct Job {
-    Work work;
+    JobArrival arrival;
     std::uint32_t pending = 0, running = 0, done = 0;
     double done_at = -1;
   };
@@ -102,47 +103,47 @@
     market::Answer answer;
     std::uint64_t term = 0;
   };
-  std::vector<Need> needs_now() const;
+  std::vector<UnmetDemand> unmet_demand() const;
   std::vector<std::size_t> by_urgency() const;
   void write(const Write& w);
-  bool apply(const Transaction& t, Stamp& revision);
-  void tell(const Change& c, Stamp revision);
-  void send(const market::Call& c);
-  market::Answer ask_market(const market::Call& c);
-  void work_on();
-  void rent(const std::vector<Need>& needs, const std::vector<std::uint32_t>& tasks);
+  bool apply(const Transaction& transaction, Revision& revision);
+  void publish(const Change& change, Revision revision);
+  void send(const market::Call& call);
+  market::Answer ask_market(const market::Call& call);
+  void advance_jobs();
+  void scale_out(const std::vector<UnmetDemand>& needs, const std::vector<std::uint32_t>& tasks);
   void check();
   std::vector<CloudOffer> cloud_offers() const;
 
-  Scenario scenario_;
+  MarketScenario scenario_;
   Policy policy_;
   std::mt19937_64 random_;
-  Model known_;  // names that all leaders share; its tables stay empty
+  ClusterState known_state_;  // names that all leaders share; its tables stay empty
   std::vector<MachineType> catalog_;
   std::unique_ptr<Leader> leader_;
-  std::uint64_t terms_ = 0;
+  std::uint64_t last_term_ = 0;
   double next_leader_at_ = 0;
   std::vector<Job> jobs_;
   std::map<std::string, Machine> machines_;
   std::vector<InFlight> in_flight_;
   struct Entry {
     Change change;
-    Stamp stamp = 0;
+    Revision revision = 0;
   };
   std::map<std::string, Entry> store_;
-  Stamp revision_ = 100;
-  std::vector<Transaction> held_writes_;
-  std::vector<market::Call> held_calls_;
-  bool state_down_ = false, holding_writes_ = false, holding_calls_ = false;
-  int lose_answers_ = 0;
-  std::uint64_t cloud_named_ = 0;
+  Revision revision_ = 100;
+  std::vector<Transaction> delayed_writes_;
+  std::vector<market::Call> delayed_calls_;
+  bool state_down_ = false, delaying_writes_ = false, delaying_calls_ = false;
+  int write_responses_to_lose_ = 0;
+  std::uint64_t last_cloud_machine_number_ = 0;
   double cloud_cost_ = 0;
-  std::uint32_t used_ = 0;
+  std::uint32_t machines_used_ = 0;
 };
 
 /// The allocations that the planner is held against.
-market::Plan baseline(Policy policy, const std::vector<Character>& truth, double now,
+market::Plan baseline(Policy policy, const std::vector<MarketBehavior>& truth, double now,
                       const std::vector<market::Demand>& demands, std::vector<market::Offer> offers,
-                      const market::Ledger& ledger, double reference, const market::Settings& s);
+                      const market::Ledger& ledger, double reference, const market::Settings& settings);
 
 }  // namespace oxbowmill::lab
--- a/include/oxbowmill/lab/scale_event.h
+++ b/include/oxbowmill/lab/scale_event.h
@@ -18,7 +18,7 @@
   job_submitted,  // the first try
   job_accepted,   // `value`: milliseconds since the first try
   job_withdrawn,  // its user has begun to call it off
-  job_told,       // any answer about it
+  job_answered,   // any answer about it
   counter,        // `job` names it; `value` since the process began
 };
 
@@ -28,7 +28,7 @@
   std::string job, machine;
   std::uint32_t task = 0;
   double value = 0;
-  Told told = Told::nothing;
+  JobAnswer answer = JobAnswer::no_answer;
 };
 
 std::string to_line(const ScaleEvent& event);
--- a/include/oxbowmill/lab/scale_run.h
+++ b/include/oxbowmill/lab/scale_run.h
@@ -18,8 +18,8 @@
 
 struct ScaleReport {
   nlohmann::json figures;
-  std::vector<std::string> broken;     // rules
-  std::vector<std::string> no_figure;  // why the machine, and not the service, was the limit
+  std::vector<std::string> violations;       // rules
+  std::vector<std::string> missing_figures;  // why the machine, and not the service, was the limit
 };
 
 /// Throws std::runtime_error with one line where a process cannot be started.
--- a/include/oxbowmill/lab/scale_users.h
+++ b/include/oxbowmill/lab/scale_users.h
@@ -14,12 +14,12 @@
              ScaleEventWriter& events, std::function<double()> now);
 
  private:
-  enum class Step : std::uint8_t { submitting, following, withdrawing, over };
+  enum class Step : std::uint8_t { submitting, polling, withdrawing, finished };
   struct User {
     std::string ref;
     Step step = Step::submitting;
-    double first_try = 0, next = 0, withdraws_at = -1;
-    bool asking = false;
+    double first_attempt_at = 0, next_request_at = 0, withdraws_at = -1;
+    bool request_pending = false;
   };
   void tick();
   void arrive(std::size_t class_index, double now);
@@ -31,9 +31,9 @@
   void on_polled(User& user, const net::Response& response);
   void on_withdrawn(User& user, const net::Response& response);
   /// What the answer says of the job; open or a final phase.
-  void tell(const User& user, Told told);
+  void record_answer(const User& user, JobAnswer answer);
   net::HttpClient& any_controller();
-  void tell_counts();
+  void write_counts();
 
   const ScaleSettings& settings_;
   ScaleEventWriter& events_;
@@ -43,7 +43,8 @@
   std::vector<std::unique_ptr<User>> users_;
   std::vector<double> next_arrival_;
   std::vector<std::uint32_t> arrived_;  // by class
-  double expected_tick_ = 0, next_told_ = 0, late_s_ = 0, asked_ = 0, refused_ = 0, bytes_ = 0;
+  double expected_tick_ = 0, next_counts_at_ = 0, max_lateness_s_ = 0, requests_ = 0, refused_ = 0,
+         bytes_ = 0;
   net::Timer timer_;
 };
 
--- a/include/oxbowmill/lab/state.h
+++ b/include/oxbowmill/lab/state.h
@@ -11,13 +11,13 @@
 
 using Json = nlohmann::json;
 
-class State {
+class StateStore {
  public:
   std::size_t txn_ops = 12;
   std::size_t value_bytes = 4096;
   struct Entry {
     Json value;
-    std::uint64_t stamp = 0, hold = 0;
+    std::uint64_t revision = 0, lease_id = 0;
   };
   struct Event {
     std::uint64_t revision = 0;
@@ -30,11 +30,11 @@
   };
 
   Result txn(const Json& body);
-  std::uint64_t open_hold(double life_s, double now);
-  bool renew(std::uint64_t id, double now);
-  void end_hold(std::uint64_t id);
+  std::uint64_t grant_lease(double life_s, double now);
+  bool renew_lease(std::uint64_t id, double now);
+  void revoke_lease(std::uint64_t id);
   /// Ends the holds whose time is over; none ends during an outage.
-  void expire(double now);
+  void expire_leases(double now);
   void set_outage(bool on, double now);
   bool outage() const { return outage_; }
   std::uint64_t revision() const { return revision_; }
@@ -44,14 +44,14 @@
   std::vector<Event> take_events();
 
  private:
-  void change(const std::string& key, std::optional<Json> value, std::uint64_t hold);
-  struct Hold {
-    double life = 0, ends = 0;
+  void change(const std::string& key, std::optional<Json> value, std::uint64_t lease_id);
+  struct Lease {
+    double duration_s = 0, expires_at = 0;
   };
-  std::uint64_t revision_ = 100, next_hold_ = 0;
+  std::uint64_t revision_ = 100, next_lease_id_ = 0;
   std::map<std::string, Entry> keys_;
   std::vector<Event> events_;
-  std::map<std::uint64_t, Hold> holds_;
+  std::map<std::uint64_t, Lease> leases_;
   bool outage_ = false;
 };
 
--- a/include/oxbowmill/lab/state_server.h
+++ b/include/oxbowmill/lab/state_server.h
@@ -25,8 +25,8 @@
   StateServer(event_base* base, const net::Address& bind, const StateLimits& limits,
               std::function<double()> now);
   const net::Address& address() const { return server_.address(); }
-  void set_outage(bool on) { state_.set_outage(on, now_()); }
-  const State& state() const { return state_; }
+  void set_outage(bool on) { store_.set_outage(on, now_()); }
+  const StateStore& store() const { return store_; }
   const Counts& counts() const { return counts_; }
 
  private:
@@ -36,10 +36,10 @@
     std::uint64_t from = 0;
     double until = 0;
   };
-  struct Logged {
+  struct LogEntry {
     std::uint64_t revision = 0;
     std::string key;
-    Json news;
+    Json update;
   };
   void serve(net::Request&& request);
   void serve_transaction(const net::Request& request, const Json& body);
@@ -48,13 +48,13 @@
   void open_watch(const net::Request& request);
   void tick();
   void publish();
-  void answer(const net::ResponderPtr& to, int status, const Json& body);
+  void answer(const net::ResponderPtr& responder, int status, const Json& body);
   bool answer_watch(const Watch& watch, bool over);
   std::function<double()> now_;
-  State state_;
+  StateStore store_;
   Counts counts_;
   TokenBucket requests_, changes_;
-  std::deque<Logged> log_;
+  std::deque<LogEntry> log_;
   std::vector<Watch> watches_;
   net::Timer timer_;
   net::HttpServer server_;
--- a/include/oxbowmill/lab/worker_wire.h
+++ b/include/oxbowmill/lab/worker_wire.h
@@ -12,6 +12,6 @@
 wire::Json write_report(const WorkerReport& report);
 /// None where a field is missing or of another kind.
 std::optional<ReportAnswer> read_answer(const wire::Json& body);
-std::optional<DirectOrders> read_command(const wire::Json& body);
+std::optional<DirectCommands> read_command(const wire::Json& body);
 
 }  // namespace oxbowmill::lab
--- a/include/oxbowmill/market/ledger.h
+++ b/include/oxbowmill/market/ledger.h
@@ -17,36 +17,36 @@
   /// What the durable record says; spending of an earlier window counts no more.
   void load(const LedgerRecord& rec, double wall);
   /// Takes a bid's worst case, from before its record is written until its end is durable.
-  void hold(const std::string& bid, const BidRecord& rec, bool starved = false) {
-    held_[bid] = {rec, starved};
+  void reserve(const std::string& bid_id, const BidRecord& record, bool starved = false) {
+    reservations_[bid_id] = {record, starved};
   }
-  void release(const std::string& bid) { held_.erase(bid); }
-  void clear() { held_.clear(); }
+  void release(const std::string& bid_id) { reservations_.erase(bid_id); }
+  void clear() { reservations_.clear(); }
 
-  struct Use {
-    Money per_hour = 0, in_window = 0;
+  struct Usage {
+    MoneyAmount per_hour = 0, in_window = 0;
   };
-  Use use() const;
-  Use use(PartIndex part) const;
+  Usage usage() const;
+  Usage usage(PartitionIndex partition) const;
   /// Of what is held per hour, how much is for best-effort work that starved.
-  Money for_starved() const;
+  MoneyAmount starved_per_hour() const;
   /// Why these machines may not be committed to; nothing when they may.
-  std::optional<std::string> refusal(const BidRecord& rec) const;
+  std::optional<std::string> rejection_reason(const BidRecord& record) const;
   /// How many machines at this limit the part may still commit to.
-  std::uint32_t room(PartIndex part, Money limit, double term_s) const;
+  std::uint32_t affordable_machines(PartitionIndex partition, MoneyAmount limit, double max_paid_s) const;
   /// The record after a bid has ended at a cost, shared over its parts by their machines.
-  LedgerRecord after(const BidRecord& rec, Money charged, double wall) const;
-  std::int64_t window(double wall) const;
+  LedgerRecord after_settlement(const BidRecord& record, MoneyAmount charged, double wall) const;
+  std::int64_t window_number(double wall) const;
 
  private:
-  const Ceiling* team(PartIndex part) const;
+  const SpendingLimit* team_limit(PartitionIndex partition) const;
   const Settings& settings_;
-  LedgerRecord paid_;
-  struct Held {
-    BidRecord rec;
+  LedgerRecord spent_;
+  struct Reservation {
+    BidRecord record;
     bool starved = false;
   };
-  std::map<std::string, Held> held_;
+  std::map<std::string, Reservation> reservations_;
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/planner.h
+++ b/include/oxbowmill/market/planner.h
@@ -14,35 +14,35 @@
   TypeIndex type;
   ZoneIndex zone;
   bool spot = false;
-  std::uint32_t most = 0;
-  double price = 0;   // expected per machine and hour
-  double quoted = 0;  // as the market says
-  double limit = 0;   // most that would be paid per machine and hour
-  Seconds promised_s = 0;
-  double share = 1;         // expected to come
-  Punctuality punctuality;  // of what comes
-  bool proven = true;       // its share is known well enough to trust it with all
-  std::string quote;        // the market's name of it
-  Seconds quote_ends = 0;
+  std::uint32_t max_machines = 0;
+  double expected_price = 0;  // expected per machine and hour
+  double quoted_price = 0;    // as the market says
+  double price_limit = 0;     // most that would be paid per machine and hour
+  Seconds promised_delivery_s = 0;
+  double delivered_fraction = 1;               // expected to come
+  DeliveryDistribution delivery_distribution;  // of what comes
+  bool proven = true;                          // its share is known well enough to trust it with all
+  std::string quote_id;                        // the market's name of it
+  Seconds quote_expires_at = 0;
 };
 
 /// Needs that are alike to the planner, counted in machines of the reference type.
 struct Demand {
-  Claim claim = Claim::standard;
-  PartIndex part;
+  BidPriority priority = BidPriority::standard;
+  PartitionIndex partition;
   bool spot = false;
   ZoneIndex zone;
   std::vector<std::uint32_t> per_machine;
   std::uint32_t machines = 0;
-  std::uint32_t spare = 0;  // that may be bought beyond them
+  std::uint32_t extra_machines = 0;  // that may be bought beyond them
   Seconds run_s = 0, slack_s = 0;
-  std::vector<std::size_t> needs;  // which of the caller's, in order of urgency
+  std::vector<std::size_t> unmet_demands;  // which of the caller's, in order of urgency
 };
 
 struct Award {
   std::size_t demand = 0, offer = 0;
   std::uint32_t machines = 0;
-  bool spare = false;  // beyond the demand, since not all of it is expected in time
+  bool is_extra = false;  // beyond the demand, since not all of it is expected in time
 };
 
 struct Plan {
@@ -53,29 +53,31 @@
 
 /// The need's place in the order: guarantees, then ranks; best-effort work that starves goes before other
 /// work beyond guarantees.
-Claim claim_of(const Need& n, const Settings& s);
+BidPriority priority_of(const UnmetDemand& unmet_demand, const Settings& settings);
 
-struct Prices {
+struct Pricing {
   /// Expected cost of one machine of the offer for the demand: money, and what being late is worth.
-  static double of(const Demand& d, const Offer& o, double reference, const Settings& s);
+  static double expected_cost(const Demand& demand, const Offer& offer, double reference,
+                              const Settings& settings);
   /// Chance that a machine of it is there in time, or not much later.
-  static double comes(const Demand& d, const Offer& o, const Settings& s);
+  static double on_time_probability(const Demand& demand, const Offer& offer, const Settings& settings);
   /// Cost of leaving one machine's worth of it unserved.
-  static double unserved(const Demand& d, double reference);
+  static double unserved_cost(const Demand& demand, double reference);
   /// The offer's machines that make one of the reference type; 0: not allowed.
-  static double machines_per_unit(const Demand& d, const Offer& o);
+  static double machines_per_unit(const Demand& demand, const Offer& offer);
   /// Most that is bid for it per machine and hour; below the quote: too dear for this demand.
-  static double limit(const Demand& d, const Offer& o, double reference, const Settings& s);
+  static double bid_limit(const Demand& demand, const Offer& offer, double reference,
+                          const Settings& settings);
 };
 
 /// Groups needs that are alike; keeps their order.
-std::vector<Demand> group(const std::vector<Need>& needs, const Settings& s);
+std::vector<Demand> group_demands(const std::vector<UnmetDemand>& needs, const Settings& settings);
 
 /// `reference`: the platform's ordinary price of a machine. Claims are served in their order; within one the
 /// cost is least for the offers and the money that are left. What is expected not to come in time is bought
 /// again elsewhere, within the stated spare, from what then remains: a machine that turns out not to be
 /// needed costs the seconds until it goes back, and a late one the work.
 Plan make_plan(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
-               double reference, const Settings& s);
+               double reference, const Settings& settings);
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/settings.h
+++ b/include/oxbowmill/market/settings.h
@@ -9,45 +9,46 @@
 
 namespace oxbowmill::market {
 
-constexpr Money unit = 1'000'000;  // one of the currency, in Money
+constexpr MoneyAmount currency_unit = 1'000'000;  // one of the currency, in Money
 /// Quotes and limits above this an hour are taken for errors, so that sums cannot overflow.
-constexpr double most_rate = 1e6;
+constexpr double max_rate = 1e6;
 
-Money to_money(double amount);
-inline double to_amount(Money m) {
-  return static_cast<double>(m) / static_cast<double>(unit);
+MoneyAmount to_money_amount(double amount);
+inline double to_currency(MoneyAmount m) {
+  return static_cast<double>(m) / static_cast<double>(currency_unit);
 }
 
 /// Most that may be spent; 0: no limit of its own.
-struct Ceiling {
-  Money per_hour = 0;    // sum of the limits of all machines that may be running
-  Money per_window = 0;  // paid in the window, and the worst case of what is open
+struct SpendingLimit {
+  MoneyAmount per_hour = 0;    // sum of the limits of all machines that may be running
+  MoneyAmount per_window = 0;  // paid in the window, and the worst case of what is open
 };
 
 struct MarketSettings {
   std::string name;
   MarketIndex index;
-  std::string address;   // "IPv4:port"
-  double rps = 4;        // requests a second to it
-  bool paused = false;   // no new bids; open ones are followed and machines go back
-  bool forgive = false;  // trade though it was shut out
+  std::string address;        // "IPv4:port"
+  double requests_per_s = 4;  // requests a second to it
+  bool paused = false;        // no new bids; open ones are followed and machines go back
+  bool reinstate = false;     // trade though it was shut out
 };
 
 struct Settings {
   std::vector<MarketSettings> markets;  // empty: the subsystem is off
-  Ceiling all;                          // required when there are markets
-  std::map<PartIndex, Ceiling> teams;
+  SpendingLimit total_limit;            // required when there are markets
+  std::map<PartitionIndex, SpendingLimit> team_limits;
   double window_s = 86400;
-  double term_s = 1800;      // a machine is paid for at most so long, then it goes back
-  double quote_every_s = 4;  // while something is needed
-  double answer_s = 3;       // a market that has not answered by then gave no answer
-  double patience_s = 60;    // beyond a promised delivery, and for needs without a deadline
-  double spare_share =
+  double max_paid_s = 1800;          // a machine is paid for at most so long, then it goes back
+  double quote_interval_s = 4;       // while something is needed
+  double answer_timeout_s = 3;       // a market that has not answered by then gave no answer
+  double delivery_tolerance_s = 60;  // beyond a promised delivery, and for needs without a deadline
+  double extra_fraction =
       0.5;  // of what is needed may be bought beyond it, for what does not come or is in doubt
-  double trial_share = 0.3;   // of a plan's machines an unproven market gets at most
-  double limit_factor = 1.5;  // limits are at most this times the platform's ordinary price
-  double starve_s = 600;      // best-effort work that waited so long goes before other work beyond guarantees
-  double starve_share = 0.1;  // of the hourly ceiling, for such work
+  double trial_fraction = 0.3;  // of a plan's machines an unproven market gets at most
+  double limit_factor = 1.5;    // limits are at most this times the platform's ordinary price
+  double starvation_threshold_s =
+      600;  // best-effort work that waited so long goes before other work beyond guarantees
+  double starvation_fraction = 0.1;  // of the hourly ceiling, for such work
 
   bool enabled() const { return !markets.empty(); }
 };
--- a/include/oxbowmill/market/trust.h
+++ b/include/oxbowmill/market/trust.h
@@ -11,46 +11,46 @@
 namespace oxbowmill::market {
 
 /// Chance that a delivery is there within a time, tabulated: plans ask for it thousands of times.
-class Punctuality {
+class DeliveryDistribution {
  public:
-  static constexpr std::size_t points = 48;
+  static constexpr std::size_t sample_count = 48;
   static constexpr double shortest_s = 1, longest_s = 7200;
-  double within(Seconds s) const;
+  double probability_within(Seconds s) const;
 
  private:
-  friend class Trust;
-  std::array<double, points> chance_{};
+  friend class Reputation;
+  std::array<double, sample_count> probability_{};
 };
 
-class Trust {
+class Reputation {
  public:
-  Trust() = default;
-  explicit Trust(const Evidence& e) : e_(e) {}
+  Reputation() = default;
+  explicit Reputation(const Evidence& e) : evidence_(e) {}
 
-  void machines(double kept, double broken);
+  void record_machines(double kept, double broken);
   /// A delivery, promised within `promised_s` of the bid, took `actual_s`.
-  void delivery(Seconds promised_s, Seconds actual_s);
-  void price(double quoted, double paid);
+  void record_delivery(Seconds promised_s, Seconds actual_s);
+  void record_price(double quoted, double paid);
 
   /// Expected share of what is bid for that comes.
-  double share() const;
+  double delivered_fraction() const;
   /// The share that it is below with this probability.
-  double share_at(double probability) const;
+  double delivered_fraction_quantile(double probability) const;
   /// Width of the middle 80% of the share's posterior, 0 to 1.
   double uncertainty() const;
   /// By when a delivery is there with this probability.
-  Seconds delay_at(Seconds promised_s, double probability) const;
-  double on_time(Seconds promised_s, Seconds within_s) const;
-  Punctuality punctuality(Seconds promised_s) const;
+  Seconds delay_quantile(Seconds promised_s, double probability) const;
+  double on_time_probability(Seconds promised_s, Seconds within_s) const;
+  DeliveryDistribution delivery_distribution(Seconds promised_s) const;
   /// Expected final price over the quoted one, and the one that it stays below with this probability.
-  double drift() const;
-  double drift_at(double probability) const;
-  const Evidence& evidence() const { return e_; }
+  double price_drift() const;
+  double price_drift_quantile(double probability) const;
+  const Evidence& evidence() const { return evidence_; }
   /// This kind's own evidence on top of what is known of the whole market.
-  Trust within(const Trust& whole) const;
+  Reputation combined_with(const Reputation& whole) const;
 
  private:
-  Evidence e_;
+  Evidence evidence_;
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/venue.h
+++ b/include/oxbowmill/market/venue.h
@@ -13,105 +13,107 @@
 /// Collects what a plan's awards come to.
 struct Purchases {
   /// Machines of one offer for one claim; becomes a bid.
-  struct Draft {
+  struct BidDraft {
     Offer offer;
-    Claim claim = Claim::standard;
+    BidPriority priority = BidPriority::standard;
     double limit = 0;
-    std::map<PartIndex, std::uint32_t> machines;
+    std::map<PartitionIndex, std::uint32_t> machines;
   };
-  std::vector<Draft> drafts;
+  std::vector<BidDraft> drafts;
   std::vector<std::uint32_t> cloud_tasks;  // by need
 };
 
-class Venue {
+class OfferSource {
  public:
-  virtual ~Venue() = default;
+  virtual ~OfferSource() = default;
   virtual void offers(Seconds now, std::vector<Offer>& out) const = 0;
-  virtual void buy(const Award& a, const Offer& o, const Demand& d, const std::vector<Need>& needs,
-                   double reference, Purchases& out) const = 0;
+  virtual void buy(const Award& award, const Offer& offer, const Demand& demand,
+                   const std::vector<UnmetDemand>& needs, double reference, Purchases& out) const = 0;
 };
 
 /// The platform's cloud: its price is posted, it says at once what it gives, and renting stays the fleet's.
-class CloudVenue : public Venue {
+class CloudOfferSource : public OfferSource {
  public:
   /// What it offers now.
-  void post(const std::vector<CloudOffer>& offers) { offers_ = offers; }
+  void set_offers(const std::vector<CloudOffer>& offers) { offers_ = offers; }
   void offers(Seconds now, std::vector<Offer>& out) const override;
-  void buy(const Award& a, const Offer& o, const Demand& d, const std::vector<Need>& needs, double reference,
-           Purchases& out) const override;
+  void buy(const Award& award, const Offer& offer, const Demand& demand,
+           const std::vector<UnmetDemand>& needs, double reference, Purchases& out) const override;
 
  private:
   std::vector<CloudOffer> offers_;
-  mutable std::map<Seconds, Punctuality> tables_;  // by what is promised
+  mutable std::map<Seconds, DeliveryDistribution> distribution_cache_;  // by what is promised
 };
 
-enum class VenueState : std::uint8_t {
-  fresh,      // not heard yet
-  trading,    // answers
-  throttled,  // asked to be left alone for a while
-  silent,     // does not answer; nothing new until it does
-  probing,    // one question is out to see whether it answers again
-  shut,       // broke what it promised in money: no new bids until an operator reopens it
+enum class MarketState : std::uint8_t {
+  untried,       // not heard yet
+  trading,       // answers
+  throttled,     // asked to be left alone for a while
+  unresponsive,  // does not answer; nothing new until it does
+  probing,       // one question is out to see whether it answers again
+  suspended,     // broke what it promised in money: no new bids until an operator reopens it
 };
-const char* name_of(VenueState s);
-bool may_follow(VenueState from, VenueState to);
+const char* name_of(MarketState s);
+bool may_follow(MarketState from, MarketState to);
 
-class MarketVenue : public Venue {
+class MarketClient : public OfferSource {
  public:
-  MarketVenue(const MarketSettings& m, const Settings& s) : market_(m), settings_(s) {}
+  MarketClient(const MarketSettings& m, const Settings& settings)
+      : market_settings_(m), settings_(settings) {}
 
   void offers(Seconds now, std::vector<Offer>& out) const override;
-  void buy(const Award& a, const Offer& o, const Demand& d, const std::vector<Need>& needs, double reference,
-           Purchases& out) const override;
+  void buy(const Award& award, const Offer& offer, const Demand& demand,
+           const std::vector<UnmetDemand>& needs, double reference, Purchases& out) const override;
 
   /// The only place where a market's state changes.
-  bool set_state(VenueState to, const std::string& why);
-  VenueState state() const { return state_; }
+  bool set_state(MarketState to, const std::string& why);
+  MarketState state() const { return state_; }
   /// New bids may be sent.
-  bool open_for_business() const { return state_ == VenueState::trading && !market_.paused; }
+  bool accepts_bids() const { return state_ == MarketState::trading && !market_settings_.paused; }
   /// A question or a bid may be sent now, as far as its pauses and its rate go; takes one of its turns.
-  bool turn(Seconds now);
+  bool try_acquire_request(Seconds now);
   /// What an answer says of the market itself; its content is read elsewhere.
-  void heard(const Answer& a, Seconds now);
-  void quoted(const Answer& a, Seconds asked_at, const Names& names);
-  void read_durable(const MarketRecord& r);
-  MarketRecord durable() const;
-  void shut(const std::string& why);
+  void on_answer(const Answer& answer, Seconds now);
+  void on_quotes(const Answer& answer, Seconds asked_at, const Names& names);
+  void load_record(const MarketRecord& record);
+  MarketRecord to_record() const;
+  void suspend(const std::string& why);
 
   // What it did.
-  void judge_machines(const Kind& k, double kept, double broken);
-  void judge_delivery(const Kind& k, Seconds promised_s, Seconds actual_s);
-  void judge_price(const Kind& k, double quoted, double paid);
-  Trust trust(const Kind& k) const;
-  const Trust& whole() const { return whole_; }
+  void record_machines(const MachineKind& kind, double kept, double broken);
+  void record_delivery(const MachineKind& kind, Seconds promised_s, Seconds actual_s);
+  void record_price(const MachineKind& kind, double quoted, double paid);
+  Reputation reputation(const MachineKind& kind) const;
+  const Reputation& overall_reputation() const { return overall_reputation_; }
   /// Machines of a kind that are overdue and not yet given up: held against it while they are out.
-  std::map<Kind, double> overdue;
+  std::map<MachineKind, double> overdue_machines;
 
   bool quotes_wanted(Seconds now, bool needed) const;
-  void asked_for_quotes(Seconds now) { asked_quotes_ = now; }
+  void on_quotes_requested(Seconds now) { quotes_requested_at_ = now; }
   /// Of the quotes some can still be used.
   bool has_quotes(Seconds now) const;
-  const MarketSettings& market() const { return market_; }
-  bool changed = false;  // trust or state, since it was last written
-  std::uint64_t charges_read = 0;
-  Seconds next_charges = 0;
+  const MarketSettings& market_settings() const { return market_settings_; }
+  bool has_unsaved_changes = false;  // trust or state, since it was last written
+  std::uint64_t last_charge_read = 0;
+  Seconds next_charges_at = 0;
 
  private:
-  const MarketSettings& market_;
+  const MarketSettings& market_settings_;
   const Settings& settings_;
-  VenueState state_ = VenueState::fresh;
-  std::string why_shut_;
-  Trust whole_;
-  std::map<Kind, Trust> kinds_;
+  MarketState state_ = MarketState::untried;
+  std::string suspension_reason_;
+  Reputation overall_reputation_;
+  std::map<MachineKind, Reputation> reputation_by_kind_;
   struct Quote {
-    QuoteNews news;
-    Seconds ends = 0;
+    QuoteUpdate update;
+    Seconds expires_at = 0;
   };
   std::vector<Quote> quotes_;
-  std::uint64_t learnt_ = 1;  // rises with each delivery that was judged
-  mutable std::map<std::pair<Kind, int>, std::pair<std::uint64_t, Punctuality>> tables_;
-  Seconds paused_until_ = 0, asked_quotes_ = -1e9, refilled_ = 0;
-  double turns_ = 1;
+  std::uint64_t evidence_version_ = 1;  // rises with each delivery that was judged
+  mutable std::map<std::pair<MachineKind, int>, std::pair<std::uint64_t, DeliveryDistribution>>
+      distribution_cache_;
+  Seconds paused_until_ = 0, quotes_requested_at_ = -1e9, refilled_at_ = 0;
+  double request_tokens_ = 1;
   int failures_ = 0;
 };
 
--- a/include/oxbowmill/models/keeper.h
+++ b/include/oxbowmill/models/keeper.h
@@ -12,65 +12,66 @@
 // States of a model's decision. An epoch is one round from `warming` to `cold`.
 inline const std::string cold = "cold";        // no replica
 inline const std::string warming = "warming";  // the first replica is on its way, and no other
-inline const std::string serving = "serving";  // one was reported running; calls may be placed
+inline const std::string ready = "serving";    // one was reported running; calls may be placed
 inline const std::string cooling = "cooling";  // idle: replicas are being stopped
 
-const accord::Kind& decision_kind();
+const accord::DecisionKind& decision_kind();
 
 /// max(median of the cold starts seen x factor, floor), in the spirit of the detector's baseline.
-double idle_after(const std::vector<double>& cold_starts, const Terms& terms);
+double idle_timeout(const std::vector<double>& cold_starts, const ModelSpec& terms);
 /// Replicas for so many calls.
-std::uint32_t replicas_for(std::uint32_t calls, const Terms& terms);
+std::uint32_t replicas_for(std::uint32_t calls, const ModelSpec& terms);
 
-class Keeper : public Counsel {
+class ModelAutoscaler : public PlacementConstraints {
  public:
-  Keeper(Model& model, accord::Desk& desk, const Scheduler& scheduler, Settings settings);
+  ModelAutoscaler(ClusterState& model, accord::DecisionLog& decision_log, const Scheduler& scheduler,
+                  Settings settings);
 
   /// Under full authority. The owner of the part of a model's standing job decides.
-  void pass(Clock clock, Effects& out);
+  void run_cycle(Clock clock, Effects& out);
 
   // core's Counsel
-  void advise(JobIndex ji, Advice& advice) const override;
-  std::vector<TaskId> unwanted(PartIndex part) const override;
+  void constrain(JobIndex job_index, PlacementLimits& limits) const override;
+  std::vector<TaskId> tasks_to_preempt(PartitionIndex partition) const override;
   /// Why calls of the model wait, for logs and tests.
-  const std::string& why(const std::string& model) const;
+  const std::string& pending_reason(const std::string& model) const;
 
  private:
-  struct Kept {
-    Terms terms;
+  struct ModelState {
+    ModelSpec spec;
     ClassIndex job_class;
     ImageIndex image;
-    std::vector<ClassIndex> calls;
-    JobIndex standing;           // the oldest open one that it names; none: nobody serves
-    Seconds busy_at = -1;        // last time that a call counted
-    Seconds cooling_since = -1;  // as this node made it durable
-    bool stopping = false;       // stops were sent in this cooling: it cannot be taken back
-    Seconds fewer_since = -1;    // fewer replicas would do
-    Stamp claim = 0;             // under which the times above were taken
-    std::string why;
+    std::vector<ClassIndex> call_classes;
+    JobIndex service_job;             // the oldest open one that it names; none: nobody serves
+    Seconds last_busy_at = -1;        // last time that a call counted
+    Seconds cooling_since = -1;       // as this node made it durable
+    bool stops_sent = false;          // stops were sent in this cooling: it cannot be taken back
+    Seconds surplus_since = -1;       // fewer replicas would do
+    Revision ownership_revision = 0;  // under which the times above were taken
+    std::string reason;
   };
   /// How often a call was tried without any of its tasks getting done.
-  struct Tries {
-    std::uint32_t done = 0, tries = 0;
-    Attempt last = 0;
+  struct CallAttempts {
+    std::uint32_t tasks_done = 0, attempts = 0;
+    Attempt last_attempt = 0;
     Seconds since = 0;
   };
-  void find_standing(Kept& k) const;
-  std::uint32_t count_calls(const Kept& k, Clock clock);
-  bool in_vain(JobIndex ji, const Job& j, Seconds now);
-  void tend(Kept& k, Clock clock, Effects& out);
-  bool is_standing(const Kept& k, const JobSpec& spec) const;
-  bool is_call(const Kept& k, const JobSpec& spec) const;
-  bool put(Kept& k, AgreedRecord next, const std::string& state, std::uint32_t replicas, Clock clock,
-           Effects& out, const std::string& why);
-  void say(Kept& k, const std::string& why);
+  void find_service_job(ModelState& model_state) const;
+  std::uint32_t count_calls(const ModelState& model_state, Clock clock);
+  bool fails_repeatedly(JobIndex job_index, const Job& job, Seconds now);
+  void reconcile(ModelState& model_state, Clock clock, Effects& out);
+  bool is_service_job(const ModelState& model_state, const JobSpec& spec) const;
+  bool is_call_job(const ModelState& model_state, const JobSpec& spec) const;
+  bool write_decision(ModelState& model_state, DecisionRecord next, const std::string& state,
+                      std::uint32_t replicas, Clock clock, Effects& out, const std::string& why);
+  void set_reason(ModelState& model_state, const std::string& why);
 
-  Model& model_;
-  accord::Desk& desk_;
+  ClusterState& state_;
+  accord::DecisionLog& decision_log_;
   const Scheduler& scheduler_;
-  std::vector<Kept> kept_;
-  std::map<JobIndex, Tries> tries_;
-  Seconds next_ = 0;
+  std::vector<ModelState> models_;
+  std::map<JobIndex, CallAttempts> call_attempts_;
+  Seconds next_cycle_at_ = 0;
 };
 
 }  // namespace oxbowmill::models
--- a/include/oxbowmill/net/http.h
+++ b/include/oxbowmill/net/http.h
@@ -30,18 +30,18 @@
 using EvhttpPtr = std::unique_ptr<evhttp, EvhttpFree>;
 using ConnectionPtr = std::unique_ptr<evhttp_connection, ConnectionFree>;
 
-EventBasePtr make_base();
+EventBasePtr make_event_base();
 
 /// Calls back after a time, once or again and again.
 class Timer {
  public:
   Timer(event_base* base, std::function<void()> fn);
-  void after(double seconds);
+  void schedule(double seconds);
   void cancel();
   bool pending() const;
 
  private:
-  std::function<void()> fn_;
+  std::function<void()> on_expiry_;
   EventPtr event_;
 };
 
@@ -51,16 +51,16 @@
 };
 std::string to_string(const Address& a);
 /// Throws std::invalid_argument unless it is "host:port".
-Address parse_address(const std::string& s);
+Address parse_address(const std::string& text);
 /// The same for an address to listen on, where port 0 leaves the choice to the system.
-Address parse_bind_address(const std::string& s);
+Address parse_bind_address(const std::string& text);
 
 class HttpServer;
 
 /// One request that may be answered later; the answer is dropped when its connection has gone.
 class Responder {
  public:
-  Responder(HttpServer& server, evhttp_request* req) : server_(server), req_(req) {}
+  Responder(HttpServer& server, evhttp_request* raw_request) : server_(server), raw_request_(raw_request) {}
   Responder(const Responder&) = delete;
   Responder& operator=(const Responder&) = delete;
   ~Responder();
@@ -69,7 +69,7 @@
  private:
   friend class HttpServer;
   HttpServer& server_;
-  evhttp_request* req_;
+  evhttp_request* raw_request_;
 };
 using ResponderPtr = std::shared_ptr<Responder>;
 
@@ -96,12 +96,12 @@
 
  private:
   friend class Responder;
-  static void on_request(evhttp_request* req, void* self);
+  static void on_request(evhttp_request* raw_request, void* self);
   static void on_close(evhttp_connection* conn, void* self);
   Handler handler_;
   int keep_alive_below_ = 1 << 30;
   Address address_;
-  std::unordered_map<evhttp_connection*, Responder*> open_;
+  std::unordered_map<evhttp_connection*, Responder*> pending_responders_;
   EvhttpPtr http_;
 };
 
@@ -111,7 +111,7 @@
   std::string body;
   double retry_after_s = 0;  // 0: not said
 };
-using ResponseFn = std::function<void(const Response&)>;
+using ResponseHandler = std::function<void(const Response&)>;
 
 /// A few kept-alive connections to one address; requests beyond them wait in order.
 class HttpClient {
@@ -122,26 +122,26 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
   void send(evhttp_cmd_type method, const std::string& path, std::string body, double timeout_s,
-            ResponseFn fn);
-  std::size_t waiting() const { return queue_.size(); }
+            ResponseHandler on_response);
+  std::size_t queued() const { return queue_.size(); }
   /// All connections are busy: a further request would wait.
-  bool full() const;
+  bool all_busy() const;
 
  private:
-  struct Job;
-  struct Slot;
-  void pump();
-  static void on_done(evhttp_request* req, void* arg);
+  struct QueuedRequest;
+  struct Connection;
+  void dispatch();
+  static void on_done(evhttp_request* raw_request, void* arg);
   event_base* base_;
   Address address_;
-  std::size_t most_body_;
-  std::vector<std::unique_ptr<Slot>> slots_;
-  std::deque<std::unique_ptr<Job>> queue_;
-  Timer pump_timer_;
+  std::size_t max_body_;
+  std::vector<std::unique_ptr<Connection>> connections_;
+  std::deque<std::unique_ptr<QueuedRequest>> queue_;
+  Timer dispatch_timer_;
 };
 
 /// A single request on a connection of its own.
-void send_once(event_base* base, const Address& to, evhttp_cmd_type method, const std::string& path,
-               const std::string& body, double timeout_s, ResponseFn fn);
+void send_once(event_base* base, const Address& destination, evhttp_cmd_type method, const std::string& path,
+               const std::string& body, double timeout_s, ResponseHandler on_response);
 
 }  // namespace oxbowmill::net
--- a/include/oxbowmill/release/planner.h
+++ b/include/oxbowmill/release/planner.h
@@ -16,78 +16,79 @@
 inline const std::string decided = "decided";      // all have: the publishing jobs of this revision may run
 inline const std::string published = "published";  // they have run
 inline const std::string broken = "broken";        // a job it needs was cancelled: it waits for another
-inline const std::string lifted = "lifted";        // the operators took the release out: its jobs are free
+inline const std::string withdrawn = "lifted";     // the operators took the release out: its jobs are free
 
-const accord::Kind& decision_kind();
+const accord::DecisionKind& decision_kind();
 /// What operators want, as the newest file among the controllers has it: "stands" or "removed".
-const accord::Kind& terms_kind();
+const accord::DecisionKind& spec_kind();
 
-class Planner : public Counsel {
+class ReleaseCoordinator : public PlacementConstraints {
  public:
   /// `skew_s`: bound of the clock's error; nothing publishes before its time by any clock within it.
-  Planner(Model& model, accord::Desk& desk, const Scheduler& scheduler, double skew_s);
+  ReleaseCoordinator(ClusterState& model, accord::DecisionLog& decision_log, const Scheduler& scheduler,
+                     double skew_s);
 
   /// The operators' file; a lower version than before is an error of theirs and is not taken.
-  bool load(Calendar calendar);
+  bool load(ReleaseCalendar calendar);
   /// Under full authority. Writes newer terms down, and, as the leader, decides.
-  void pass(Clock clock, Effects& out);
+  void run_cycle(Clock clock, Effects& out);
   /// To be asked of the state service: the final phase of a job that is not in the tables.
-  std::function<void(const std::string& ref)> ask;
+  std::function<void(const std::string& ref)> query_final_phase;
   /// Its answer; none: there is no such job (yet).
-  void on_final(const std::string& ref, std::optional<JobPhase> phase, Seconds now);
+  void on_final_phase(const std::string& ref, std::optional<JobPhase> phase, Seconds now);
   /// No answer came.
-  void on_no_answer(const std::string& ref) { asked_.erase(ref); }
+  void on_query_failed(const std::string& ref) { phase_queries_.erase(ref); }
 
   // core's Counsel
-  void advise(JobIndex ji, Advice& advice) const override;
+  void constrain(JobIndex job_index, PlacementLimits& limits) const override;
   /// Why a release has not been decided, for logs and tests.
-  const std::string& waits_for(const std::string& release) const;
+  const std::string& pending_reason(const std::string& release) const;
 
  private:
   /// One release as the shared state has it, read once per change of it.
-  struct Plan {
-    Stamp terms_stamp = 0, stamp = 0;
-    std::optional<Terms> wanted;  // by the operators; none: taken out, or not readable
-    std::optional<Terms> terms;   // of the round under way
-    bool readable = true;         // what is wanted
+  struct ReleaseState {
+    Revision spec_revision = 0, decision_revision = 0;
+    std::optional<ReleaseSpec> desired_spec;  // by the operators; none: taken out, or not readable
+    std::optional<ReleaseSpec> active_spec;   // of the round under way
+    bool is_readable = true;                  // what is wanted
     std::string state;
-    std::map<std::string, std::set<std::string>> bound;  // by edition and matcher: jobs that were seen
-    std::set<std::string> held;  // publishing jobs of revisions that were given up: they stay held
-    std::string why;
+    std::map<std::string, std::set<std::string>> bound_jobs;  // by edition and matcher: jobs that were seen
+    std::set<std::string> withheld_jobs;  // publishing jobs of revisions that were given up: they stay held
+    std::string pending_reason;
   };
   void read_records();
-  void write_terms(Clock clock, Effects& out);
-  void tend(const std::string& name, Plan& plan, Clock clock, double earliest, Effects& out);
+  void write_specs(Clock clock, Effects& out);
+  void reconcile(const std::string& name, ReleaseState& plan, Clock clock, double earliest, Effects& out);
   /// Jobs named by class and image are written down before they run: what has finished and is not live any
   /// more could not be found again.
-  bool bind(const std::string& name, const Plan& plan, Clock clock, Effects& out);
+  bool bind_jobs(const std::string& name, const ReleaseState& plan, Clock clock, Effects& out);
   /// All that these terms need is done; else what is missing, and whether it was cancelled.
-  struct Missing {
-    std::string what;
+  struct MissingRequirement {
+    std::string description;
     bool cancelled = false;
   };
-  std::optional<Missing> missing(const Plan& plan, bool publishing);
-  std::vector<std::string> jobs_of(const Plan& plan, std::size_t edition, std::size_t matcher) const;
-  std::optional<JobPhase> phase_of(const std::string& ref);
-  bool matches(const Matcher& m, const JobSpec& spec) const;
-  bool publishes(const Terms& t, const JobSpec& spec) const;
-  AgreedRecord next_of(const std::string& name) const;
-  bool put(const std::string& name, AgreedRecord next, Clock clock, Effects& out, bool urgent);
-  void say(Plan& plan, const std::string& name, const std::string& why);
+  std::optional<MissingRequirement> find_missing_requirement(const ReleaseState& plan, bool publishing);
+  std::vector<std::string> jobs_of(const ReleaseState& plan, std::size_t edition, std::size_t matcher) const;
+  std::optional<JobPhase> final_phase_of(const std::string& ref);
+  bool matches(const JobMatcher& matcher, const JobSpec& spec) const;
+  bool is_publishing_job(const ReleaseSpec& release_spec, const JobSpec& spec) const;
+  DecisionRecord next_record(const std::string& name) const;
+  bool write_decision(const std::string& name, DecisionRecord next, Clock clock, Effects& out, bool urgent);
+  void set_reason(ReleaseState& plan, const std::string& name, const std::string& why);
 
-  Model& model_;
-  accord::Desk& desk_;
+  ClusterState& state_;
+  accord::DecisionLog& decision_log_;
   const Scheduler& scheduler_;
-  Calendar calendar_;
-  accord::CarefulClock careful_;
-  std::map<std::string, Plan> plans_;
-  std::map<std::string, JobPhase> finals_;  // final phases never change
-  struct Question {
-    Seconds at = 0;
-    bool out = false;
+  ReleaseCalendar calendar_;
+  accord::LowerBoundClock lower_bound_clock_;
+  std::map<std::string, ReleaseState> releases_;
+  std::map<std::string, JobPhase> final_phases_;  // final phases never change
+  struct PhaseQuery {
+    Seconds sent_at = 0;
+    bool in_flight = false;
   };
-  std::map<std::string, Question> asked_;
-  Seconds now_ = 0, next_ = 0;
+  std::map<std::string, PhaseQuery> phase_queries_;
+  Seconds now_ = 0, next_cycle_at_ = 0;
 };
 
 }  // namespace oxbowmill::release
--- a/include/oxbowmill/release/terms.h
+++ b/include/oxbowmill/release/terms.h
@@ -12,7 +12,7 @@
 namespace oxbowmill::release {
 
 /// Names jobs: one by its id, or so many by class and image where ids are not known ahead.
-struct Matcher {
+struct JobMatcher {
   std::string ref;
   std::string job_class, image;
   std::uint32_t count = 1;
@@ -20,27 +20,27 @@
 
 struct Edition {
   std::string name;
-  std::vector<Matcher> renders;
-  Matcher publish;
+  std::vector<JobMatcher> render_jobs;
+  JobMatcher publish_job;
 };
 
-struct Terms {
+struct ReleaseSpec {
   std::string name;
   std::string revision;  // of the source
   std::vector<Edition> editions;
-  std::optional<Appointed> when;  // nothing publishes before; none: as soon as all is rendered
+  std::optional<ScheduledTime> publish_time;  // nothing publishes before; none: as soon as all is rendered
 };
 
-struct Calendar {
+struct ReleaseCalendar {
   std::uint64_t version = 0;  // controllers whose files differ agree on the newer one
-  std::vector<Terms> releases;
+  std::vector<ReleaseSpec> releases;
   bool empty() const { return version == 0; }
 };
 
 /// As it stands in a record. Throws nothing: text that cannot be read gives none.
-std::string to_text(const Terms& terms);
-std::optional<Terms> from_text(const std::string& text);
+std::string to_text(const ReleaseSpec& terms);
+std::optional<ReleaseSpec> from_text(const std::string& text);
 /// What is wrong with the terms, or empty.
-std::string fault_of(const Terms& terms);
+std::string validation_error(const ReleaseSpec& terms);
 
 }  // namespace oxbowmill::release
--- a/include/oxbowmill/service/admission.h
+++ b/include/oxbowmill/service/admission.h
@@ -15,20 +15,20 @@
   std::optional<wire::Rejection> rejection;
   /// The body alone says so, at any node and time. Another rejection rests on what this node knows now (the
   /// catalog, the time of day in the record), so that a repeat of a job accepted before may come to it.
-  bool for_good = false;
+  bool is_permanent = false;
 };
 
 /// When users first tried to submit what nobody could take yet: their wait, and their deadline, count from
 /// there. (Counted from its acceptance, after an outage of a minute, a job looked a minute younger than it
 /// was.) Seconds.
-class FirstTries {
+class FirstAttempts {
  public:
   /// A try, well-formed or not, at that time of day; when the first one came here.
-  double tried(const wire::Json& body, double wall);
+  double record_attempt(const wire::Json& body, double wall);
 
  private:
-  void forget(double wall);
-  std::unordered_map<std::string, double> first_;
+  void expire(double wall);
+  std::unordered_map<std::string, double> first_attempt_times_;
   std::deque<std::string> order_;
 };
 
@@ -40,6 +40,6 @@
 wire::Json submission_txn(const std::string& ref, const wire::Json& record);
 /// `record`, with its stamp: as the job's own key was read. One guarded write of the phase decides between
 /// done and cancelled.
-wire::Json withdrawal_txn(const std::string& ref, const wire::Json& record, Stamp stamp);
+wire::Json withdrawal_txn(const std::string& ref, const wire::Json& record, Revision revision);
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/agreements.h
+++ b/include/oxbowmill/service/agreements.h
@@ -9,23 +9,23 @@
 
 namespace oxbowmill::service {
 
-class Agreements {
+class DecisionService {
  public:
   /// Registers itself as the model's counsel. `now`: seconds, steady.
-  Agreements(Model& model, Scheduler& scheduler, state::Store& store, const config::Config& config,
-             const std::function<double()>& now);
-  ~Agreements();
+  DecisionService(ClusterState& model, Scheduler& scheduler, state::Store& store,
+                  const config::Config& config, const std::function<double()>& now);
+  ~DecisionService();
   /// Before the scheduler's pass, so that decisions made here are known to it; under full authority.
-  void pass(Clock clock, Effects& out);
+  void run_cycle(Clock clock, Effects& out);
   /// A newer calendar file.
-  void load(release::Calendar calendar);
+  void load(release::ReleaseCalendar calendar);
 
  private:
-  Model& model_;
-  accord::Desk desk_;
-  accord::Council council_;
-  release::Planner planner_;
-  models::Keeper keeper_;
+  ClusterState& state_;
+  accord::DecisionLog decision_log_;
+  accord::CombinedConstraints constraints_;
+  release::ReleaseCoordinator planner_;
+  models::ModelAutoscaler model_autoscaler_;
 };
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/outbox.h
+++ b/include/oxbowmill/service/outbox.h
@@ -7,21 +7,21 @@
 
 namespace oxbowmill::service {
 
-class Outbox {
+class WriteQueue {
  public:
-  struct Sent {
+  struct SentTransaction {
     wire::Json body;
     std::vector<std::pair<std::string, Change>> changes;
   };
   /// A repeated transaction is the very same one: what it names may have changed in the tables since, or be
   /// gone.
-  Sent& keep(const Write& w, Model& model);
-  Sent* find(std::uint64_t id);
+  SentTransaction& get_or_create(const Write& write, ClusterState& model);
+  SentTransaction* find(std::uint64_t id);
   /// It will not be repeated.
-  void drop(std::uint64_t id) { sent_.erase(id); }
+  void drop(std::uint64_t id) { transactions_.erase(id); }
 
  private:
-  std::unordered_map<std::uint64_t, Sent> sent_;
+  std::unordered_map<std::uint64_t, SentTransaction> transactions_;
 };
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/trading.h
+++ b/include/oxbowmill/service/trading.h
@@ -9,30 +9,30 @@
 
 namespace oxbowmill::service {
 
-class Trading {
+class MarketService {
  public:
   /// `now` and `wall` in seconds. Registers itself as the fleet's source of machines.
-  Trading(event_base* base, Model& model, Scheduler& scheduler, Fleet& fleet, market::Settings settings,
-          std::function<double()> now, std::function<double()> wall);
-  void pass(Effects& out);
+  MarketService(event_base* base, ClusterState& model, Scheduler& scheduler, Autoscaler& fleet,
+                market::Settings settings, std::function<double()> now, std::function<double()> wall);
+  void run_cycle(Effects& out);
 
  private:
-  struct Open {
+  struct PendingCall {
     market::Call call;
-    double until = 0;
+    double deadline = 0;
   };
   void send(const market::Call& call);
   /// Once for each call: by the market, or by the clock.
-  void answered(std::uint64_t call, const net::Response& r);
-  void give_up();
-  Clock clock() const { return {now_(), wall_()}; }
+  void on_response(std::uint64_t call, const net::Response& http_response);
+  void time_out_calls();
+  Clock clock() const { return {clock_(), wall_clock_()}; }
 
-  Model& model_;
+  ClusterState& state_;
   market::Settings settings_;
-  market::Desk desk_;
-  std::function<double()> now_, wall_;
+  market::BiddingService bidding_service_;
+  std::function<double()> clock_, wall_clock_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;  // by market
-  std::map<std::uint64_t, Open> open_;
+  std::map<std::uint64_t, PendingCall> pending_calls_;
 };
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/view.h
+++ b/include/oxbowmill/service/view.h
@@ -10,27 +10,27 @@
 
 enum class SyncState : std::uint8_t { empty, listing, live };
 
-class View {
+class ReplicaFreshness {
  public:
   /// The keys are read anew, from the first page on.
-  void list();
+  void on_listing_started();
   /// A page has been applied; `asked`: when it was asked for, in seconds.
-  void page(Stamp revision, Seconds asked);
+  void on_page(Revision revision, Seconds asked);
   /// The last page has been.
-  void listed() { set_state(SyncState::live); }
+  void on_listing_finished() { set_state(SyncState::live); }
   /// The answer to a watch that was opened then has been.
-  void watched(Stamp revision, Seconds asked);
+  void on_watch_response(Revision revision, Seconds asked);
 
-  bool live() const { return state_ == SyncState::live; }
+  bool is_live() const { return state_ == SyncState::live; }
   /// The tables hold everything up to this revision,
-  Stamp revision() const { return revision_; }
+  Revision revision() const { return revision_; }
   /// and so everything that the state service held at this time.
   Seconds as_of() const { return as_of_; }
 
  private:
   void set_state(SyncState s) { state_ = s; }
   SyncState state_ = SyncState::empty;
-  Stamp revision_ = 0;
+  Revision revision_ = 0;
   Seconds as_of_ = -1e9;
   bool first_page_ = false;
 };
--- a/include/oxbowmill/state/keys.h
+++ b/include/oxbowmill/state/keys.h
@@ -21,16 +21,16 @@
 
 constexpr const char* live_prefix = "o/";
 constexpr const char* catalog_key = "o/k";
-constexpr const char* pool_name = ".pool";
+constexpr const char* idle_pool_name = ".pool";
 
 std::string job_key(const std::string& ref);
 std::string final_key(const std::string& ref);
 
 /// Key and value as the state service has them.
-std::string encode_key(const Key& key, Model& model);
-wire::Json encode_value(const Change& change, Model& model);
+std::string encode_key(const Key& key, ClusterState& model);
+wire::Json encode_value(const Change& change, ClusterState& model);
 /// A change of the live keys; nothing for keys or values this version does not know.
-std::optional<Change> decode(const std::string& key, const wire::Json* value, Model& model);
+std::optional<Change> decode(const std::string& key, const wire::Json* value, ClusterState& model);
 /// The phase in a job's record.
 std::optional<JobPhase> read_phase(const wire::Json& value);
 wire::Json with_phase(wire::Json value, JobPhase phase);
--- a/include/oxbowmill/wire/market_codec.h
+++ b/include/oxbowmill/wire/market_codec.h
@@ -10,15 +10,15 @@
 namespace oxbowmill::wire {
 
 struct MarketRequest {
-  bool post = false;
+  bool is_post = false;
   std::string path;
   Json body;  // null: none
 };
-MarketRequest write_market_call(const market::Call& c, const Names& names);
+MarketRequest write_market_call(const market::Call& call, const Names& names);
 
-constexpr std::size_t most_market_body = std::size_t{256} * 1024;
+constexpr std::size_t max_market_body_size = std::size_t{256} * 1024;
 /// Reads a response; status 0: there was none.
-market::Answer read_market_answer(const market::Call& c, int status, const std::string& body,
+market::Answer read_market_answer(const market::Call& call, int status, const std::string& body,
                                   double retry_after_s, const Names& names);
 
 }  // namespace oxbowmill::wire
--- a/include/oxbowmill/yaml/map.h
+++ b/include/oxbowmill/yaml/map.h
@@ -22,17 +22,19 @@
 class Map {
  public:
   /// `at`: where in the file it stands; empty: the whole file.
-  Map(std::string file, std::string at, const YAML::Node& n);
+  Map(std::string file, std::string machine_name, const YAML::Node& yaml_node);
   [[noreturn]] void fail(const std::string& key, const std::string& why) const;
-  Map sub(const std::string& key, const YAML::Node& n) const { return {file_, path(key), n}; }
+  Map child(const std::string& key, const YAML::Node& yaml_node) const {
+    return {file_, path(key), yaml_node};
+  }
   std::optional<YAML::Node> take(const std::string& key);
   /// Reads a key, if it is there, in the way that yaml-cpp reads this type.
   template <class T>
   Map& get(const std::string& key, T& out, const char* wrong = "not of the right kind") {
-    auto n = take(key);
-    if (!n) return *this;
+    auto yaml_node = take(key);
+    if (!yaml_node) return *this;
     try {
-      out = n->as<T>();
+      out = yaml_node->as<T>();
     } catch (const YAML::Exception&) {
       fail(key, wrong);
     }
@@ -43,12 +45,12 @@
   void flag(const std::string& key, bool& out) { get(key, out, "not true or false"); }
   std::string text(const std::string& key);
   std::vector<std::string> keys() const;
-  void done() const;
+  void reject_unknown_keys() const;
 
  private:
-  std::string path(const std::string& key) const { return at_.empty() ? key : at_ + "." + key; }
-  std::string file_, at_;
-  std::map<std::string, YAML::Node> left_;
+  std::string path(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
+  std::string file_, path_;
+  std::map<std::string, YAML::Node> unread_;
 };
 
 }  // namespace oxbowmill::yaml
--- a/src/client/attempts.cpp
+++ b/src/client/attempts.cpp
@@ -10,69 +10,69 @@
   return names[static_cast<int>(s)];
 }
 
-Verdict verdict_of(int status) {
+RequestOutcome outcome_of(int status) {
   switch (status) {
     case 200:
     case 201:
-      return Verdict::ok;
+      return RequestOutcome::ok;
     case 400:
-      return Verdict::malformed;
+      return RequestOutcome::malformed;
     case 404:
-      return Verdict::unknown;
+      return RequestOutcome::unknown;
     case 422:
-      return Verdict::impossible;
+      return RequestOutcome::impossible;
     default:
-      return Verdict::again;
+      return RequestOutcome::retry;
   }
 }
 
-Attempts::Attempts(std::size_t nodes, Patience patience, std::uint64_t seed, double now)
-    : patience_(patience),
-      nodes_(std::max<std::size_t>(nodes, 1)),
+RequestRetrier::RequestRetrier(std::size_t nodes, RetryPolicy patience, std::uint64_t seed, double now)
+    : policy_(patience),
+      controller_count_(std::max<std::size_t>(nodes, 1)),
       random_(seed),
-      node_(random_() % nodes_),
-      ends_at_(now + patience.total_s) {
+      controller_(random_() % controller_count_),
+      deadline_(now + patience.total_timeout_s) {
   // Clients that start together spread over the nodes.
 }
 
-void Attempts::set_state(AttemptState s) {
+void RequestRetrier::set_state(AttemptState s) {
   bool over = state_ == AttemptState::answered || state_ == AttemptState::gave_up;
   if (!over) state_ = s;
 }
 
-double Attempts::answer_within(double now) const {
-  return std::max(0.1, std::min(patience_.answer_s, ends_at_ - now));
+double RequestRetrier::response_timeout(double now) const {
+  return std::max(0.1, std::min(policy_.response_timeout_s, deadline_ - now));
 }
 
-void Attempts::on_sent(double) {
+void RequestRetrier::on_sent(double) {
   if (state_ != AttemptState::ready) return;
-  ++sent_;
+  ++attempts_;
   set_state(AttemptState::sent);
 }
 
-void Attempts::on_answer(int status, double retry_after_s, double now) {
+void RequestRetrier::on_response(int status, double retry_after_s, double now) {
   if (state_ != AttemptState::sent) return;
-  if (verdict_of(status) != Verdict::again) return set_state(AttemptState::answered);
-  node_ = (node_ + 1) % nodes_;
-  if (status == 0 && ++silent_ < nodes_ && now < ends_at_) {
+  if (outcome_of(status) != RequestOutcome::retry) return set_state(AttemptState::answered);
+  controller_ = (controller_ + 1) % controller_count_;
+  if (status == 0 && ++unresponsive_in_a_row_ < controller_count_ && now < deadline_) {
     // A node that is gone says nothing of the others: they are asked at once, each once.
     return set_state(AttemptState::ready);
   }
-  if (status != 0 || silent_ >= nodes_) silent_ = 0;
+  if (status != 0 || unresponsive_in_a_row_ >= controller_count_) unresponsive_in_a_row_ = 0;
   // Doubling, with jitter so that clients that were refused together do not come back together; never before
   // the node's own word, which is taken up to the longest pause.
   double most =
-      std::min(patience_.most_pause_s, patience_.first_pause_s * std::exp2(std::min(pauses_++, 10)));
-  double pause = std::uniform_real_distribution<>(std::min(patience_.first_pause_s, most),
-                                                  std::max(most, patience_.first_pause_s))(random_);
-  pause = std::max(pause, std::min(retry_after_s, patience_.most_pause_s));
-  next_at_ = now + pause;
-  set_state(next_at_ < ends_at_ ? AttemptState::backing_off : AttemptState::gave_up);
+      std::min(policy_.max_backoff_s, policy_.initial_backoff_s * std::exp2(std::min(backoffs_++, 10)));
+  double pause = std::uniform_real_distribution<>(std::min(policy_.initial_backoff_s, most),
+                                                  std::max(most, policy_.initial_backoff_s))(random_);
+  pause = std::max(pause, std::min(retry_after_s, policy_.max_backoff_s));
+  next_attempt_at_ = now + pause;
+  set_state(next_attempt_at_ < deadline_ ? AttemptState::backing_off : AttemptState::gave_up);
 }
 
-void Attempts::tick(double now) {
-  if (now >= ends_at_) return set_state(AttemptState::gave_up);
-  if (state_ == AttemptState::backing_off && now >= next_at_) set_state(AttemptState::ready);
+void RequestRetrier::tick(double now) {
+  if (now >= deadline_) return set_state(AttemptState::gave_up);
+  if (state_ == AttemptState::backing_off && now >= next_attempt_at_) set_state(AttemptState::ready);
 }
 
 }  // namespace oxbowmill::client
--- a/src/core/claims.cpp
+++ b/src/core/claims.cpp
@@ -7,45 +7,48 @@
 
 namespace oxbowmill {
 
-void Hold::opened(std::uint64_t id, Seconds sent_at) {
-  id_ = id;
-  renewed_ = sent_at;
-  set_state(HoldState::held);
+void ControllerLease::on_granted(std::uint64_t id, Seconds sent_at) {
+  lease_id_ = id;
+  renewal_sent_at_ = sent_at;
+  set_state(LeaseState::active);
 }
 
-Authority Hold::authority(Seconds now) const {
-  if (state_ != HoldState::held) return Authority::none;
-  Seconds age = (now - std::min(renewed_, watched_)) * (1 + 2 * Settings::drift);
-  if (age < life_) return Authority::full;
-  return age < life_ + grace_ ? Authority::grace : Authority::none;
+Authority ControllerLease::authority(Seconds now) const {
+  if (state_ != LeaseState::active) return Authority::none;
+  Seconds age = (now - std::min(renewal_sent_at_, watch_sent_at_)) * (1 + 2 * Settings::clock_drift);
+  if (age < duration_s_) return Authority::full;
+  return age < duration_s_ + read_only_period_s_ ? Authority::read_only : Authority::none;
 }
 
 namespace {
-std::size_t parts_held(const Model& model, const std::string& node) {
+std::size_t partitions_owned(const ClusterState& model, const std::string& node) {
   std::size_t n = 0;
-  for (std::uint32_t p = 0; p < model.parts(); ++p) {
-    const Claim& c = model.claim(PartIndex{p});
-    n += c.stamp != 0 && c.rec.node == node ? 1 : 0;
+  for (std::uint32_t p = 0; p < model.partition_count(); ++p) {
+    const Ownership& c = model.ownership(PartitionIndex{p});
+    n += c.revision != 0 && c.record.controller == node ? 1 : 0;
   }
   return n;
 }
 }  // namespace
 
-bool needs_registration(const Model& model, const Hold& hold, const std::string& me) {
-  auto it = model.nodes().find(me);
-  return hold.id() != 0 && (it == model.nodes().end() || it->second.rec.hold != hold.id());
+bool needs_registration(const ClusterState& model, const ControllerLease& lease,
+                        const std::string& own_name) {
+  auto it = model.controllers().find(own_name);
+  return lease.lease_id() != 0 &&
+         (it == model.controllers().end() || it->second.record.lease_id != lease.lease_id());
 }
 
-std::size_t claim_turn(const Model& model, PartIndex part, const std::string& me,
-                       const std::vector<std::string>& all) {
+std::size_t acquisition_turn(const ClusterState& model, PartitionIndex partition, const std::string& own_name,
+                             const std::vector<std::string>& all) {
   std::vector<std::tuple<std::size_t, std::size_t, std::string>> order;
   for (std::size_t i = 0; i < all.size(); ++i) {
     // Among equals each part prefers another node, so that they spread at the start.
-    std::size_t rotated = (i + all.size() - part.v % all.size()) % all.size();
-    order.emplace_back(parts_held(model, all[i]), rotated, all[i]);
+    std::size_t rotated = (i + all.size() - partition.value % all.size()) % all.size();
+    order.emplace_back(partitions_owned(model, all[i]), rotated, all[i]);
   }
   std::sort(order.begin(), order.end());
-  auto mine = std::find_if(order.begin(), order.end(), [&me](const auto& e) { return std::get<2>(e) == me; });
+  auto mine = std::find_if(order.begin(), order.end(),
+                           [&own_name](const auto& e) { return std::get<2>(e) == own_name; });
   return static_cast<std::size_t>(mine - order.begin());
 }
 
--- a/src/core/free_capacity.cpp
+++ b/src/core/free_capacity.cpp
@@ -5,31 +5,38 @@
 
 namespace oxbowmill {
 
-bool operator==(const MachineCapacity& a, const MachineCapacity& b) {
-  auto same = [](const Amounts& x, const Amounts& y) {
+bool operator==(const MachineCapacity& left, const MachineCapacity& right) {
+  auto same = [](const Resources& x, const Resources& y) {
     return x.cpus == y.cpus && x.gpus == y.gpus && x.memory_gb == y.memory_gb;
   };
-  return same(a.node.room, b.node.room) && same(a.leaving, b.leaving) && a.node.type == b.node.type &&
-         a.node.zone == b.node.zone && a.node.spot == b.node.spot && a.node.lasting == b.node.lasting &&
-         a.booting == b.booting && a.up_at == b.up_at && a.fetching == b.fetching &&
-         a.preemptible == b.preemptible && a.lowest_rank == b.lowest_rank && a.images == b.images;
+  return same(left.candidate.free_capacity, right.candidate.free_capacity) &&
+         same(left.releasing, right.releasing) && left.candidate.type == right.candidate.type &&
+         left.candidate.zone == right.candidate.zone && left.candidate.spot == right.candidate.spot &&
+         left.candidate.long_running == right.candidate.long_running && left.booting == right.booting &&
+         left.expected_up_at == right.expected_up_at && left.fetching_images == right.fetching_images &&
+         left.preemptible == right.preemptible && left.lowest_priority == right.lowest_priority &&
+         left.images == right.images;
 }
 
 Seconds Selection::last_start_s() const {
   Seconds last = 0;
-  for (const Choice& c : choices) last = std::max(last, nodes[c.node].start_s);
+  for (const TaskAssignment& c : assignments) last = std::max(last, machines[c.candidate].start_s);
   return last;
 }
 
 FreeCapacity::GroupKey FreeCapacity::group_of(const Entry& entry) const {
-  const CandidateNode& node = entry.capacity.node;
-  bool fetching = entry.capacity.fetching || entry.added_fetch_s > 0;
-  return {node.type, node.zone, node.spot, node.lasting, is_whole(node, model_->catalog[node.type.v]),
+  const CandidateMachine& node = entry.capacity.candidate;
+  bool fetching = entry.capacity.fetching_images || entry.added_fetch_s > 0;
+  return {node.type,
+          node.zone,
+          node.spot,
+          node.long_running,
+          is_whole_machine_free(node, state_->catalog[node.type.value]),
           fetching};
 }
 
-FreeCapacity::RoomKey FreeCapacity::room_of(const Entry& entry, MachineIndex machine) {
-  return {entry.capacity.node.room.gpus, entry.capacity.node.room.cpus, machine};
+FreeCapacity::CapacityKey FreeCapacity::capacity_key_of(const Entry& entry, MachineIndex machine) {
+  return {entry.capacity.candidate.free_capacity.gpus, entry.capacity.candidate.free_capacity.cpus, machine};
 }
 
 void FreeCapacity::insert(MachineIndex machine, const Entry& entry) {
@@ -39,11 +46,11 @@
     return;
   }
   Group& group = groups_[group_of(entry)];
-  RoomKey room = room_of(entry, machine);
+  CapacityKey room = capacity_key_of(entry, machine);
   group.all.insert(room);
-  for (ImageIndex image : capacity.images) group.by_image[image.v].insert(room);
-  const Amounts& leaving = capacity.leaving;
-  if (leaving.cpus != 0 || leaving.gpus != 0 || leaving.memory_gb != 0) with_leaving_.insert(machine);
+  for (ImageIndex image : capacity.images) group.by_image[image.value].insert(room);
+  const Resources& leaving = capacity.releasing;
+  if (leaving.cpus != 0 || leaving.gpus != 0 || leaving.memory_gb != 0) with_releasing_.insert(machine);
   if (capacity.preemptible) preemptible_.insert(machine);
 }
 
@@ -53,23 +60,23 @@
     return;
   }
   auto group = groups_.find(group_of(entry));
-  RoomKey room = room_of(entry, machine);
+  CapacityKey room = capacity_key_of(entry, machine);
   group->second.all.erase(room);
   for (ImageIndex image : entry.capacity.images) {
-    auto with_image = group->second.by_image.find(image.v);
+    auto with_image = group->second.by_image.find(image.value);
     with_image->second.erase(room);
     if (with_image->second.empty()) group->second.by_image.erase(with_image);
   }
   if (group->second.all.empty()) groups_.erase(group);
-  with_leaving_.erase(machine);
+  with_releasing_.erase(machine);
   preemptible_.erase(machine);
 }
 
 bool FreeCapacity::update(MachineIndex machine, std::optional<MachineCapacity> capacity) {
-  auto it = machines_.find(machine.v);
+  auto it = machines_.find(machine.value);
   if (it == machines_.end()) {
     if (!capacity) return false;
-    insert(machine, machines_[machine.v] = Entry{std::move(*capacity), 0});
+    insert(machine, machines_[machine.value] = Entry{std::move(*capacity), 0});
     return true;
   }
   Entry& entry = it->second;
@@ -85,31 +92,31 @@
 }
 
 const MachineCapacity* FreeCapacity::find(MachineIndex machine) const {
-  auto it = machines_.find(machine.v);
+  auto it = machines_.find(machine.value);
   return it == machines_.end() ? nullptr : &it->second.capacity;
 }
 
 void FreeCapacity::clear() {
   machines_.clear();
   groups_.clear();
-  for (auto* set : {&with_leaving_, &booting_, &preemptible_, &provisional_}) set->clear();
+  for (auto* set : {&with_releasing_, &booting_, &preemptible_, &provisional_}) set->clear();
 }
 
 template <class Change>
 void FreeCapacity::change(MachineIndex machine, Change change) {
-  Entry& entry = machines_.at(machine.v);
+  Entry& entry = machines_.at(machine.value);
   erase(machine, entry);
   change(entry);
   insert(machine, entry);
   provisional_.insert(machine);
 }
 
-void FreeCapacity::take(MachineIndex machine, const Amounts& need) {
-  change(machine, [&need](Entry& entry) { entry.capacity.node.room -= need; });
+void FreeCapacity::take(MachineIndex machine, const Resources& need) {
+  change(machine, [&need](Entry& entry) { entry.capacity.candidate.free_capacity -= need; });
 }
 
-void FreeCapacity::take_leaving(MachineIndex machine, const Amounts& need) {
-  change(machine, [&need](Entry& entry) { entry.capacity.leaving -= need; });
+void FreeCapacity::take_releasing(MachineIndex machine, const Resources& need) {
+  change(machine, [&need](Entry& entry) { entry.capacity.releasing -= need; });
 }
 
 void FreeCapacity::add_fetch(MachineIndex machine, Seconds seconds) {
@@ -117,7 +124,7 @@
 }
 
 void FreeCapacity::host_service(MachineIndex machine) {
-  change(machine, [](Entry& entry) { entry.capacity.node.lasting = true; });
+  change(machine, [](Entry& entry) { entry.capacity.candidate.long_running = true; });
 }
 
 std::vector<MachineIndex> FreeCapacity::take_provisional() {
@@ -128,10 +135,10 @@
 
 bool FreeCapacity::is_offered(const SelectionQuery& query, const GroupKey& key) const {
   const JobSpec& spec = *query.spec;
-  if (!allowed_on(spec, key.type, key.zone, key.spot)) return false;
-  if (key.zone.v < query.unreachable.size() && query.unreachable[key.zone.v]) return false;
-  bool spared =
-      query.spare_whole && !key.spot && key.whole && fills_cheaply(spec, model_->catalog[key.type.v]);
+  if (!is_allowed_on(spec, key.type, key.zone, key.spot)) return false;
+  if (key.zone.value < query.unreachable.size() && query.unreachable[key.zone.value]) return false;
+  bool spared = query.avoid_whole_machines && !key.spot && key.whole &&
+                packs_with_others(spec, state_->catalog[key.type.value]);
   return !spared;
 }
 
@@ -139,22 +146,23 @@
 /// the same, so the least room decides.
 class FreeCapacity::Stream {
  public:
-  Stream(const FreeCapacity& index, const JobSpec& spec, const RoomOrder& order, CandidateNode like,
+  Stream(const FreeCapacity& index, const JobSpec& spec, const CapacityOrder& order, CandidateMachine like,
          bool without_image)
-      : index_(&index), spec_(&spec), order_(&order), like_(like), without_image_(without_image) {
-    at_ = order.lower_bound({spec.need.gpus - amount_slack, spec.need.cpus - amount_slack, MachineIndex{0}});
+      : index_(&index), spec_(&spec), order_(&order), prototype_(like), without_image_(without_image) {
+    position_ = order.lower_bound({spec.task_resources.gpus - resource_tolerance,
+                                   spec.task_resources.cpus - resource_tolerance, MachineIndex{0}});
     skip_unfit();
   }
-  bool done() const { return at_ == order_->end(); }
+  bool done() const { return position_ == order_->end(); }
   /// The machine as the job sees it.
-  CandidateNode head() const {
-    CandidateNode node = index_->machines_.at(at_->machine.v).capacity.node;
-    node.start_s = like_.start_s;
-    node.spoils_s = like_.spoils_s;
+  CandidateMachine head() const {
+    CandidateMachine node = index_->machines_.at(position_->machine.value).capacity.candidate;
+    node.start_s = prototype_.start_s;
+    node.opportunity_cost_s = prototype_.opportunity_cost_s;
     return node;
   }
   void next() {
-    ++at_;
+    ++position_;
     skip_unfit();
   }
 
@@ -162,31 +170,32 @@
   void skip_unfit() {
     while (!done()) {
       // Machines with these GPUs and too few CPUs are passed over as one.
-      if (at_->cpus < spec_->need.cpus - amount_slack) {
-        at_ = order_->lower_bound({at_->gpus, spec_->need.cpus - amount_slack, MachineIndex{0}});
+      if (position_->cpus < spec_->task_resources.cpus - resource_tolerance) {
+        position_ = order_->lower_bound(
+            {position_->gpus, spec_->task_resources.cpus - resource_tolerance, MachineIndex{0}});
         continue;
       }
       ++index_->visits_;
-      const MachineCapacity& capacity = index_->machines_.at(at_->machine.v).capacity;
+      const MachineCapacity& capacity = index_->machines_.at(position_->machine.value).capacity;
       bool imaged = without_image_ && std::find(capacity.images.begin(), capacity.images.end(),
                                                 spec_->image) != capacity.images.end();
-      if (!imaged && fits(spec_->need, capacity.node.room)) return;
-      ++at_;
+      if (!imaged && fits(spec_->task_resources, capacity.candidate.free_capacity)) return;
+      ++position_;
     }
   }
   const FreeCapacity* index_;
   const JobSpec* spec_;
-  const RoomOrder* order_;
-  CandidateNode like_;
+  const CapacityOrder* order_;
+  CandidateMachine prototype_;
   bool without_image_;
-  RoomOrder::const_iterator at_;
+  CapacityOrder::const_iterator position_;
 };
 
 /// All that is offered to a job, best first.
 class FreeCapacity::Merge {
  public:
   Merge(const FreeCapacity& index, const SelectionQuery& query, ZoneIndex only,
-        const std::vector<CandidateNode>& forecast)
+        const std::vector<CandidateMachine>& forecast)
       : index_(&index), query_(&query) {
     for (const auto& [key, group] : index.groups_) {
       if ((only.valid() && key.zone != only) || !index.is_offered(query, key)) continue;
@@ -195,51 +204,51 @@
     add_forecast(forecast, only);
   }
   bool done() const { return heads_.empty(); }
-  CandidateNode pop() {
+  CandidateMachine pop() {
     Head head = heads_.top();
     heads_.pop();
     if (head.stream < streams_.size()) {
       streams_[head.stream].next();
       push_head(head.stream);
     }
-    return head.node;
+    return head.candidate;
   }
 
  private:
   static constexpr std::size_t no_stream = std::numeric_limits<std::size_t>::max();
   struct Head {
-    CandidateNode node;
+    CandidateMachine candidate;
     std::size_t stream = no_stream;
     bool forecast = false;
   };
-  struct Later {
+  struct LessPreferred {
     bool operator()(const Head& a, const Head& b) const { return is_better(b, a); }
   };
   /// The order of preference: soonest start with what it spoils, then what it costs, spot, least room.
-  static bool is_better(const Head& x, const Head& y) {
+  static bool is_better(const Head& left, const Head& right) {
     auto key = [](const Head& h) {
-      const CandidateNode& n = h.node;
-      return std::make_tuple(n.start_s + n.spoils_s, n.cost, !n.spot, n.room.gpus, n.room.cpus, h.forecast,
-                             n.machine);
+      const CandidateMachine& n = h.candidate;
+      return std::make_tuple(n.start_s + n.opportunity_cost_s, n.acquisition_cost, !n.spot,
+                             n.free_capacity.gpus, n.free_capacity.cpus, h.forecast, n.machine);
     };
-    return key(x) < key(y);
+    return key(left) < key(right);
   }
   void add_group(const GroupKey& key, const Group& group) {
     const JobSpec& spec = *query_->spec;
-    const MachineType& type = index_->model_->catalog[key.type.v];
-    CandidateNode like;
+    const MachineType& type = index_->state_->catalog[key.type.value];
+    CandidateMachine like;
     like.type = key.type;
     like.zone = key.zone;
     like.spot = key.spot;
-    like.lasting = key.lasting;
-    like.room = key.whole ? type.room : Amounts{};
-    like.spoils_s = spoils(spec, type, like);
-    auto with_image = group.by_image.find(spec.image.v);
+    like.long_running = key.long_running;
+    like.free_capacity = key.whole ? type.capacity : Resources{};
+    like.opportunity_cost_s = opportunity_cost(spec, type, like);
+    auto with_image = group.by_image.find(spec.image.value);
     bool imaged = with_image != group.by_image.end();
     if (imaged) add_stream({*index_, spec, with_image->second, like, false});
     like.start_s = fetch_time(spec, type);
     Stream rest(*index_, spec, group.all, like, imaged);
-    if (query_->pressed && key.fetching) {
+    if (query_->has_start_deadline && key.fetching) {
       add_fetching(rest);
     } else {
       add_stream(rest);
@@ -248,17 +257,18 @@
   /// The fetches under way differ from machine to machine, so these are ordered one by one.
   void add_fetching(Stream stream) {
     for (; !stream.done(); stream.next()) {
-      CandidateNode node = stream.head();
+      CandidateMachine node = stream.head();
       node.start_s +=
-          query_->fetch_backlog_s(node.machine) + index_->machines_.at(node.machine.v).added_fetch_s;
+          query_->fetch_backlog_s(node.machine) + index_->machines_.at(node.machine.value).added_fetch_s;
       heads_.push({node, no_stream, false});
     }
   }
-  void add_forecast(const std::vector<CandidateNode>& forecast, ZoneIndex only) {
+  void add_forecast(const std::vector<CandidateMachine>& forecast, ZoneIndex only) {
     const JobSpec& spec = *query_->spec;
-    for (const CandidateNode& node : forecast) {
-      if ((only.valid() && node.zone != only) || !allowed_on(spec, node.type, node.zone, node.spot)) continue;
-      if (fits(spec.need, node.room)) heads_.push({node, no_stream, true});
+    for (const CandidateMachine& node : forecast) {
+      if ((only.valid() && node.zone != only) || !is_allowed_on(spec, node.type, node.zone, node.spot))
+        continue;
+      if (fits(spec.task_resources, node.free_capacity)) heads_.push({node, no_stream, true});
     }
   }
   void add_stream(const Stream& stream) {
@@ -271,40 +281,40 @@
   const FreeCapacity* index_;
   const SelectionQuery* query_;
   std::vector<Stream> streams_;
-  std::priority_queue<Head, std::vector<Head>, Later> heads_;
+  std::priority_queue<Head, std::vector<Head>, LessPreferred> heads_;
 };
 
-Selection FreeCapacity::fill(const SelectionQuery& query, const std::vector<TaskNo>& tasks,
+Selection FreeCapacity::fill(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
                              const std::vector<std::uint32_t>& by_zone, ZoneIndex only,
-                             const std::vector<CandidateNode>& forecast) const {
+                             const std::vector<CandidateMachine>& forecast) const {
   const JobSpec& spec = *query.spec;
   Selection out;
   auto placed = by_zone;
-  std::uint32_t zone_most = spec.scatter ? (spec.tasks + 1) / 2 : spec.tasks;
+  std::uint32_t zone_most = spec.spread_zones ? (spec.tasks + 1) / 2 : spec.tasks;
   std::size_t next = 0;
   for (Merge merge(*this, query, only, forecast); next < tasks.size() && !merge.done();) {
-    CandidateNode node = merge.pop();
-    std::uint32_t& in_zone = placed[node.zone.v];
+    CandidateMachine node = merge.pop();
+    std::uint32_t& in_zone = placed[node.zone.value];
     std::size_t before = next;
-    while (next < tasks.size() && fits(spec.need, node.room) && in_zone < zone_most) {
-      out.choices.push_back({tasks[next++], out.nodes.size()});
-      node.room -= spec.need;
+    while (next < tasks.size() && fits(spec.task_resources, node.free_capacity) && in_zone < zone_most) {
+      out.assignments.push_back({tasks[next++], out.machines.size()});
+      node.free_capacity -= spec.task_resources;
       ++in_zone;
     }
-    if (next > before) out.nodes.push_back(node);
+    if (next > before) out.machines.push_back(node);
   }
   return out;
 }
 
-Selection FreeCapacity::select(const SelectionQuery& query, const std::vector<TaskNo>& tasks,
+Selection FreeCapacity::select(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
                                const std::vector<std::uint32_t>& by_zone,
-                               const std::vector<CandidateNode>& forecast) const {
+                               const std::vector<CandidateMachine>& forecast) const {
   const JobSpec& spec = *query.spec;
-  bool gang = spec.shape == Shape::gang;
+  bool gang = spec.shape == JobShape::gang;
   if (tasks.empty()) return {};
-  if (!spec.one_zone) {
+  if (!spec.single_zone) {
     Selection all = fill(query, tasks, by_zone, spec.zone, forecast);
-    return gang && all.choices.size() < tasks.size() ? Selection{} : all;
+    return gang && all.assignments.size() < tasks.size() ? Selection{} : all;
   }
   // One zone for all: where some tasks are already, else the zone that takes most and where they start
   // soonest.
@@ -316,23 +326,24 @@
   }
   Selection best;
   for (std::uint32_t z = 0; z < by_zone.size(); ++z) {
-    if (fixed.valid() && fixed.v != z) continue;
+    if (fixed.valid() && fixed.value != z) continue;
     Selection tried = fill(query, tasks, by_zone, ZoneIndex{z}, forecast);
-    bool more = tried.choices.size() > best.choices.size();
-    bool sooner = tried.choices.size() == best.choices.size() && tried.last_start_s() < best.last_start_s();
+    bool more = tried.assignments.size() > best.assignments.size();
+    bool sooner =
+        tried.assignments.size() == best.assignments.size() && tried.last_start_s() < best.last_start_s();
     if (more || sooner) best = std::move(tried);
   }
-  return gang && best.choices.size() < tasks.size() ? Selection{} : best;
+  return gang && best.assignments.size() < tasks.size() ? Selection{} : best;
 }
 
-std::size_t FreeCapacity::count_cheap_places(const SelectionQuery& query, std::size_t most) const {
+std::size_t FreeCapacity::count_packed_places(const SelectionQuery& query, std::size_t most) const {
   const JobSpec& spec = *query.spec;
   std::size_t count = 0;
   for (const auto& [key, group] : groups_) {
-    if (!is_offered(query, key) || !fills_cheaply(spec, model_->catalog[key.type.v])) continue;
-    CandidateNode like;
+    if (!is_offered(query, key) || !packs_with_others(spec, state_->catalog[key.type.value])) continue;
+    CandidateMachine like;
     for (Stream stream(*this, spec, group.all, like, false); !stream.done() && count <= most; stream.next())
-      count += static_cast<std::size_t>(how_many_fit(spec.need, stream.head().room));
+      count += static_cast<std::size_t>(how_many_fit(spec.task_resources, stream.head().free_capacity));
   }
   return count;
 }
