--- a/src/core/model.cpp
+++ b/src/core/model.cpp
@@ -9,42 +9,43 @@
 namespace oxbowmill {
 
 namespace {
-constexpr double late_reading_s = 3;  // beyond what clocks of different nodes differ by
-constexpr double longest_wait_s = 3600;
+constexpr double clock_skew_tolerance_s = 3;  // beyond what clocks of different nodes differ by
+constexpr double max_assumed_wait_s = 3600;
 }  // namespace
 
-double Settings::grace_s() const {
+double Settings::read_only_period_s() const {
   // hold life + grace + lease + margins stays under cancel_s: by then what a cut-off owner kept alive is
   // gone.
-  double left = cancel_s - op.hold_life_s - lease_over_s() - 2 * margin_s;
+  double left =
+      cancel_deadline_s - operator_settings.controller_lease_s - lease_expiry_s() - 2 * safety_margin_s;
   return std::clamp(left, 0.0, 12.0);
 }
 
-const char* name_of(PlacementState s) {
+const char* name_of(PlacementState new_state) {
   static constexpr const char* names[] = {"placed", "sent", "seen", "stopping", "finished", "gone"};
-  return names[static_cast<int>(s)];
+  return names[static_cast<int>(new_state)];
 }
 
-const char* name_of(MachineState s) {
+const char* name_of(MachineState new_state) {
   static constexpr const char* names[] = {"unknown", "expected", "unaccounted",
                                           "ready",   "silent",   "deleting"};
-  return names[static_cast<int>(s)];
+  return names[static_cast<int>(new_state)];
 }
 
-Model::Model(Settings s, Names n) : settings(std::move(s)), names(std::move(n)) {
-  live_.resize(names.parts.size());
-  part_machines_.resize(names.parts.size());
-  wanted_.resize(names.parts.size());
-  claims_.resize(names.parts.size());
-  team_use_.resize(names.parts.size());
+ClusterState::ClusterState(Settings s, Names n) : settings(std::move(s)), names(std::move(n)) {
+  live_jobs_.resize(names.partitions.size());
+  partition_machines_.resize(names.partitions.size());
+  requested_machines_.resize(names.partitions.size());
+  ownerships_.resize(names.partitions.size());
+  team_usage_.resize(names.partitions.size());
 }
 
-JobIndex Model::find_job(const std::string& ref) const {
+JobIndex ClusterState::find_job(const std::string& ref) const {
   auto it = job_names_.find(ref);
   return it == job_names_.end() ? JobIndex{} : it->second;
 }
 
-JobIndex Model::intern_job(const std::string& ref) {
+JobIndex ClusterState::intern_job(const std::string& ref) {
   auto [it, added] = job_names_.try_emplace(ref, JobIndex{next_job_});
   if (added) {
     jobs_[next_job_].spec.ref = ref;
@@ -53,512 +54,553 @@
   return it->second;
 }
 
-MachineIndex Model::intern_machine(const std::string& name) {
+MachineIndex ClusterState::intern_machine(const std::string& name) {
   MachineIndex m = names.machines.intern(name);
-  if (m.v >= machines_.size()) machines_.resize(m.v + 1);
+  if (m.value >= machines_.size()) machines_.resize(m.value + 1);
   return m;
 }
 
-MachineIndex Model::find_recorded(const std::string& name) const {
+MachineIndex ClusterState::find_recorded(const std::string& name) const {
   MachineIndex m = names.machines.find(name);
-  return m.valid() && m.v < machines_.size() && machines_[m.v].stamp != 0 ? m : MachineIndex{};
+  return m.valid() && m.value < machines_.size() && machines_[m.value].revision != 0 ? m : MachineIndex{};
 }
 
-TypeIndex Model::intern_type(const std::string& name) {
+TypeIndex ClusterState::intern_type(const std::string& name) {
   TypeIndex t = names.types.intern(name);
-  if (catalog_known() && t.v >= catalog.size()) catalog.resize(t.v + 1);
+  if (catalog_known() && t.value >= catalog.size()) catalog.resize(t.value + 1);
   return t;
 }
 
-Amounts Model::room(const Machine& m) const {
-  if (!m.rec.type.valid() || m.rec.type.v >= catalog.size()) return {};
-  return catalog[m.rec.type.v].room - m.used - m.reserved;
+Resources ClusterState::free_capacity(const Machine& machine) const {
+  if (!machine.record.type.valid() || machine.record.type.value >= catalog.size()) return {};
+  return catalog[machine.record.type.value].capacity - machine.used - machine.reserved;
 }
 
-void Model::reserve(MachineIndex i, const JobSpec& spec, int sign) {
-  Machine& m = edit_machine(i);
-  m.reserved += sign * spec.need;
-  m.reservations += static_cast<std::uint32_t>(sign);
-  team_use_[spec.part.v] += sign * spec.need;
-  if (m.reservations == 0) m.reserved = {};
+void ClusterState::reserve(MachineIndex i, const JobSpec& spec, int sign) {
+  Machine& current_machine = edit_machine(i);
+  current_machine.reserved += sign * spec.task_resources;
+  current_machine.reservations += static_cast<std::uint32_t>(sign);
+  team_usage_[spec.partition.value] += sign * spec.task_resources;
+  if (current_machine.reservations == 0) current_machine.reserved = {};
 }
 
-double Model::share_of_machine(const JobSpec& spec) const {
+double ClusterState::machine_fraction(const JobSpec& spec) const {
   int most = 1;
   for (std::uint32_t t = 0; t < catalog.size(); ++t) {
-    if (spec.allows(TypeIndex{t})) most = std::max(most, how_many_fit(spec.need, catalog[t].room));
+    if (spec.allows(TypeIndex{t}))
+      most = std::max(most, how_many_fit(spec.task_resources, catalog[t].capacity));
   }
   return 1.0 / most;
 }
 
-Stamp Model::least_token(const Machine& m) const {
-  return std::max(claims_[m.rec.part.v].stamp, m.stamp);
+Revision ClusterState::lowest_fencing_token(const Machine& machine) const {
+  return std::max(ownerships_[machine.record.partition.value].revision, machine.revision);
 }
 
-Stamp Model::token(const Machine& m) const {
-  return std::max(least_token(m), m.placed_at);
+Revision ClusterState::fencing_token(const Machine& machine) const {
+  return std::max(lowest_fencing_token(machine), machine.last_placement_revision);
 }
 
-Seconds Model::all_anew_since() const {
+Seconds ClusterState::all_reacquired_since() const {
   Seconds last = -1;
-  for (const std::string& name : settings.all_nodes) {
-    auto it = nodes_.find(name);
-    if (it == nodes_.end()) return -1;
+  for (const std::string& name : settings.all_controllers) {
+    auto it = controllers_.find(name);
+    if (it == controllers_.end()) return -1;
     last = std::max(last, it->second.since);
   }
   return last;
 }
 
-const Placement* Model::find_placement(TaskId id) const {
-  auto j = jobs_.find(id.job.v);
+const Placement* ClusterState::find_placement(TaskId id) const {
+  auto j = jobs_.find(id.job.value);
   if (j == jobs_.end()) return nullptr;
-  auto it = j->second.placed.find(id.task);
-  return it == j->second.placed.end() ? nullptr : &it->second;
+  auto it = j->second.placements.find(id.task);
+  return it == j->second.placements.end() ? nullptr : &it->second;
 }
 
-Placement* Model::edit_placement(TaskId id) {
+Placement* ClusterState::edit_placement(TaskId id) {
   const Placement* placement = find_placement(id);
   if (placement == nullptr) return nullptr;
-  note_change(placement->machine);
-  return &jobs_.at(id.job.v).placed.at(id.task);
+  mark_changed(placement->machine);
+  return &jobs_.at(id.job.value).placements.at(id.task);
 }
 
-std::vector<MachineIndex> Model::take_changed() {
+std::vector<MachineIndex> ClusterState::take_changed_machines() {
   std::vector<MachineIndex> changed;
-  changed.swap(changed_);
-  for (MachineIndex m : changed) machines_[m.v].change_noted = false;
+  changed.swap(changed_machines_);
+  for (MachineIndex m : changed) machines_[m.value].change_noted = false;
   return changed;
 }
 
-std::vector<TaskNo> Model::pending_tasks(Job& j, std::size_t most) const {
-  std::vector<TaskNo> out;
-  for (std::uint32_t w = j.scan_from; w < j.busy.size() && out.size() < most; ++w) {
-    std::uint64_t free = ~j.busy[w];
-    if (free == 0 && w == j.scan_from) j.scan_from = w + 1;
+std::vector<TaskNumber> ClusterState::pending_tasks(Job& current_job, std::size_t most) const {
+  std::vector<TaskNumber> out;
+  for (std::uint32_t word_index = current_job.scan_from;
+       word_index < current_job.done_or_placed.size() && out.size() < most; ++word_index) {
+    std::uint64_t free = ~current_job.done_or_placed[word_index];
+    if (free == 0 && word_index == current_job.scan_from) current_job.scan_from = word_index + 1;
     while (free != 0 && out.size() < most) {
-      TaskNo t = w * 64 + static_cast<TaskNo>(__builtin_ctzll(free));
+      TaskNumber t = word_index * 64 + static_cast<TaskNumber>(__builtin_ctzll(free));
       free &= free - 1;
-      if (t < j.spec.tasks) out.push_back(t);
+      if (t < current_job.spec.tasks) out.push_back(t);
     }
   }
   return out;
 }
 
-void Model::set_state(Placement& p, PlacementState s, Seconds now) {
-  if (p.state == s) return;
-  note_change(p.machine);
-  SPDLOG_DEBUG("task {}/{} on {} try {}: {} -> {}", job(p.job).spec.ref, p.task,
-               names.machines.name(p.machine), p.attempt, name_of(p.state), name_of(s));
+void ClusterState::set_state(Placement& placement, PlacementState new_state, Seconds now) {
+  if (placement.state == new_state) return;
+  mark_changed(placement.machine);
+  SPDLOG_DEBUG("task {}/{} on {} try {}: {} -> {}", job(placement.job).spec.ref, placement.task,
+               names.machines.name(placement.machine), placement.attempt, name_of(placement.state),
+               name_of(new_state));
   // The room is free from the proof on: the record may follow when it is convenient.
-  if (is_off(s) != is_off(p.state)) occupy(job(p.job), p, is_off(s) ? -1 : 1);
-  p.state = s;
-  if (s == PlacementState::gone) note_saved(p, now);
-  if (s >= PlacementState::stopping && p.has_begun(now)) note_begun(job(p.job), p.task);
-  if (s == PlacementState::stopping) {
-    p.stop_since = now;
-    kick.insert(p.machine);
+  if (is_off_machine(new_state) != is_off_machine(placement.state))
+    adjust_usage(job(placement.job), placement, is_off_machine(new_state) ? -1 : 1);
+  placement.state = new_state;
+  if (new_state == PlacementState::terminated) record_checkpoint(placement, now);
+  if (new_state >= PlacementState::stopping && placement.has_started(now))
+    record_task_start(job(placement.job), placement.task);
+  if (new_state == PlacementState::stopping) {
+    placement.stopping_since = now;
+    machines_to_wake.insert(placement.machine);
   }
-  if (s == PlacementState::sent && p.started_at <= 0) p.started_at = now;
-  if (is_off(s)) dirty.insert(p.job);
+  if (new_state == PlacementState::sent && placement.started_at <= 0) placement.started_at = now;
+  if (is_off_machine(new_state)) dirty_jobs.insert(placement.job);
 }
 
-void Model::note_begun(Job& j, TaskNo task) {
-  j.begun.resize(j.busy.size());
-  if (task / 64 < j.begun.size()) j.begun[task / 64] |= 1ULL << (task % 64);
+void ClusterState::record_task_start(Job& current_job, TaskNumber task) {
+  current_job.ever_started.resize(current_job.done_or_placed.size());
+  if (task / 64 < current_job.ever_started.size()) current_job.ever_started[task / 64] |= 1ULL << (task % 64);
 }
 
-void Model::note_saved(const Placement& p, Seconds now) {
-  Job& j = job(p.job);
-  if (!settings.progress.enabled || j.spec.save_every_s <= 0 || p.running_at < 0) return;
-  bool gang = j.spec.shape == Shape::gang;
+void ClusterState::record_checkpoint(const Placement& placement, Seconds now) {
+  Job& current_job = job(placement.job);
+  if (!settings.progress.enabled || current_job.spec.checkpoint_interval_s <= 0 || placement.running_at < 0)
+    return;
+  bool gang = current_job.spec.shape == JobShape::gang;
   // A gang's progress is one. The first of an attempt to leave decides what is saved: once it has gone
   // without a save, whatever another says it stored is of no use (PROTOCOL, "Gangs").
-  if (gang && j.saved_attempt == p.attempt) return;
-  j.saved_attempt = p.attempt;
-  progress::Ran ran{p.ran_s, now - p.started_at};
+  if (gang && current_job.checkpoint_attempt == placement.attempt) return;
+  current_job.checkpoint_attempt = placement.attempt;
+  progress::RunTimeBounds run_time{placement.observed_run_s, now - placement.started_at};
   // Members run on, as far as reports tell, for a while after one is lost.
-  if (gang && !p.stored) ran.least = std::max(0.0, ran.least - settings.gang_peer_s - settings.report_s);
-  progress::Saved before = j.saved_of(p.task);
-  auto after = p.stored ? progress::after_store(before, ran, j.spec.save_every_s, settings.progress)
-                        : progress::after_loss(before, ran, j.spec.save_every_s, settings.progress);
-  j.saved[gang ? 0 : p.task] = progress::merged(before, after);
+  if (gang && !placement.checkpoint_saved)
+    run_time.min_s =
+        std::max(0.0, run_time.min_s - settings.gang_peer_timeout_s - settings.report_interval_s);
+  progress::SavedProgress before = current_job.checkpoint_of(placement.task);
+  auto after =
+      placement.checkpoint_saved
+          ? progress::after_store(before, run_time, current_job.spec.checkpoint_interval_s, settings.progress)
+          : progress::after_loss(before, run_time, current_job.spec.checkpoint_interval_s, settings.progress);
+  current_job.checkpoints[gang ? 0 : placement.task] = progress::merged(before, after);
 }
 
 Seconds Job::remaining_s() const {
-  if (saved.empty() || spec.tasks == 0) return spec.estimate_s;
-  if (spec.shape == Shape::gang) return progress::remaining(spec.estimate_s, saved_of(0));
+  if (checkpoints.empty() || spec.tasks == 0) return spec.estimate_s;
+  if (spec.shape == JobShape::gang) return progress::remaining_run_time(spec.estimate_s, checkpoint_of(0));
   double sum = 0;
   std::uint32_t n = 0;
-  for (const auto& [t, s] : saved) {
-    if (placed.count(t) != 0 || t / 64 >= busy.size() || (busy[t / 64] >> (t % 64) & 1) != 0) continue;
-    sum += progress::remaining(spec.estimate_s, s);
+  for (const auto& [t, s] : checkpoints) {
+    if (placements.count(t) != 0 || t / 64 >= done_or_placed.size() ||
+        (done_or_placed[t / 64] >> (t % 64) & 1) != 0)
+      continue;
+    sum += progress::remaining_run_time(spec.estimate_s, s);
     ++n;
   }
-  std::uint32_t waiting = std::max(pending(), n);
+  std::uint32_t waiting = std::max(pending_count(), n);
   return waiting == 0 ? spec.estimate_s : (sum + (waiting - n) * spec.estimate_s) / waiting;
 }
 
-void Model::set_state(MachineIndex i, MachineState s, Seconds now) {
-  Machine& m = edit_machine(i);
-  if (m.state == s) return;
-  SPDLOG_DEBUG("machine {}: {} -> {}", names.machines.name(i), name_of(m.state), name_of(s));
-  m.state = s;
-  if (s == MachineState::ready && m.on.empty()) m.idle_since = now;
-  if (s == MachineState::unknown) {
+void ClusterState::set_state(MachineIndex i, MachineState new_state, Seconds now) {
+  Machine& current_machine = edit_machine(i);
+  if (current_machine.state == new_state) return;
+  SPDLOG_DEBUG("machine {}: {} -> {}", names.machines.name(i), name_of(current_machine.state),
+               name_of(new_state));
+  current_machine.state = new_state;
+  if (new_state == MachineState::ready && current_machine.placed_tasks.empty())
+    current_machine.idle_since = now;
+  if (new_state == MachineState::unknown) {
     // What is still booked on it goes with its placements' records.
     Machine fresh;
-    fresh.on = m.on;
-    fresh.used = m.used;
-    fresh.lasting = m.lasting;
-    fresh.reserved = m.reserved;
-    fresh.reservations = m.reservations;
-    fresh.changes = m.changes;
-    fresh.change_noted = m.change_noted;
-    m = fresh;
+    fresh.placed_tasks = current_machine.placed_tasks;
+    fresh.used = current_machine.used;
+    fresh.long_running_tasks = current_machine.long_running_tasks;
+    fresh.reserved = current_machine.reserved;
+    fresh.reservations = current_machine.reservations;
+    fresh.change_count = current_machine.change_count;
+    fresh.change_noted = current_machine.change_noted;
+    current_machine = fresh;
   }
 }
 
-bool Model::has_image(const Machine& m, ImageIndex image) {
-  return std::find(m.images.begin(), m.images.end(), image) != m.images.end();
+bool ClusterState::has_image(const Machine& machine, ImageIndex image) {
+  return std::find(machine.cached_images.begin(), machine.cached_images.end(), image) !=
+         machine.cached_images.end();
 }
 
-void Model::image_used(Machine& m, const JobSpec& spec) {
+void ClusterState::mark_image_used(Machine& current_machine, const JobSpec& spec) {
   if (!spec.image.valid()) return;  // a placement record that came before its job's
-  if (image_gb.size() <= spec.image.v) image_gb.resize(spec.image.v + 1, 0);
-  image_gb[spec.image.v] = spec.image_gb;
-  auto it = std::find(m.images.begin(), m.images.end(), spec.image);
-  if (it != m.images.end()) m.images.erase(it);
-  m.images.push_back(spec.image);
+  if (image_gb.size() <= spec.image.value) image_gb.resize(spec.image.value + 1, 0);
+  image_gb[spec.image.value] = spec.image_gb;
+  auto it = std::find(current_machine.cached_images.begin(), current_machine.cached_images.end(), spec.image);
+  if (it != current_machine.cached_images.end()) current_machine.cached_images.erase(it);
+  current_machine.cached_images.push_back(spec.image);
   // The machine keeps the most recently used ones that its cache holds.
-  double room = m.rec.type.valid() && m.rec.type.v < catalog.size() ? catalog[m.rec.type.v].cache_gb : 0;
-  std::size_t keep = m.images.size();
+  double room = current_machine.record.type.valid() && current_machine.record.type.value < catalog.size()
+                    ? catalog[current_machine.record.type.value].cache_gb
+                    : 0;
+  std::size_t keep = current_machine.cached_images.size();
   for (; keep > 0; --keep) {
-    room -= image_gb[m.images[keep - 1].v];
+    room -= image_gb[current_machine.cached_images[keep - 1].value];
     if (room < 0) break;
   }
-  m.images.erase(m.images.begin(),
-                 m.images.begin() + static_cast<std::ptrdiff_t>(std::min(keep, m.images.size() - 1)));
-}
-
-void Model::add_placement(Job& j, const PlacedTask& t, JobIndex index, Seconds now) {
-  Placement p;
-  p.task = t.task;
-  p.job = index;
-  p.machine = t.machine;
-  p.attempt = t.attempt;
-  p.restarting = t.restarting;
-  p.known_at = now;
-  p.placed_at_s = t.at_s;
-  j.placed.emplace(t.task, p);
-  Machine& m = edit_machine(t.machine);
-  m.on.push_back({index, t.task});
-  m.up = true;
-  occupy(j, p, 1);
-  image_used(m, j.spec);
-  if (j.phase == JobPhase::cancelled) set_state(j.placed.at(t.task), PlacementState::stopping, now);
-}
-
-void Model::occupy(const Job& j, const Placement& p, int sign) {
-  Machine& m = edit_machine(p.machine);
-  m.used += sign * j.spec.need;
-  if (j.spec.shape == Shape::service) m.lasting += static_cast<std::uint32_t>(sign);
-  if (j.spec.part.valid()) team_use_[j.spec.part.v] += sign * j.spec.need;
-  if (sign < 0) freed_ += j.share;
-}
-
-void Model::remove_placement(Job& j, std::map<TaskNo, Placement>::iterator it, Seconds now) {
-  Machine& m = edit_machine(it->second.machine);
+  current_machine.cached_images.erase(
+      current_machine.cached_images.begin(),
+      current_machine.cached_images.begin() +
+          static_cast<std::ptrdiff_t>(std::min(keep, current_machine.cached_images.size() - 1)));
+}
+
+void ClusterState::add_placement(Job& current_job, const PlacedTask& placed_task, JobIndex index,
+                                 Seconds now) {
+  Placement placement;
+  placement.task = placed_task.task;
+  placement.job = index;
+  placement.machine = placed_task.machine;
+  placement.attempt = placed_task.attempt;
+  placement.restarting = placed_task.restarting;
+  placement.known_at = now;
+  placement.placed_after_s = placed_task.placed_after_s;
+  current_job.placements.emplace(placed_task.task, placement);
+  Machine& current_machine = edit_machine(placed_task.machine);
+  current_machine.placed_tasks.push_back({index, placed_task.task});
+  current_machine.has_booted = true;
+  adjust_usage(current_job, placement, 1);
+  mark_image_used(current_machine, current_job.spec);
+  if (current_job.phase == JobPhase::cancelled)
+    set_state(current_job.placements.at(placed_task.task), PlacementState::stopping, now);
+}
+
+void ClusterState::adjust_usage(const Job& job, const Placement& placement, int sign) {
+  Machine& m = edit_machine(placement.machine);
+  m.used += sign * job.spec.task_resources;
+  if (job.spec.shape == JobShape::service) m.long_running_tasks += static_cast<std::uint32_t>(sign);
+  if (job.spec.partition.valid()) team_usage_[job.spec.partition.value] += sign * job.spec.task_resources;
+  if (sign < 0) freed_machines_ += job.machine_fraction;
+}
+
+void ClusterState::remove_placement(Job& current_job, std::map<TaskNumber, Placement>::iterator it,
+                                    Seconds now) {
+  Machine& current_machine = edit_machine(it->second.machine);
   JobIndex index = it->second.job;
-  TaskNo task = it->first;
-  if (!is_off(it->second.state)) occupy(j, it->second, -1);
-  m.on.erase(std::remove_if(m.on.begin(), m.on.end(),
-                            [&](const TaskId& id) { return id.job == index && id.task == task; }),
-             m.on.end());
-  if (m.on.empty()) {
-    m.used = {};  // sums of decimals must not drift
-    m.idle_since = now;
+  TaskNumber task = it->first;
+  if (!is_off_machine(it->second.state)) adjust_usage(current_job, it->second, -1);
+  current_machine.placed_tasks.erase(
+      std::remove_if(current_machine.placed_tasks.begin(), current_machine.placed_tasks.end(),
+                     [&](const TaskId& id) { return id.job == index && id.task == task; }),
+      current_machine.placed_tasks.end());
+  if (current_machine.placed_tasks.empty()) {
+    current_machine.used = {};  // sums of decimals must not drift
+    current_machine.idle_since = now;
   }
-  j.placed.erase(it);
+  current_job.placements.erase(it);
 }
 
-void Model::apply(const Change& change, Stamp stamp, Seconds now) {
+void ClusterState::apply(const Change& change, Revision revision, Seconds now) {
   if (const auto* k = std::get_if<JobKey>(&change.key)) {
-    apply_job(k->job, std::get_if<JobRecord>(&change.value), stamp, now);
+    apply_job(k->job, std::get_if<JobRecord>(&change.value), revision, now);
   } else if (const auto* c = std::get_if<ChunkKey>(&change.key)) {
-    apply_chunk(*c, std::get_if<ChunkRecord>(&change.value), stamp, now);
+    apply_chunk(*c, std::get_if<ChunkRecord>(&change.value), revision, now);
   } else if (const auto* m = std::get_if<MachineKey>(&change.key)) {
-    apply_machine(m->machine, std::get_if<MachineRecord>(&change.value), stamp, now);
-  } else if (const auto* p = std::get_if<ClaimKey>(&change.key)) {
-    Claim& claim = claims_[p->part.v];
-    if (const auto* rec = std::get_if<ClaimRecord>(&change.value)) {
-      claim = {*rec, stamp, now};
+    apply_machine(m->machine, std::get_if<MachineRecord>(&change.value), revision, now);
+  } else if (const auto* ownership_key = std::get_if<OwnershipKey>(&change.key)) {
+    Ownership& ownership = ownerships_[ownership_key->partition.value];
+    if (const auto* rec = std::get_if<OwnershipRecord>(&change.value)) {
+      ownership = {*rec, revision, now};
     } else {
-      claim = {};
+      ownership = {};
     }
-    SPDLOG_INFO("part {} is held by {} since revision {}", names.parts.name(p->part),
-                claim.stamp ? claim.rec.node : "nobody", stamp);
-  } else if (const auto* n = std::get_if<NodeKey>(&change.key)) {
-    if (const auto* rec = std::get_if<ClaimRecord>(&change.value)) {
-      auto [it, fresh] = nodes_.try_emplace(n->node, LiveNode{*rec, now});
-      if (!fresh && it->second.rec.hold != rec->hold) it->second = {*rec, now};
+    SPDLOG_INFO("part {} is held by {} since revision {}", names.partitions.name(ownership_key->partition),
+                ownership.revision ? ownership.record.controller : "nobody", revision);
+  } else if (const auto* controller_key = std::get_if<ControllerKey>(&change.key)) {
+    if (const auto* rec = std::get_if<OwnershipRecord>(&change.value)) {
+      auto [it, fresh] = controllers_.try_emplace(controller_key->controller, LiveController{*rec, now});
+      if (!fresh && it->second.record.lease_id != rec->lease_id) it->second = {*rec, now};
     } else {
-      nodes_.erase(n->node);
+      controllers_.erase(controller_key->controller);
     }
-  } else if (const auto* a = std::get_if<AgreedKey>(&change.key)) {
-    if (const auto* rec = std::get_if<AgreedRecord>(&change.value)) {
-      agreed[a->name] = {*rec, stamp};
+  } else if (const auto* decision_key = std::get_if<DecisionKey>(&change.key)) {
+    if (const auto* rec = std::get_if<DecisionRecord>(&change.value)) {
+      decisions[decision_key->name] = {*rec, revision};
     } else {
-      agreed.erase(a->name);
+      decisions.erase(decision_key->name);
     }
   } else {
-    apply_money(change, stamp);
+    apply_accounting(change, revision);
   }
 }
 
-Advice Model::advice(JobIndex j) const {
-  Advice a;
-  if (counsel != nullptr) counsel->advise(j, a);
+PlacementLimits ClusterState::placement_limits(JobIndex job_index) const {
+  PlacementLimits a;
+  if (constraints != nullptr) constraints->constrain(job_index, a);
   return a;
 }
 
-std::uint32_t Model::placeable(JobIndex ji) const {
-  const Job& j = job(ji);
-  std::uint32_t pending = j.pending();
-  if (pending == 0 || counsel == nullptr) return pending;
-  std::uint32_t most = advice(ji).most;
-  auto placed = static_cast<std::uint32_t>(j.placed.size());
+std::uint32_t ClusterState::placeable_tasks(JobIndex job_index) const {
+  const Job& j = job(job_index);
+  std::uint32_t pending = j.pending_count();
+  if (pending == 0 || constraints == nullptr) return pending;
+  std::uint32_t most = placement_limits(job_index).max_tasks;
+  auto placed = static_cast<std::uint32_t>(j.placements.size());
   return most <= placed ? 0 : std::min(pending, most - placed);
 }
 
-void Model::apply_money(const Change& change, Stamp stamp) {
-  if (const auto* b = std::get_if<BidKey>(&change.key)) {
+void ClusterState::apply_accounting(const Change& change, Revision revision) {
+  if (const auto* bid_key = std::get_if<BidKey>(&change.key)) {
     if (const auto* rec = std::get_if<BidRecord>(&change.value)) {
-      money.bids[b->name] = {*rec, stamp};
+      accounting.bids[bid_key->name] = {*rec, revision};
     } else {
-      money.bids.erase(b->name);
+      accounting.bids.erase(bid_key->name);
     }
   } else if (std::holds_alternative<LedgerKey>(change.key)) {
     const auto* rec = std::get_if<LedgerRecord>(&change.value);
-    money.ledger =
-        rec != nullptr ? MoneyTables::Entry<LedgerRecord>{*rec, stamp} : MoneyTables::Entry<LedgerRecord>{};
-  } else if (const auto* m = std::get_if<MarketKey>(&change.key)) {
+    accounting.ledger = rec != nullptr ? AccountingTables::Entry<LedgerRecord>{*rec, revision}
+                                       : AccountingTables::Entry<LedgerRecord>{};
+  } else if (const auto* market_key = std::get_if<MarketKey>(&change.key)) {
     if (const auto* rec = std::get_if<MarketRecord>(&change.value)) {
-      money.markets[m->market] = {*rec, stamp};
+      accounting.markets[market_key->market] = {*rec, revision};
     } else {
-      money.markets.erase(m->market);
+      accounting.markets.erase(market_key->market);
     }
   }
 }
 
-void Model::apply_job(JobIndex index, const JobRecord* rec, Stamp stamp, Seconds now) {
-  Job& j = job(index);
-  if (rec == nullptr) {
-    if (j.spec.part.valid()) live_[j.spec.part.v].erase(index);
-    j.stamp = 0;
-    if (j.phase == JobPhase::open) j.phase = JobPhase::cancelled;  // gone from the tables: nothing may start
+void ClusterState::apply_job(JobIndex index, const JobRecord* record, Revision revision, Seconds now) {
+  Job& current_job = job(index);
+  if (record == nullptr) {
+    if (current_job.spec.partition.valid()) live_jobs_[current_job.spec.partition.value].erase(index);
+    current_job.revision = 0;
+    if (current_job.phase == JobPhase::open)
+      current_job.phase = JobPhase::cancelled;  // gone from the tables: nothing may start
     drop_if_empty(index);
     return;
   }
-  bool fresh = j.stamp == 0;
+  bool fresh = current_job.revision == 0;
   if (fresh) {
     // Placement records may have come first; their use is counted once the job is known.
-    j.spec = rec->spec;
-    j.busy.assign((j.spec.tasks + 63) / 64, 0);
-    for (auto& [c, chunk] : j.chunks) {
-      if (c < j.busy.size()) j.busy[c] = chunk.done;
+    current_job.spec = record->spec;
+    current_job.done_or_placed.assign((current_job.spec.tasks + 63) / 64, 0);
+    for (auto& [c, chunk] : current_job.chunks) {
+      if (c < current_job.done_or_placed.size()) current_job.done_or_placed[c] = chunk.done;
     }
-    for (auto& [t, p] : j.placed) {
-      if (t < j.spec.tasks) j.busy[t / 64] |= 1ULL << (t % 64);
-      if (!is_off(p.state)) occupy(j, p, 1);
-      image_used(edit_machine(p.machine), j.spec);
+    for (auto& [t, p] : current_job.placements) {
+      if (t < current_job.spec.tasks) current_job.done_or_placed[t / 64] |= 1ULL << (t % 64);
+      if (!is_off_machine(p.state)) adjust_usage(current_job, p, 1);
+      mark_image_used(edit_machine(p.machine), current_job.spec);
     }
     // A job that was accepted while nobody listened has waited since then, not since it was read.
-    double age = wall_ahead != 0 ? now + wall_ahead - j.spec.submitted_at : 0;
-    j.first_seen = age > late_reading_s ? now - std::min(age, longest_wait_s) : now;
-    j.share = share_of_machine(j.spec);
-    live_[j.spec.part.v].insert(index);
-    SPDLOG_INFO("job {}: known, {} of {} tasks", j.spec.ref, name_of(j.spec.shape), j.spec.tasks);
+    double age = wall_clock_offset_s != 0 ? now + wall_clock_offset_s - current_job.spec.submitted_at : 0;
+    current_job.first_seen = age > clock_skew_tolerance_s ? now - std::min(age, max_assumed_wait_s) : now;
+    current_job.machine_fraction = machine_fraction(current_job.spec);
+    live_jobs_[current_job.spec.partition.value].insert(index);
+    SPDLOG_INFO("job {}: known, {} of {} tasks", current_job.spec.ref, name_of(current_job.spec.shape),
+                current_job.spec.tasks);
   }
-  j.stamp = stamp;
-  if (j.phase != rec->phase)
-    SPDLOG_INFO("job {}: {} -> {}", j.spec.ref, name_of(j.phase), name_of(rec->phase));
-  j.phase = rec->phase;
-  if (j.phase == JobPhase::cancelled) {
-    for (auto& [t, p] : j.placed) {
-      p.wind_down_s = 0;
-      if (p.state != PlacementState::finished && p.state != PlacementState::gone) {
-        set_state(p, PlacementState::stopping, now);
-        kick.insert(p.machine);
+  current_job.revision = revision;
+  if (current_job.phase != record->phase)
+    SPDLOG_INFO("job {}: {} -> {}", current_job.spec.ref, name_of(current_job.phase), name_of(record->phase));
+  current_job.phase = record->phase;
+  if (current_job.phase == JobPhase::cancelled) {
+    for (auto& [t, placement] : current_job.placements) {
+      placement.termination_timeout_s = 0;
+      if (placement.state != PlacementState::finished && placement.state != PlacementState::terminated) {
+        set_state(placement, PlacementState::stopping, now);
+        machines_to_wake.insert(placement.machine);
       }
     }
   }
-  dirty.insert(index);
+  dirty_jobs.insert(index);
 }
 
-void Model::apply_chunk(const ChunkKey& key, const ChunkRecord* rec, Stamp stamp, Seconds now) {
-  Job& j = job(key.job);
-  Chunk& c = j.chunks[key.chunk];
+void ClusterState::apply_chunk(const ChunkKey& key, const ChunkRecord* new_record, Revision revision,
+                               Seconds now) {
+  Job& current_job = job(key.job);
+  Chunk& chunk = current_job.chunks[key.chunk];
   static const ChunkRecord empty;
-  const ChunkRecord& r = rec != nullptr ? *rec : empty;
-  TaskNo first = key.chunk * chunk_tasks;
-  auto in_record = [&r](const Placement& p) {
-    return std::any_of(r.placed.begin(), r.placed.end(), [&p](const PlacedTask& t) {
-      return t.task == p.task && t.attempt == p.attempt && t.machine == p.machine;
-    });
+  const ChunkRecord& record = new_record != nullptr ? *new_record : empty;
+  TaskNumber first = key.chunk * tasks_per_chunk;
+  auto in_record = [&record](const Placement& placement) {
+    return std::any_of(
+        record.placements.begin(), record.placements.end(), [&placement](const PlacedTask& placed_task) {
+          return placed_task.task == placement.task && placed_task.attempt == placement.attempt &&
+                 placed_task.machine == placement.machine;
+        });
   };
-  for (auto it = j.placed.lower_bound(first); it != j.placed.end() && it->first < first + chunk_tasks;) {
+  for (auto it = current_job.placements.lower_bound(first);
+       it != current_job.placements.end() && it->first < first + tasks_per_chunk;) {
     auto here = it++;
-    if (!in_record(here->second)) remove_placement(j, here, now);
+    if (!in_record(here->second)) remove_placement(current_job, here, now);
   }
-  std::uint64_t busy = r.done;
-  for (const PlacedTask& t : r.placed) {
-    auto it = j.placed.find(t.task);
-    if (it == j.placed.end()) {
-      add_placement(j, t, key.job, now);
+  std::uint64_t busy = record.done;
+  for (const PlacedTask& placed_task : record.placements) {
+    auto it = current_job.placements.find(placed_task.task);
+    if (it == current_job.placements.end()) {
+      add_placement(current_job, placed_task, key.job, now);
     } else {
-      it->second.restarting = t.restarting;
+      it->second.restarting = placed_task.restarting;
     }
-    busy |= 1ULL << (t.task % 64);
+    busy |= 1ULL << (placed_task.task % 64);
   }
-  if (rec != nullptr) {
-    j.done += static_cast<std::uint32_t>(__builtin_popcountll(r.done)) -
-              static_cast<std::uint32_t>(__builtin_popcountll(c.done));
-    c = {stamp, r.done, r.restarted, r.finishes};
-    for (const auto& [t, s] : r.saved) j.saved[t] = progress::merged(j.saved[t], s);
-    if (key.chunk < j.busy.size()) {
-      j.busy[key.chunk] = busy;
-      j.scan_from = std::min(j.scan_from, key.chunk);
+  if (new_record != nullptr) {
+    current_job.done_count += static_cast<std::uint32_t>(__builtin_popcountll(record.done)) -
+                              static_cast<std::uint32_t>(__builtin_popcountll(chunk.done));
+    chunk = {revision, record.done, record.restarted, record.finishes};
+    for (const auto& [t, s] : record.checkpoints)
+      current_job.checkpoints[t] = progress::merged(current_job.checkpoints[t], s);
+    if (key.chunk < current_job.done_or_placed.size()) {
+      current_job.done_or_placed[key.chunk] = busy;
+      current_job.scan_from = std::min(current_job.scan_from, key.chunk);
     }
   } else {
-    j.chunks.erase(key.chunk);
+    current_job.chunks.erase(key.chunk);
   }
-  dirty.insert(key.job);
+  dirty_jobs.insert(key.job);
   drop_if_empty(key.job);
 }
 
-void Model::drop_if_empty(JobIndex index) {
-  auto it = jobs_.find(index.v);
+void ClusterState::drop_if_empty(JobIndex index) {
+  auto it = jobs_.find(index.value);
   if (it == jobs_.end()) return;
   Job& j = it->second;
-  if (j.stamp != 0 || !j.chunks.empty() || !j.placed.empty()) return;
-  dirty.erase(index);
+  if (j.revision != 0 || !j.chunks.empty() || !j.placements.empty()) return;
+  dirty_jobs.erase(index);
   job_names_.erase(j.spec.ref);
   jobs_.erase(it);
 }
 
-void Model::list_by_partition(MachineIndex m, const MachineRecord& rec) {
-  part_machines_[rec.part.v].insert(m);
-  bool comes = rec.wanted_by.valid() && rec.wanted_by != rec.part && rec.mark == MachineMark::none;
-  if (comes) wanted_[rec.wanted_by.v].insert(m);
+void ClusterState::add_to_partition_sets(MachineIndex machine_index, const MachineRecord& record) {
+  partition_machines_[record.partition.value].insert(machine_index);
+  bool comes = record.requested_by.valid() && record.requested_by != record.partition &&
+               record.mark == MachineMark::none;
+  if (comes) requested_machines_[record.requested_by.value].insert(machine_index);
 }
 
-void Model::unlist(MachineIndex m, const MachineRecord& rec) {
-  part_machines_[rec.part.v].erase(m);
-  if (rec.wanted_by.valid()) wanted_[rec.wanted_by.v].erase(m);
+void ClusterState::remove_from_partition_sets(MachineIndex machine_index, const MachineRecord& record) {
+  partition_machines_[record.partition.value].erase(machine_index);
+  if (record.requested_by.valid()) requested_machines_[record.requested_by.value].erase(machine_index);
 }
 
-void Model::apply_machine(MachineIndex index, const MachineRecord* rec, Stamp stamp, Seconds now) {
-  Machine& m = edit_machine(index);
-  if (m.stamp != 0) unlist(index, m.rec);
-  if (rec == nullptr) {
+void ClusterState::apply_machine(MachineIndex index, const MachineRecord* record, Revision revision,
+                                 Seconds now) {
+  Machine& current_machine = edit_machine(index);
+  if (current_machine.revision != 0) remove_from_partition_sets(index, current_machine.record);
+  if (record == nullptr) {
     // The record goes only after the cloud confirmed the deletion: everything on the machine is gone.
-    for (TaskId id : m.on) {
+    for (TaskId id : current_machine.placed_tasks) {
       Placement* p = edit_placement(id);
       if (p != nullptr && p->state != PlacementState::finished) {
         p->cause = EndCause::none;
-        set_state(*p, PlacementState::gone, now);
+        set_state(*p, PlacementState::terminated, now);
       }
     }
-    m.stamp = 0;
+    current_machine.revision = 0;
     set_state(index, MachineState::unknown, now);
     return;
   }
-  bool moved = m.stamp == 0 || m.rec.part != rec->part;
-  if (m.stamp == 0) {
-    m.known_since = now;
-    m.up = m.up || rec->up;
+  bool moved = current_machine.revision == 0 || current_machine.record.partition != record->partition;
+  if (current_machine.revision == 0) {
+    current_machine.known_since = now;
+    current_machine.has_booted = current_machine.has_booted || record->has_booted;
   } else if (moved) {
-    m.up = true;
+    current_machine.has_booted = true;
   }
-  m.rec = *rec;
-  m.stamp = stamp;
-  list_by_partition(index, *rec);
-  if (rec->mark == MachineMark::deleting) {
+  current_machine.record = *record;
+  current_machine.revision = revision;
+  add_to_partition_sets(index, *record);
+  if (record->mark == MachineMark::deleting) {
     set_state(index, MachineState::deleting, now);
   } else if (moved) {
-    m.part_since = m.idle_since = now;
-    m.taken_over = false;
-    m.last_answered = -1;
-    m.first_report = -1;
-    m.tenure = m.serial = m.first_token = m.unheard = 0;
+    current_machine.in_partition_since = current_machine.idle_since = now;
+    current_machine.inherited = false;
+    current_machine.last_answered_report_at = -1;
+    current_machine.first_report_at = -1;
+    current_machine.agent_epoch = current_machine.report_sequence = current_machine.first_fencing_token =
+        current_machine.lost_responses = 0;
     // A machine is moved only with nothing possibly on it, so there is nothing to account for.
-    set_state(index, m.on.empty() ? MachineState::expected : MachineState::unaccounted, now);
+    set_state(index,
+              current_machine.placed_tasks.empty() ? MachineState::expected : MachineState::unreconciled,
+              now);
   }
 }
 
-void Model::take_over(PartIndex part, Seconds now) {
-  for (MachineIndex i : part_machines_[part.v]) {
-    Machine& m = edit_machine(i);
-    m.last_answered = -1;
-    m.first_report = -1;
-    m.tenure = m.serial = 0;  // reports held back from an earlier term must not pass for news
-    m.first_token = m.unheard = 0;
-    m.placed_at = 0;  // an owner in between may have moved it: the claim's stamp is higher
-    m.part_since = m.idle_since = now;
-    m.taken_over = true;
-    if (m.state != MachineState::deleting) {
-      set_state(i, m.on.empty() ? MachineState::expected : MachineState::unaccounted, now);
+void ClusterState::failover(PartitionIndex partition, Seconds now) {
+  for (MachineIndex i : partition_machines_[partition.value]) {
+    Machine& current_machine = edit_machine(i);
+    current_machine.last_answered_report_at = -1;
+    current_machine.first_report_at = -1;
+    current_machine.agent_epoch = current_machine.report_sequence =
+        0;  // reports held back from an earlier term must not pass for news
+    current_machine.first_fencing_token = current_machine.lost_responses = 0;
+    current_machine.last_placement_revision =
+        0;  // an owner in between may have moved it: the claim's stamp is higher
+    current_machine.in_partition_since = current_machine.idle_since = now;
+    current_machine.inherited = true;
+    if (current_machine.state != MachineState::deleting) {
+      set_state(i, current_machine.placed_tasks.empty() ? MachineState::expected : MachineState::unreconciled,
+                now);
     }
-    for (TaskId id : m.on) {
-      Placement* p = edit_placement(id);
-      if (p == nullptr) continue;
-      p->taken_over = true;
-      p->started_at = now;
+    for (TaskId id : current_machine.placed_tasks) {
+      Placement* placement = edit_placement(id);
+      if (placement == nullptr) continue;
+      placement->inherited = true;
+      placement->started_at = now;
       // Its predecessor's clock goes on where the record tells when it was placed: a little late, since the
       // start order followed later and clocks differ. (Begun anew, what takes over flags later than an
       // unbroken owner, and what then finishes would count as short, and flag others too early.)
       double since = job(id.job).spec.submitted_at;
-      if (settings.progress.enabled && p->placed_at_s >= 0 && wall_ahead != 0 && since > 0) {
-        double late = settings.report_s + late_reading_s;
-        double elapsed = now + wall_ahead - since - p->placed_at_s - late;
-        p->started_at = std::max(1e-3, now - std::max(0.0, elapsed));
+      if (settings.progress.enabled && placement->placed_after_s >= 0 && wall_clock_offset_s != 0 &&
+          since > 0) {
+        double late = settings.report_interval_s + clock_skew_tolerance_s;
+        double elapsed = now + wall_clock_offset_s - since - placement->placed_after_s - late;
+        placement->started_at = std::max(1e-3, now - std::max(0.0, elapsed));
         // Has begun, as its earlier owner saw: after a crash of all controllers every old job looked as if it
         // never had, and one that really had not waited behind hundreds (374 s, with 250 machines lost).
-        if (elapsed > longest_fetch(*this, job(id.job).spec) + begun_after_s)
-          note_begun(job(id.job), p->task);
+        if (elapsed > longest_image_fetch_s(*this, job(id.job).spec) + counts_as_started_after_s)
+          record_task_start(job(id.job), placement->task);
       }
-      p->sent_serial = p->sent_tenure = 0;
-      p->want_restart = false;
+      placement->sent_report_sequence = placement->sent_agent_epoch = 0;
+      placement->restart_requested = false;
       // What this node knew from an earlier term is void: an owner in between may have started it again.
-      bool stop = p->restarting || job(id.job).phase == JobPhase::cancelled;
-      p->wind_down_s = job(id.job).phase == JobPhase::cancelled ? 0 : job(id.job).spec.flush_s;
-      set_state(*p, stop ? PlacementState::stopping : PlacementState::placed, now);
+      bool stop = placement->restarting || job(id.job).phase == JobPhase::cancelled;
+      placement->termination_timeout_s =
+          job(id.job).phase == JobPhase::cancelled ? 0 : job(id.job).spec.flush_s;
+      set_state(*placement, stop ? PlacementState::stopping : PlacementState::placed, now);
     }
   }
-  for (JobIndex ji : live_[part.v]) {
-    dirty.insert(ji);
+  for (JobIndex job_index : live_jobs_[partition.value]) {
+    dirty_jobs.insert(job_index);
     if (settings.progress.enabled) {
-      Job& j = job(ji);
-      std::vector<progress::Finish> finishes;
-      for (const auto& [c, chunk] : j.chunks)
+      Job& current_job = job(job_index);
+      std::vector<progress::FinishedTask> finishes;
+      for (const auto& [c, chunk] : current_job.chunks)
         finishes.insert(finishes.end(), chunk.finishes.begin(), chunk.finishes.end());
-      j.finished_times = progress::in_order(std::move(finishes));
-      j.baseline = -1;
-      j.finished_as.clear();
+      current_job.finished_run_times = progress::run_times_by_finish(std::move(finishes));
+      current_job.slow_baseline_s = -1;
+      current_job.unrecorded_finishes.clear();
       // What has saved progress has begun; of a gang all of it.
-      for (const auto& [t, s] : j.saved) {
+      for (const auto& [t, s] : current_job.checkpoints) {
         if (!s.any()) continue;
-        for (TaskNo of = t; of < (j.spec.shape == Shape::gang ? j.spec.tasks : t + 1); ++of)
-          note_begun(j, of);
+        for (TaskNumber of = t;
+             of < (current_job.spec.shape == JobShape::gang ? current_job.spec.tasks : t + 1); ++of)
+          record_task_start(current_job, of);
       }
     }
     // A placement is written only beside its machine's record, and the record goes only once the machine is
     // gone for certain. The earlier owner knew that but may have ended before it wrote so: without this the
     // task would wait for ever for a machine that nobody can hear or delete.
-    for (auto& [t, p] : job(ji).placed) {
-      if (machine(p.machine).stamp != 0) continue;
+    for (auto& [t, p] : job(job_index).placements) {
+      if (machine(p.machine).revision != 0) continue;
       p.cause = EndCause::none;
-      set_state(p, PlacementState::gone, now);
+      set_state(p, PlacementState::terminated, now);
     }
   }
 }
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -4,7 +4,7 @@
 
 namespace oxbowmill {
 
-bool allowed_on(const JobSpec& spec, TypeIndex type, ZoneIndex zone, bool spot) {
+bool is_allowed_on(const JobSpec& spec, TypeIndex type, ZoneIndex zone, bool spot) {
   if (spot && !spec.spot) return false;
   if (spec.zone.valid() && spec.zone != zone) return false;
   return spec.allows(type);
@@ -14,33 +14,34 @@
   std::set<ZoneIndex> zones;
   for (std::uint32_t t = 0; t < catalog.size(); ++t) {
     for (ZoneIndex z : catalog[t].zones) {
-      if (allowed_on(spec, TypeIndex{t}, z, false) && fits(spec.need, catalog[t].room)) zones.insert(z);
+      if (is_allowed_on(spec, TypeIndex{t}, z, false) && fits(spec.task_resources, catalog[t].capacity))
+        zones.insert(z);
     }
   }
   // Half of two tasks or more is to be in another zone: one that must not be, or cannot, would wait for ever.
-  bool halves = spec.scatter && spec.tasks > 1;
-  return halves ? !spec.one_zone && zones.size() > 1 : !zones.empty();
+  bool halves = spec.spread_zones && spec.tasks > 1;
+  return halves ? !spec.single_zone && zones.size() > 1 : !zones.empty();
 }
 
-std::vector<std::uint32_t> tasks_by_zone(const Model& model, const Job& job) {
-  std::vector<std::uint32_t> n(model.names.zones.size(), 0);
-  for (const auto& [t, p] : job.placed) {
-    ZoneIndex z = model.machine(p.machine).rec.zone;
-    if (z.valid()) ++n[z.v];
+std::vector<std::uint32_t> tasks_by_zone(const ClusterState& model, const Job& job) {
+  std::vector<std::uint32_t> counts(model.names.zones.size(), 0);
+  for (const auto& [t, p] : job.placements) {
+    ZoneIndex z = model.machine(p.machine).record.zone;
+    if (z.valid()) ++counts[z.value];
   }
-  return n;
+  return counts;
 }
 
 Seconds fetch_time(const JobSpec& spec, const MachineType& type) {
   return type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0;
 }
 
-bool is_whole(const CandidateNode& b, const MachineType& type) {
-  return fits(type.room, b.room);
+bool is_whole_machine_free(const CandidateMachine& right, const MachineType& type) {
+  return fits(type.capacity, right.free_capacity);
 }
 
-bool fills_cheaply(const JobSpec& spec, const MachineType& type) {
-  return spec.shape == Shape::array && spec.spot && how_many_fit(spec.need, type.room) > 1;
+bool packs_with_others(const JobSpec& spec, const MachineType& type) {
+  return spec.shape == JobShape::array && spec.spot && how_many_fit(spec.task_resources, type.capacity) > 1;
 }
 
 namespace {
@@ -48,32 +49,36 @@
 // Machines shared by short and lasting work are never empty again for a gang or for the cloud, and whole
 // ordinary ones are what gangs wait for. Below a fetch of a middling image, so that a task still goes where
 // its image is.
-constexpr Seconds lasting_on_whole_s = 6, lasting_on_mixed_s = 3;
-constexpr Seconds short_on_whole_s = 8, short_on_lasting_s = 4, short_on_mixed_s = 2,
+constexpr Seconds long_running_on_whole_s = 6, long_running_on_mixed_s = 3;
+constexpr Seconds short_on_whole_s = 8, short_on_long_running_s = 4, short_on_mixed_s = 2,
                   short_on_cheap_whole_s = 1;
 
 }  // namespace
 
-Seconds spoils(const JobSpec& spec, const MachineType& type, const CandidateNode& node) {
-  if (how_many_fit(spec.need, type.room) <= 1) return 0;
-  bool whole = is_whole(node, type);
-  if (spec.shape == Shape::service) return node.lasting ? 0 : whole ? lasting_on_whole_s : lasting_on_mixed_s;
+Seconds opportunity_cost(const JobSpec& spec, const MachineType& type, const CandidateMachine& node) {
+  if (how_many_fit(spec.task_resources, type.capacity) <= 1) return 0;
+  bool whole = is_whole_machine_free(node, type);
+  if (spec.shape == JobShape::service)
+    return node.long_running ? 0 : whole ? long_running_on_whole_s : long_running_on_mixed_s;
   if (node.spot) return whole ? short_on_cheap_whole_s : 0;
-  return node.lasting ? short_on_lasting_s : whole ? short_on_whole_s : short_on_mixed_s;
+  return node.long_running ? short_on_long_running_s : whole ? short_on_whole_s : short_on_mixed_s;
 }
 
-void see_as(const JobSpec& spec, const Model& model, std::vector<CandidateNode>& bins, bool pressed) {
-  for (CandidateNode& b : bins) {
-    bool there = b.machine.valid() && Model::has_image(model.machine(b.machine), spec.image);
-    const MachineType& type = model.catalog[b.type.v];
-    b.start_s = b.wait_s + (there ? 0 : fetch_time(spec, type) + (pressed ? b.fetching_s : 0));
-    b.spoils_s = spoils(spec, type, b);
+void evaluate_for_job(const JobSpec& spec, const ClusterState& model, std::vector<CandidateMachine>& bins,
+                      bool pressed) {
+  for (CandidateMachine& candidate : bins) {
+    bool there =
+        candidate.machine.valid() && ClusterState::has_image(model.machine(candidate.machine), spec.image);
+    const MachineType& type = model.catalog[candidate.type.value];
+    candidate.start_s = candidate.available_in_s +
+                        (there ? 0 : fetch_time(spec, type) + (pressed ? candidate.fetch_backlog_s : 0));
+    candidate.opportunity_cost_s = opportunity_cost(spec, type, candidate);
   }
 }
 
-Seconds last_start(const std::vector<Choice>& choices, const std::vector<CandidateNode>& bins) {
+Seconds last_start(const std::vector<TaskAssignment>& choices, const std::vector<CandidateMachine>& bins) {
   Seconds last = 0;
-  for (const Choice& c : choices) last = std::max(last, bins[c.node].start_s);
+  for (const TaskAssignment& c : choices) last = std::max(last, bins[c.candidate].start_s);
   return last;
 }
 
@@ -81,62 +86,68 @@
 
 /// Bins that can take a task, best first: soonest start, with what it spoils, then cheap kind, then least
 /// room.
-std::vector<std::size_t> candidates(const JobSpec& spec, const std::vector<CandidateNode>& bins,
-                                    ZoneIndex only) {
+std::vector<std::size_t> ranked_candidates(const JobSpec& spec, const std::vector<CandidateMachine>& bins,
+                                           ZoneIndex only) {
   std::vector<std::size_t> out;
   for (std::size_t i = 0; i < bins.size(); ++i) {
-    const CandidateNode& b = bins[i];
-    if (b.shut || (only.valid() && b.zone != only)) continue;
-    if (allowed_on(spec, b.type, b.zone, b.spot) && fits(spec.need, b.room)) out.push_back(i);
+    const CandidateMachine& b = bins[i];
+    if (b.excluded || (only.valid() && b.zone != only)) continue;
+    if (is_allowed_on(spec, b.type, b.zone, b.spot) && fits(spec.task_resources, b.free_capacity))
+      out.push_back(i);
   }
   std::stable_sort(out.begin(), out.end(), [&bins](std::size_t x, std::size_t y) {
-    const CandidateNode &a = bins[x], &b = bins[y];
-    Seconds start_a = a.start_s + a.spoils_s, start_b = b.start_s + b.spoils_s;
+    const CandidateMachine &left = bins[x], &right = bins[y];
+    Seconds start_a = left.start_s + left.opportunity_cost_s,
+            start_b = right.start_s + right.opportunity_cost_s;
     if (start_a != start_b) return start_a < start_b;
-    if (a.cost != b.cost) return a.cost < b.cost;
-    if (a.spot != b.spot) return a.spot;
-    if (a.room.gpus != b.room.gpus) return a.room.gpus < b.room.gpus;
-    return a.room.cpus < b.room.cpus;
+    if (left.acquisition_cost != right.acquisition_cost)
+      return left.acquisition_cost < right.acquisition_cost;
+    if (left.spot != right.spot) return left.spot;
+    if (left.free_capacity.gpus != right.free_capacity.gpus)
+      return left.free_capacity.gpus < right.free_capacity.gpus;
+    return left.free_capacity.cpus < right.free_capacity.cpus;
   });
   return out;
 }
 
-std::vector<Choice> fill(const JobSpec& spec, const std::vector<TaskNo>& tasks,
-                         std::vector<CandidateNode>& bins, std::vector<std::uint32_t>& by_zone,
-                         ZoneIndex only) {
-  std::vector<Choice> out;
-  std::uint32_t zone_most = spec.scatter ? (spec.tasks + 1) / 2 : spec.tasks;
+std::vector<TaskAssignment> assign_greedily(const JobSpec& spec, const std::vector<TaskNumber>& tasks,
+                                            std::vector<CandidateMachine>& bins,
+                                            std::vector<std::uint32_t>& by_zone, ZoneIndex only) {
+  std::vector<TaskAssignment> out;
+  std::uint32_t zone_most = spec.spread_zones ? (spec.tasks + 1) / 2 : spec.tasks;
   std::size_t next = 0;
-  for (std::size_t i : candidates(spec, bins, only)) {
-    CandidateNode& b = bins[i];
-    while (next < tasks.size() && fits(spec.need, b.room) && by_zone[b.zone.v] < zone_most) {
+  for (std::size_t i : ranked_candidates(spec, bins, only)) {
+    CandidateMachine& candidate = bins[i];
+    while (next < tasks.size() && fits(spec.task_resources, candidate.free_capacity) &&
+           by_zone[candidate.zone.value] < zone_most) {
       out.push_back({tasks[next++], i});
-      b.room -= spec.need;
-      ++by_zone[b.zone.v];
+      candidate.free_capacity -= spec.task_resources;
+      ++by_zone[candidate.zone.value];
     }
     if (next == tasks.size()) break;
   }
   return out;
 }
 
-void undo(const JobSpec& spec, const std::vector<Choice>& choices, std::vector<CandidateNode>& bins,
-          std::vector<std::uint32_t>& by_zone) {
-  for (const Choice& c : choices) {
-    bins[c.node].room += spec.need;
-    --by_zone[bins[c.node].zone.v];
+void undo_assignments(const JobSpec& spec, const std::vector<TaskAssignment>& choices,
+                      std::vector<CandidateMachine>& bins, std::vector<std::uint32_t>& by_zone) {
+  for (const TaskAssignment& c : choices) {
+    bins[c.candidate].free_capacity += spec.task_resources;
+    --by_zone[bins[c.candidate].zone.value];
   }
 }
 
 }  // namespace
 
-std::vector<Choice> choose(const JobSpec& spec, const std::vector<TaskNo>& tasks,
-                           std::vector<CandidateNode>& bins, std::vector<std::uint32_t> by_zone) {
-  std::vector<Choice> best;
+std::vector<TaskAssignment> choose_machines(const JobSpec& spec, const std::vector<TaskNumber>& tasks,
+                                            std::vector<CandidateMachine>& bins,
+                                            std::vector<std::uint32_t> by_zone) {
+  std::vector<TaskAssignment> best;
   if (tasks.empty()) return best;
-  if (!spec.one_zone) {
-    best = fill(spec, tasks, bins, by_zone, spec.zone);
-    if (spec.shape == Shape::gang && best.size() < tasks.size()) {
-      undo(spec, best, bins, by_zone);
+  if (!spec.single_zone) {
+    best = assign_greedily(spec, tasks, bins, by_zone, spec.zone);
+    if (spec.shape == JobShape::gang && best.size() < tasks.size()) {
+      undo_assignments(spec, best, bins, by_zone);
       best.clear();
     }
     return best;
@@ -152,19 +163,19 @@
   ZoneIndex best_zone;
   std::size_t best_count = 0;
   Seconds best_start = 0;
-  for (std::uint32_t z = 0; z < by_zone.size(); ++z) {
-    if (fixed.valid() && fixed.v != z) continue;
-    auto tried = fill(spec, tasks, bins, by_zone, ZoneIndex{z});
-    undo(spec, tried, bins, by_zone);
+  for (std::uint32_t zone_number = 0; zone_number < by_zone.size(); ++zone_number) {
+    if (fixed.valid() && fixed.value != zone_number) continue;
+    auto tried = assign_greedily(spec, tasks, bins, by_zone, ZoneIndex{zone_number});
+    undo_assignments(spec, tried, bins, by_zone);
     Seconds start = last_start(tried, bins);
     if (tried.size() > best_count || (tried.size() == best_count && start < best_start)) {
-      best_zone = ZoneIndex{z};
+      best_zone = ZoneIndex{zone_number};
       best_count = tried.size();
       best_start = start;
     }
   }
-  if (best_count == 0 || (spec.shape == Shape::gang && best_count < tasks.size())) return best;
-  return fill(spec, tasks, bins, by_zone, best_zone);
+  if (best_count == 0 || (spec.shape == JobShape::gang && best_count < tasks.size())) return best;
+  return assign_greedily(spec, tasks, bins, by_zone, best_zone);
 }
 
 }  // namespace oxbowmill
--- a/src/core/placing.cpp
+++ b/src/core/placing.cpp
@@ -9,186 +9,197 @@
 
 namespace {
 
-constexpr double leave_s = 1.5;        // from the stop of a task that has saved to a start in its room
-constexpr double hand_over_s = 4;      // until a machine that another part drains for us reports here
-constexpr double worth_looking_s = 5;  // a gang that would start later than this is worth a second look
-constexpr double leader_looks_s = 0.7;
-constexpr double gather_s = 1.5;  // between two changes that place parts of a job, while changes are scarce
-constexpr std::size_t most_failures = 64;
+constexpr double stop_duration_s = 1.5;    // from the stop of a task that has saved to a start in its room
+constexpr double handover_duration_s = 4;  // until a machine that another part drains for us reports here
+constexpr double reselection_threshold_s =
+    5;  // a gang that would start later than this is worth a second look
+constexpr double leader_response_s = 0.7;
+constexpr double partial_placement_interval_s =
+    1.5;  // between two changes that place parts of a job, while changes are scarce
+constexpr std::size_t max_failures = 64;
 constexpr Seconds never = std::numeric_limits<double>::infinity();
-constexpr double gather_from_share = 0.35;  // of the changes a second, written by this owner alone
+constexpr double partial_placement_write_fraction =
+    0.35;  // of the changes a second, written by this owner alone
 
 /// It still takes up its room, but not for long. (What is off already has left it.)
-bool is_leaving(const Placement& p) {
-  return p.state == PlacementState::stopping;
+bool is_stopping(const Placement& placement) {
+  return placement.state == PlacementState::stopping;
 }
 
 }  // namespace
 
-SelectionQuery Scheduler::query_for(const Job& j, Seconds now) const {
+SelectionQuery Scheduler::query_for(const Job& job, Seconds now) const {
   SelectionQuery query;
-  query.spec = &j.spec;
-  for (std::uint32_t z = 0; z < model_.names.zones.size(); ++z)
-    query.unreachable.push_back(dark(ZoneIndex{z}, now));
-  query.fetch_backlog_s = [this, now](MachineIndex m) { return capacity_.fetch_backlog_s(m, now); };
+  query.spec = &job.spec;
+  for (std::uint32_t z = 0; z < state_.names.zones.size(); ++z)
+    query.unreachable.push_back(is_unreachable(ZoneIndex{z}, now));
+  query.fetch_backlog_s = [this, now](MachineIndex machine_index) {
+    return capacity_.fetch_backlog_s(machine_index, now);
+  };
   return query;
 }
 
-std::vector<Scheduler::ForecastNode> Scheduler::forecast_of(PartIndex part, Seconds now) {
-  std::vector<ForecastNode> forecast;
-  auto add = [&](MachineIndex mi, Seconds wait) {
-    const Machine& m = model_.machine(mi);
-    forecast.push_back(
-        {{mi, m.rec.type, m.rec.zone, m.rec.spot, wait, Amounts{}}, model_.catalog[m.rec.type.v].room});
+std::vector<Scheduler::ForecastMachine> Scheduler::forecast_of(PartitionIndex partition, Seconds now) {
+  std::vector<ForecastMachine> forecast;
+  auto add_forecast = [&](MachineIndex machine_index, Seconds wait) {
+    const Machine& m = state_.machine(machine_index);
+    forecast.push_back({{machine_index, m.record.type, m.record.zone, m.record.spot, wait, Resources{}},
+                        state_.catalog[m.record.type.value].capacity});
   };
-  const FreeCapacity& capacity = capacity_.of(part);
+  const FreeCapacity& capacity = capacity_.free_capacity(partition);
   for (MachineIndex mi : capacity.booting()) {
-    if (!dark(model_.machine(mi).rec.zone, now))
-      add(mi, std::max(model_.settings.report_s, capacity.find(mi)->up_at - now));
+    if (!is_unreachable(state_.machine(mi).record.zone, now))
+      add_forecast(mi, std::max(state_.settings.report_interval_s, capacity.find(mi)->expected_up_at - now));
   }
-  for (MachineIndex mi : model_.machines_wanted_by(part)) add(mi, hand_over_s);
+  for (MachineIndex mi : state_.machines_requested_by(partition)) add_forecast(mi, handover_duration_s);
   return forecast;
 }
 
-bool Scheduler::may_make_room(const Job& victim, const Placement& p, const Job& j, Clock clock) const {
-  return model_.settings.op.preempt && victim.spec.rank < j.spec.rank && victim.spec.save_every_s > 0 &&
-         may_be_stopped(model_, victim, p, clock);
+bool Scheduler::may_preempt(const Job& victim, const Placement& placement, const Job& job,
+                            Clock clock) const {
+  return state_.settings.operator_settings.preempt && victim.spec.priority < job.spec.priority &&
+         victim.spec.checkpoint_interval_s > 0 && is_preemptible(state_, victim, placement, clock);
 }
 
-std::vector<CandidateNode> Scheduler::forecast_for(const Job& j, const Cycle& cycle, bool preempting) {
-  std::vector<CandidateNode> nodes;
+std::vector<CandidateMachine> Scheduler::forecast_for(const Job& job, const Cycle& cycle, bool preempting) {
+  std::vector<CandidateMachine> nodes;
   const FreeCapacity& capacity = *cycle.capacity;
-  const Amounts& need = j.spec.need;
-  auto lacks_room = [&](MachineIndex mi) {
-    const CandidateNode& node = capacity.find(mi)->node;
-    return !fits(need, node.room) && !dark(node.zone, cycle.clock.now);
+  const Resources& need = job.spec.task_resources;
+  auto lacks_room = [&](MachineIndex machine_index) {
+    const CandidateMachine& node = capacity.find(machine_index)->candidate;
+    return !fits(need, node.free_capacity) && !is_unreachable(node.zone, cycle.clock.now);
   };
-  for (MachineIndex mi : capacity.with_leaving()) {
+  for (MachineIndex mi : capacity.with_releasing()) {
     if (!lacks_room(mi)) continue;
-    nodes.push_back(capacity.find(mi)->node);
-    nodes.back().room += capacity.find(mi)->leaving;
-    nodes.back().wait_s = leave_s;
+    nodes.push_back(capacity.find(mi)->candidate);
+    nodes.back().free_capacity += capacity.find(mi)->releasing;
+    nodes.back().available_in_s = stop_duration_s;
   }
-  for (const ForecastNode& f : cycle.forecast) {
-    nodes.push_back(f.node);
-    nodes.back().room = f.coming;
+  for (const ForecastMachine& f : cycle.forecast) {
+    nodes.push_back(f.candidate);
+    nodes.back().free_capacity = f.expected_capacity;
   }
   if (!preempting) {
-    see_as(j.spec, model_, nodes);
+    evaluate_for_job(job.spec, state_, nodes);
     return nodes;
   }
   for (MachineIndex mi : capacity.preemptible()) {
     const MachineCapacity& offer = *capacity.find(mi);
-    if (offer.lowest_rank >= j.spec.rank || !lacks_room(mi)) continue;
-    if (fits(need, offer.node.room + offer.leaving)) continue;
-    CandidateNode node = offer.node;
-    node.room += offer.leaving;
-    node.wait_s = leave_s;
-    add_victims(j, node, cycle.clock);
-    if (fits(need, node.room)) nodes.push_back(node);
+    if (offer.lowest_priority >= job.spec.priority || !lacks_room(mi)) continue;
+    if (fits(need, offer.candidate.free_capacity + offer.releasing)) continue;
+    CandidateMachine node = offer.candidate;
+    node.free_capacity += offer.releasing;
+    node.available_in_s = stop_duration_s;
+    add_preemptible_capacity(job, node, cycle.clock);
+    if (fits(need, node.free_capacity)) nodes.push_back(node);
   }
-  see_as(j.spec, model_, nodes);
+  evaluate_for_job(job.spec, state_, nodes);
   return nodes;
 }
 
-void Scheduler::add_victims(const Job& j, CandidateNode& node, Clock clock) const {
-  for (TaskId id : model_.machine(node.machine).on) {
-    const Job& victim = model_.job(id.job);
-    const Placement& p = *model_.find_placement(id);
-    if (!may_make_room(victim, p, j, clock) || is_leaving(p) || is_off(p.state)) continue;
-    node.room += victim.spec.need;
-    node.wait_s = std::max(node.wait_s, leave_s + victim.spec.flush_s);
-    node.cost = 2;
+void Scheduler::add_preemptible_capacity(const Job& job, CandidateMachine& node, Clock clock) const {
+  for (TaskId id : state_.machine(node.machine).placed_tasks) {
+    const Job& victim = state_.job(id.job);
+    const Placement& p = *state_.find_placement(id);
+    if (!may_preempt(victim, p, job, clock) || is_stopping(p) || is_off_machine(p.state)) continue;
+    node.free_capacity += victim.spec.task_resources;
+    node.available_in_s = std::max(node.available_in_s, stop_duration_s + victim.spec.flush_s);
+    node.acquisition_cost = 2;
   }
 }
 
-void Scheduler::make_room(const Job& j, const Selection& selection, Clock clock) {
-  std::map<MachineIndex, Amounts> needed;
-  for (const Choice& c : selection.choices) needed[selection.nodes[c.node].machine] += j.spec.need;
+void Scheduler::preempt_for(const Job& job, const Selection& selection, Clock clock) {
+  std::map<MachineIndex, Resources> needed;
+  for (const TaskAssignment& c : selection.assignments)
+    needed[selection.machines[c.candidate].machine] += job.spec.task_resources;
   for (auto& [mi, need] : needed) {
-    const Machine& m = model_.machine(mi);
-    if (m.rec.part != j.spec.part) continue;
-    Amounts free = model_.room(m);
-    for (TaskId id : m.on) {
-      if (is_leaving(*model_.find_placement(id))) free += model_.job(id.job).spec.need;
+    const Machine& machine = state_.machine(mi);
+    if (machine.record.partition != job.spec.partition) continue;
+    Resources free = state_.free_capacity(machine);
+    for (TaskId id : machine.placed_tasks) {
+      if (is_stopping(*state_.find_placement(id))) free += state_.job(id.job).spec.task_resources;
     }
-    for (TaskId id : std::vector<TaskId>(m.on)) {
+    for (TaskId id : std::vector<TaskId>(machine.placed_tasks)) {
       if (fits(need, free)) break;
-      if (!may_make_room(model_.job(id.job), *model_.find_placement(id), j, clock)) continue;
-      Placement& p = *model_.edit_placement(id);
-      Job& victim = model_.job(id.job);
-      if (is_leaving(p) || is_off(p.state)) continue;
-      free += victim.spec.need;
-      SPDLOG_DEBUG("task {}/{} makes room for job {}", victim.spec.ref, id.task, j.spec.ref);
-      stop(p, victim.spec.flush_s, clock.now);
-      if (victim.spec.shape == Shape::gang) check_gang(victim, clock.now);
+      if (!may_preempt(state_.job(id.job), *state_.find_placement(id), job, clock)) continue;
+      Placement& placement = *state_.edit_placement(id);
+      Job& victim = state_.job(id.job);
+      if (is_stopping(placement) || is_off_machine(placement.state)) continue;
+      free += victim.spec.task_resources;
+      SPDLOG_DEBUG("task {}/{} makes room for job {}", victim.spec.ref, id.task, job.spec.ref);
+      stop(placement, victim.spec.flush_s, clock.now);
+      if (victim.spec.shape == JobShape::gang) check_gang(victim, clock.now);
     }
   }
 }
 
-void Scheduler::plan(JobIndex ji, const std::vector<PlacedTask>& here,
+void Scheduler::plan(JobIndex job_index, const std::vector<PlacedTask>& here,
                      std::map<JobIndex, std::vector<PlacedTask>>& planned) {
-  Job& j = model_.job(ji);
-  bool gang = j.spec.shape == Shape::gang;
-  PartIndex part = j.spec.part;
-  Attempt shared = !gang ? 0 : j.placed.empty() ? next_attempt(part) : j.placed.begin()->second.attempt;
+  Job& j = state_.job(job_index);
+  bool gang = j.spec.shape == JobShape::gang;
+  PartitionIndex partition = j.spec.partition;
+  Attempt shared = !gang                  ? 0
+                   : j.placements.empty() ? next_attempt(partition)
+                                          : j.placements.begin()->second.attempt;
   // What exceeds one transaction follows in the next; the rest of a large gang as missing members.
   std::set<MachineIndex> machines;
   std::set<std::uint32_t> chunks;
   for (PlacedTask task : here) {
     machines.insert(task.machine);
-    chunks.insert(task.task / chunk_tasks);
-    if (machines.size() > most_machines(model_.settings) || chunks.size() > most_chunks(model_.settings))
+    chunks.insert(task.task / tasks_per_chunk);
+    if (machines.size() > max_guarded_machines(state_.settings) ||
+        chunks.size() > max_chunks(state_.settings))
       break;
-    task.attempt = gang ? shared : next_attempt(part);
-    planned[ji].push_back(task);
+    task.attempt = gang ? shared : next_attempt(partition);
+    planned[job_index].push_back(task);
   }
 }
 
-void Scheduler::let_go_if_stranded(Job& j, Seconds now) {
+void Scheduler::release_unschedulable_gang(Job& current_job, Seconds now) {
   // Two gangs that each hold half of what both need would hold it for ever.
-  if (j.stranded_since < 0) j.stranded_since = now;
-  if (now - j.stranded_since < model_.settings.gang_wait_s) return;
-  SPDLOG_INFO("job {}: its missing members have nowhere to go; the others let go", j.spec.ref);
-  j.stranded_since = -1;
-  for (auto& [t, p] : j.placed) stop(p, 0, now);
+  if (current_job.unschedulable_since < 0) current_job.unschedulable_since = now;
+  if (now - current_job.unschedulable_since < state_.settings.gang_wait_timeout_s) return;
+  SPDLOG_INFO("job {}: its missing members have nowhere to go; the others let go", current_job.spec.ref);
+  current_job.unschedulable_since = -1;
+  for (auto& [t, p] : current_job.placements) stop(p, 0, now);
 }
 
-bool Scheduler::needs_whole_machines(PartIndex part) const {
-  const auto& live = model_.live_jobs(part);
-  return std::any_of(live.begin(), live.end(), [this](JobIndex ji) {
-    const Job& j = model_.job(ji);
-    return j.spec.shape == Shape::gang && j.share > 0.5;
+bool Scheduler::needs_whole_machines(PartitionIndex partition) const {
+  const auto& live = state_.live_jobs(partition);
+  return std::any_of(live.begin(), live.end(), [this](JobIndex job_index) {
+    const Job& j = state_.job(job_index);
+    return j.spec.shape == JobShape::gang && j.machine_fraction > 0.5;
   });
 }
 
-std::vector<TaskNo> Scheduler::leave_whole_ones(const Job& j, Cycle& cycle, SelectionQuery& query,
-                                                std::vector<TaskNo> tasks) {
+std::vector<TaskNumber> Scheduler::keep_whole_machines_free(const Job& job, Cycle& cycle,
+                                                            SelectionQuery& query,
+                                                            std::vector<TaskNumber> tasks) {
   // Gangs wait for whole ordinary machines, and each short task on one keeps them from it. Work that may run
   // on cheap machines leaves them alone while cheap ones are asked for or on their way.
-  if (j.spec.shape != Shape::array || !j.spec.spot) return tasks;
-  auto will_do = [&](const CandidateNode& node) {
-    return node.spot && allowed_on(j.spec, node.type, node.zone, true);
+  if (job.spec.shape != JobShape::array || !job.spec.spot) return tasks;
+  auto will_do = [&](const CandidateMachine& node) {
+    return node.spot && is_allowed_on(job.spec, node.type, node.zone, true);
   };
-  query.spare_whole = true;
-  std::size_t elsewhere = cycle.capacity->count_cheap_places(query, tasks.size());
+  query.avoid_whole_machines = true;
+  std::size_t elsewhere = cycle.capacity->count_packed_places(query, tasks.size());
   if (tasks.size() <= elsewhere) return tasks;
   std::size_t coming = 0;
-  for (const ForecastNode& f : cycle.forecast) {
-    if (will_do(f.node) && fills_cheaply(j.spec, model_.catalog[f.node.type.v]))
-      coming += static_cast<std::size_t>(how_many_fit(j.spec.need, f.coming));
+  for (const ForecastMachine& f : cycle.forecast) {
+    if (will_do(f.candidate) && packs_with_others(job.spec, state_.catalog[f.candidate.type.value]))
+      coming += static_cast<std::size_t>(how_many_fit(job.spec.task_resources, f.expected_capacity));
   }
-  bool patient = cycle.clock.now - j.first_seen < model_.settings.op.rent_patience_s;
+  bool patient = cycle.clock.now - job.first_seen < state_.settings.operator_settings.scale_out_delay_s;
   if (!patient && tasks.size() > elsewhere + coming) {
-    query.spare_whole = false;  // more than comes: what is left over may have the whole ones
+    query.avoid_whole_machines = false;  // more than comes: what is left over may have the whole ones
     return tasks;
   }
   // The rest waits for what comes, and those behind it see that room as taken.
   std::size_t rest = tasks.size() - elsewhere;
-  for (ForecastNode& f : cycle.forecast) {
-    if (!will_do(f.node)) continue;
-    while (rest > 0 && fits(j.spec.need, f.coming)) {
-      f.coming -= j.spec.need;
+  for (ForecastMachine& f : cycle.forecast) {
+    if (!will_do(f.candidate)) continue;
+    while (rest > 0 && fits(job.spec.task_resources, f.expected_capacity)) {
+      f.expected_capacity -= job.spec.task_resources;
       --rest;
     }
   }
@@ -196,180 +207,194 @@
   return tasks;
 }
 
-void Scheduler::place(PartIndex part, Clock clock, bool thorough,
+void Scheduler::place(PartitionIndex partition, Clock clock, bool thorough,
                       std::map<JobIndex, std::vector<PlacedTask>>& planned) {
   capacity_.refresh(clock.now);
-  if (checks_capacity_) capacity_.require_consistent(clock.now);
-  LastCycle& last = last_cycles_[part.v];
-  if (!thorough && is_unchanged(part, last, clock.now)) return;
-  last = {capacity_.version(part), never};
-  auto order = waiting_order(model_, part, clock);
+  if (capacity_check_enabled_) capacity_.require_consistent(clock.now);
+  LastCycle& last = last_cycles_[partition.value];
+  if (!thorough && is_unchanged(partition, last, clock.now)) return;
+  last = {capacity_.version(partition), never};
+  auto order = waiting_order(state_, partition, clock);
   if (order.empty()) return;
   // Of a gang that is not in the order an earlier attempt has yet to end.
-  for (JobIndex ji : model_.live_jobs(part)) model_.job(ji).waits_for = WaitCause::attempt;
-  for (const Waiting& w : order) model_.job(w.job).waits_for = WaitCause::turn;
-  Cycle cycle{part,
+  for (JobIndex ji : state_.live_jobs(partition))
+    state_.job(ji).pending_reason = PendingReason::previous_attempt;
+  for (const WaitingJob& w : order) state_.job(w.job).pending_reason = PendingReason::queue_order;
+  Cycle cycle{partition,
               clock,
               thorough,
-              needs_whole_machines(part),
-              &capacity_.of(part),
-              forecast_of(part, clock.now),
-              quota_left(part),
+              needs_whole_machines(partition),
+              &capacity_.free_capacity(partition),
+              forecast_of(partition, clock.now),
+              quota_left(partition),
               {},
               &last,
               &planned};
-  for (const Waiting& waiting : order) model_.job(waiting.job).waits_for = place_job(cycle, waiting);
+  for (const WaitingJob& waiting : order) state_.job(waiting.job).pending_reason = place_job(cycle, waiting);
 }
 
-bool Scheduler::is_unchanged(PartIndex part, const LastCycle& last, Seconds now) const {
-  if (model_.counsel != nullptr || now >= last.wake_at || last.version != capacity_.version(part))
+bool Scheduler::is_unchanged(PartitionIndex partition, const LastCycle& last, Seconds now) const {
+  if (state_.constraints != nullptr || now >= last.wake_at || last.version != capacity_.version(partition))
     return false;
-  return std::none_of(model_.dirty.begin(), model_.dirty.end(), [&](JobIndex ji) {
-    const Job* job = model_.known_job(ji);
-    return job != nullptr && job->spec.part == part;
+  return std::none_of(state_.dirty_jobs.begin(), state_.dirty_jobs.end(), [&](JobIndex job_index) {
+    const Job* job = state_.known_job(job_index);
+    return job != nullptr && job->spec.partition == partition;
   });
 }
 
-Amounts Scheduler::quota_left(PartIndex part) const {
-  const Team& team = model_.settings.teams[part.v];
+Resources Scheduler::quota_left(PartitionIndex partition) const {
+  const Team& team = state_.settings.teams[partition.value];
   auto quota = [](double most, double used) { return most > 0 ? most - used : 1e12; };
-  Amounts use = model_.team_use(part);  // all that is possibly on a machine, with what is being written
-  return {quota(team.most.cpus, use.cpus), quota(team.most.gpus, use.gpus), 1e12};
+  Resources use =
+      state_.team_usage(partition);  // all that is possibly on a machine, with what is being written
+  return {quota(team.limit.cpus, use.cpus), quota(team.limit.gpus, use.gpus), 1e12};
 }
 
-WaitCause Scheduler::place_job(Cycle& cycle, const Waiting& waiting) {
-  Job& j = model_.job(waiting.job);
+PendingReason Scheduler::place_job(Cycle& cycle, const WaitingJob& waiting) {
+  Job& current_job = state_.job(waiting.job);
   Seconds now = cycle.clock.now;
-  if (j.writing || now < j.write_after) {
-    cycle.last->wake_by(j.write_after);
-    return WaitCause::transaction;
+  if (current_job.writing || now < current_job.write_backoff_until) {
+    cycle.last->wake_by(current_job.write_backoff_until);
+    return PendingReason::transaction_pending;
   }
-  if (now < j.place_after) {
-    cycle.last->wake_by(j.place_after);
-    return WaitCause::pause;
+  if (now < current_job.placement_backoff_until) {
+    cycle.last->wake_by(current_job.placement_backoff_until);
+    return PendingReason::error_backoff;
   }
-  bool gang = j.spec.shape == Shape::gang;
+  bool gang = current_job.spec.shape == JobShape::gang;
   std::size_t most = std::min<std::size_t>(
-      model_.placeable(waiting.job), static_cast<std::size_t>(how_many_fit(j.spec.need, cycle.quota_left)));
-  if (most == 0 || (gang && most < j.pending())) return WaitCause::limit;
-  auto tasks = model_.pending_tasks(j, most);
-  SelectionQuery query = query_for(j, now);
-  query.pressed = waiting.promise != Promise::ample;
-  if (cycle.spare_whole && !query.pressed) tasks = leave_whole_ones(j, cycle, query, tasks);
-  if (tasks.empty()) return WaitCause::cheap;
-  Selection selection = select_nodes(cycle, j, query, tasks);
-  if (selection.choices.empty()) {
-    if (gang && !j.placed.empty()) let_go_if_stranded(j, now);
-    return WaitCause::room;
+      state_.placeable_tasks(waiting.job),
+      static_cast<std::size_t>(how_many_fit(current_job.spec.task_resources, cycle.quota_left)));
+  if (most == 0 || (gang && most < current_job.pending_count())) return PendingReason::quota;
+  auto tasks = state_.pending_tasks(current_job, most);
+  SelectionQuery query = query_for(current_job, now);
+  query.has_start_deadline = waiting.start_deadline != StartDeadline::relaxed;
+  if (cycle.avoid_whole_machines && !query.has_start_deadline)
+    tasks = keep_whole_machines_free(current_job, cycle, query, tasks);
+  if (tasks.empty()) return PendingReason::awaiting_spot;
+  Selection selection = select_machines(cycle, current_job, query, tasks);
+  if (selection.assignments.empty()) {
+    if (gang && !current_job.placements.empty()) release_unschedulable_gang(current_job, now);
+    return PendingReason::no_capacity;
   }
-  j.stranded_since = -1;
-  return hold_and_plan(cycle, waiting.job, tasks.size(), selection);
+  current_job.unschedulable_since = -1;
+  return reserve_and_plan(cycle, waiting.job, tasks.size(), selection);
 }
 
-Selection Scheduler::select_nodes(Cycle& cycle, const Job& j, const SelectionQuery& query,
-                                  const std::vector<TaskNo>& tasks) {
-  bool gang = j.spec.shape == Shape::gang;
-  bool preempting = model_.settings.op.preempt && j.spec.rank > Rank::low && cycle.thorough;
-  if (cycle.failed.covers(j, tasks.size(), query.spare_whole, preempting)) return {};
-  auto by_zone = tasks_by_zone(model_, j);
+Selection Scheduler::select_machines(Cycle& cycle, const Job& job, const SelectionQuery& query,
+                                     const std::vector<TaskNumber>& tasks) {
+  bool gang = job.spec.shape == JobShape::gang;
+  bool preempting =
+      state_.settings.operator_settings.preempt && job.spec.priority > Priority::low && cycle.thorough;
+  if (cycle.failed.covers(job, tasks.size(), query.avoid_whole_machines, preempting)) return {};
+  auto by_zone = tasks_by_zone(state_, job);
   FreeCapacity& capacity = *cycle.capacity;
   Selection selection = capacity.select(query, tasks, by_zone);
   Seconds start = selection.last_start_s();
   SelectionQuery ahead = query;
-  ahead.pressed = ahead.spare_whole = false;
+  ahead.has_start_deadline = ahead.avoid_whole_machines = false;
   // A gang is not only whole or nothing: while the rest of its machines are sure to come, its members
   // fetch and wait on those that are there. Otherwise smaller jobs would take these one by one. And a
   // machine that has the image may start it sooner than one that is free.
-  if (gang && (selection.choices.empty() || start > worth_looking_s)) {
+  if (gang && (selection.assignments.empty() || start > reselection_threshold_s)) {
     for (bool others : {false, true}) {
       if (others && !preempting) continue;
-      Selection better = capacity.select(ahead, tasks, by_zone, forecast_for(j, cycle, others));
-      if (better.choices.empty()) continue;
-      if (!selection.choices.empty() && better.last_start_s() + leave_s > start) continue;
+      Selection better = capacity.select(ahead, tasks, by_zone, forecast_for(job, cycle, others));
+      if (better.assignments.empty()) continue;
+      if (!selection.assignments.empty() && better.last_start_s() + stop_duration_s > start) continue;
       selection = std::move(better);
       start = selection.last_start_s();
     }
-  } else if (selection.choices.size() < tasks.size() && preempting) {
-    std::size_t soon = capacity.select(ahead, tasks, by_zone, forecast_for(j, cycle, false)).choices.size();
-    Selection more = capacity.select(ahead, tasks, by_zone, forecast_for(j, cycle, true));
-    if (more.choices.size() > soon) make_room(j, more, cycle.clock);
-    if (!more.choices.empty()) return selection;
+  } else if (selection.assignments.size() < tasks.size() && preempting) {
+    std::size_t soon =
+        capacity.select(ahead, tasks, by_zone, forecast_for(job, cycle, false)).assignments.size();
+    Selection more = capacity.select(ahead, tasks, by_zone, forecast_for(job, cycle, true));
+    if (more.assignments.size() > soon) preempt_for(job, more, cycle.clock);
+    if (!more.assignments.empty()) return selection;
   }
-  if (selection.choices.empty()) cycle.failed.add(j, tasks.size(), query.spare_whole, preempting);
+  if (selection.assignments.empty())
+    cycle.failed.add(job, tasks.size(), query.avoid_whole_machines, preempting);
   return selection;
 }
 
-WaitCause Scheduler::hold_and_plan(Cycle& cycle, JobIndex ji, std::size_t wanted,
-                                   const Selection& selection) {
-  Job& j = model_.job(ji);
+PendingReason Scheduler::reserve_and_plan(Cycle& cycle, JobIndex job_index, std::size_t wanted,
+                                          const Selection& selection) {
+  Job& current_job = state_.job(job_index);
   Seconds now = cycle.clock.now;
-  bool gang = j.spec.shape == Shape::gang;
-  bool preempting = model_.settings.op.preempt && j.spec.rank > Rank::low && cycle.thorough;
+  bool gang = current_job.spec.shape == JobShape::gang;
+  bool preempting = state_.settings.operator_settings.preempt && current_job.spec.priority > Priority::low &&
+                    cycle.thorough;
   // The leader may know machines with the image that other work of lower rank holds: it gets a moment to
   // ask for them before a long fetch begins.
-  bool look_first = gang && j.spec.rank >= Rank::high && selection.last_start_s() > worth_looking_s &&
-                    j.placed.empty() && model_.settings.op.preempt && now - j.first_seen < leader_looks_s;
-  if (look_first) cycle.last->wake_by(j.first_seen + leader_looks_s);
-  if (gang && preempting && !look_first) make_room(j, selection, cycle.clock);
-  cycle.quota_left -= static_cast<double>(selection.choices.size()) * j.spec.need;
+  bool look_first = gang && current_job.spec.priority >= Priority::high &&
+                    selection.last_start_s() > reselection_threshold_s && current_job.placements.empty() &&
+                    state_.settings.operator_settings.preempt &&
+                    now - current_job.first_seen < leader_response_s;
+  if (look_first) cycle.last->wake_by(current_job.first_seen + leader_response_s);
+  if (gang && preempting && !look_first) preempt_for(current_job, selection, cycle.clock);
+  cycle.quota_left -= static_cast<double>(selection.assignments.size()) * current_job.spec.task_resources;
   std::vector<PlacedTask> here;
-  for (const Choice& c : selection.choices) {
-    const CandidateNode& node = selection.nodes[c.node];
-    if (hold(cycle, j, node, look_first)) here.push_back({c.task, node.machine, 0, false});
+  for (const TaskAssignment& c : selection.assignments) {
+    const CandidateMachine& node = selection.machines[c.candidate];
+    if (reserve(cycle, current_job, node, look_first)) here.push_back({c.task, node.machine, 0, false});
   }
   // Machines that come one by one would cost a change each: what is there is held, and written together.
-  bool gathers = here.size() < wanted && busy(gather_from_share) && now - j.planned_at < gather_s;
-  if (gathers) cycle.last->wake_by(j.planned_at + gather_s);
+  bool gathers = here.size() < wanted && exceeds_write_fraction(partial_placement_write_fraction) &&
+                 now - current_job.last_placement_at < partial_placement_interval_s;
+  if (gathers) cycle.last->wake_by(current_job.last_placement_at + partial_placement_interval_s);
   if (!gathers && !here.empty()) {
-    j.planned_at = now;
-    plan(ji, here, *cycle.planned);
+    current_job.last_placement_at = now;
+    plan(job_index, here, *cycle.planned);
   }
-  return look_first                               ? WaitCause::leader
-         : gathers                                ? WaitCause::changes
-         : here.size() < selection.choices.size() ? WaitCause::coming
-         : here.size() < wanted                   ? WaitCause::room
-                                                  : WaitCause::transaction;
+  return look_first                                   ? PendingReason::awaiting_leader
+         : gathers                                    ? PendingReason::write_budget
+         : here.size() < selection.assignments.size() ? PendingReason::capacity_coming
+         : here.size() < wanted                       ? PendingReason::no_capacity
+                                                      : PendingReason::transaction_pending;
 }
 
-bool Scheduler::hold(Cycle& cycle, const Job& j, const CandidateNode& node, bool look_first) {
+bool Scheduler::reserve(Cycle& cycle, const Job& job, const CandidateMachine& node, bool look_first) {
   FreeCapacity& capacity = *cycle.capacity;
   const MachineCapacity* offer = capacity.find(node.machine);
-  bool up = offer != nullptr && !offer->booting;
-  if (up && fits(j.spec.need, offer->node.room)) {
-    capacity.take(node.machine, j.spec.need);
+  bool booted = offer != nullptr && !offer->booting;
+  if (booted && fits(job.spec.task_resources, offer->candidate.free_capacity)) {
+    capacity.take(node.machine, job.spec.task_resources);
     if (look_first) return false;
     // Its fetch, which those behind it would share.
     if (node.start_s > 0) capacity.add_fetch(node.machine, node.start_s);
-    if (j.spec.shape == Shape::service) capacity.host_service(node.machine);
+    if (job.spec.shape == JobShape::service) capacity.host_service(node.machine);
     return true;
   }
-  if (up) {
-    capacity.take_leaving(node.machine, j.spec.need);
+  if (booted) {
+    capacity.take_releasing(node.machine, job.spec.task_resources);
     return false;
   }
-  for (ForecastNode& f : cycle.forecast) {
-    if (f.node.machine == node.machine) f.coming -= j.spec.need;
+  for (ForecastMachine& f : cycle.forecast) {
+    if (f.candidate.machine == node.machine) f.expected_capacity -= job.spec.task_resources;
   }
   return false;
 }
 
-void FailedSelections::add(const Job& j, std::size_t tasks, bool spare_whole, bool preempting) {
+void FailedSelections::add(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool preempting) {
   // Where its other tasks are decides as well; and a long list would cost more than it saves.
-  if (!j.placed.empty() || j.spec.scatter || failed_.size() >= most_failures) return;
-  failed_.push_back({&j.spec, tasks, spare_whole, preempting});
+  if (!job.placements.empty() || job.spec.spread_zones || failures_.size() >= max_failures) return;
+  failures_.push_back({&job.spec, tasks, avoid_whole_machines, preempting});
 }
 
-bool FailedSelections::covers(const Job& j, std::size_t tasks, bool spare_whole, bool preempting) const {
-  if (!j.placed.empty()) return false;
-  const JobSpec& spec = j.spec;
-  return std::any_of(failed_.begin(), failed_.end(), [&](const Failure& f) {
-    const JobSpec& other = *f.spec;
+bool FailedSelections::covers(const Job& job, std::size_t tasks, bool avoid_whole_machines,
+                              bool preempting) const {
+  if (!job.placements.empty()) return false;
+  const JobSpec& spec = job.spec;
+  return std::any_of(failures_.begin(), failures_.end(), [&](const Failure& failure) {
+    const JobSpec& other = *failure.spec;
     bool same = other.types == spec.types && other.zone == spec.zone && other.spot == spec.spot &&
-                other.one_zone == spec.one_zone && other.shape == spec.shape && f.spare_whole == spare_whole;
-    bool asks_more = other.need.cpus <= spec.need.cpus && other.need.gpus <= spec.need.gpus &&
-                     other.need.memory_gb <= spec.need.memory_gb &&
-                     (spec.shape != Shape::gang || f.tasks <= tasks);
-    bool stops_no_more = !preempting || (f.preempting && other.rank >= spec.rank);
+                other.single_zone == spec.single_zone && other.shape == spec.shape &&
+                failure.avoid_whole_machines == avoid_whole_machines;
+    bool asks_more = other.task_resources.cpus <= spec.task_resources.cpus &&
+                     other.task_resources.gpus <= spec.task_resources.gpus &&
+                     other.task_resources.memory_gb <= spec.task_resources.memory_gb &&
+                     (spec.shape != JobShape::gang || failure.task_count <= tasks);
+    bool stops_no_more = !preempting || (failure.preempting && other.priority >= spec.priority);
     return same && asks_more && stops_no_more;
   });
 }
--- a/src/core/renting.cpp
+++ b/src/core/renting.cpp
@@ -7,186 +7,200 @@
 namespace oxbowmill {
 
 namespace {
-constexpr std::uint32_t most_per_request = 50;  // the cloud's limit
-constexpr double turnover_memory_s = 30;
-constexpr double standby_share = 0.1;  // of the machines of a kind, at most
+constexpr std::uint32_t max_machines_per_request = 50;  // the cloud's limit
+constexpr double turnover_window_s = 30;
+constexpr double max_warm_fraction = 0.1;  // of the machines of a kind, at most
 }  // namespace
 
-void Fleet::note_need(JobIndex ji, std::uint32_t tasks, bool guaranteed, Clock clock) {
-  const Job& j = model_.job(ji);
-  const JobSpec& spec = j.spec;
-  Need n;
-  n.job = ji;
-  n.part = spec.part;
-  n.rank = spec.rank;
-  n.guaranteed = guaranteed;
-  n.spot = spec.spot && model_.settings.op.use_spot;
-  n.tasks = tasks;
-  n.zone = spec.zone;
-  n.run_s = spec.estimate_s;
-  n.waited_s = clock.now - j.first_seen;
+void Autoscaler::note_unmet_demand(JobIndex job_index, std::uint32_t tasks, bool guaranteed, Clock clock) {
+  const Job& job = state_.job(job_index);
+  const JobSpec& spec = job.spec;
+  UnmetDemand demand;
+  demand.job = job_index;
+  demand.partition = spec.partition;
+  demand.priority = spec.priority;
+  demand.guaranteed = guaranteed;
+  demand.spot = spec.spot && state_.settings.operator_settings.use_spot;
+  demand.tasks = tasks;
+  demand.zone = spec.zone;
+  demand.estimated_run_s = spec.estimate_s;
+  demand.waited_s = clock.now - job.first_seen;
   if (spec.deadline_s >= 0) {
-    double fetch = model_.catalog.empty() ? 0 : fetch_time(spec, model_.catalog.front());
-    n.slack_s = spec.submitted_at + spec.deadline_s - spec.estimate_s - fetch - clock.wall;
+    double fetch = state_.catalog.empty() ? 0 : fetch_time(spec, state_.catalog.front());
+    demand.slack_s = spec.submitted_at + spec.deadline_s - spec.estimate_s - fetch - clock.wall;
   }
-  for (std::uint32_t t = 0; t < model_.catalog.size(); ++t) {
-    n.per_machine.push_back(spec.allows(TypeIndex{t})
-                                ? static_cast<std::uint32_t>(how_many_fit(spec.need, model_.catalog[t].room))
-                                : 0);
+  for (std::uint32_t t = 0; t < state_.catalog.size(); ++t) {
+    demand.tasks_per_machine.push_back(
+        spec.allows(TypeIndex{t})
+            ? static_cast<std::uint32_t>(how_many_fit(spec.task_resources, state_.catalog[t].capacity))
+            : 0);
   }
-  needs_.push_back(std::move(n));
+  unmet_demands_.push_back(std::move(demand));
 }
 
-void Fleet::serve_needs(std::vector<std::vector<CandidateNode>>& own, Clock clock, Effects& out) {
+void Autoscaler::serve_unmet_demands(std::vector<std::vector<CandidateMachine>>& candidates_by_partition,
+                                     Clock clock, Effects& out) {
   std::vector<CloudOffer> cloud;
-  for (std::uint32_t t = 0; t < model_.catalog.size(); ++t) {
-    const MachineType& type = model_.catalog[t];
-    for (ZoneIndex z : type.zones) {
+  for (std::uint32_t type_number = 0; type_number < state_.catalog.size(); ++type_number) {
+    const MachineType& type = state_.catalog[type_number];
+    for (ZoneIndex zone : type.zones) {
       for (bool spot : {true, false}) {
-        Kind k{TypeIndex{t}, z, spot};
-        if (scheduler_.dark(z, clock.now) || refused(k, clock.now) || asked_for(k)) continue;
-        if (spot && !model_.settings.op.use_spot) continue;
-        cloud.push_back(
-            {k.type, z, spot, spot ? type.spot_price : type.price, type.boot_s, most_per_request});
+        MachineKind kind{TypeIndex{type_number}, zone, spot};
+        if (scheduler_.is_unreachable(zone, clock.now) || is_refused(kind, clock.now) || is_requested(kind))
+          continue;
+        if (spot && !state_.settings.operator_settings.use_spot) continue;
+        cloud.push_back({kind.type, zone, spot, spot ? type.spot_price : type.price, type.boot_s,
+                         max_machines_per_request});
       }
     }
   }
-  std::vector<std::uint32_t> rest = source_->plan(needs_, cloud, clock, out);
-  for (std::size_t i = 0; i < needs_.size(); ++i) {
-    if (rest[i] > 0) rent_for(model_.job(needs_[i].job), rest[i], clock, own[needs_[i].part.v]);
+  std::vector<std::uint32_t> rest = source_->plan(unmet_demands_, cloud, clock, out);
+  for (std::size_t i = 0; i < unmet_demands_.size(); ++i) {
+    if (rest[i] > 0)
+      request_machines(state_.job(unmet_demands_[i].job), rest[i], clock,
+                       candidates_by_partition[unmet_demands_[i].partition.value]);
   }
-  needs_.clear();
+  unmet_demands_.clear();
 }
 
-void Fleet::note_turnover(const Job& j, const CandidateNode& b, std::uint32_t count, Seconds now) {
-  if (j.spec.shape == Shape::gang && j.share > 0.5 && !b.spot)
-    turnover_.push_back({now, {b.type, b.zone, false}, count});
+void Autoscaler::note_turnover(const Job& job, const CandidateMachine& right, std::uint32_t count,
+                               Seconds now) {
+  if (job.spec.shape == JobShape::gang && job.machine_fraction > 0.5 && !right.spot)
+    turnover_.push_back({now, {right.type, right.zone, false}, count});
 }
 
-void Fleet::stand_by(const std::vector<CandidateNode>& idle, Clock clock) {
+void Autoscaler::keep_warm_machines(const std::vector<CandidateMachine>& idle, Clock clock) {
   // A gang that finds no whole machines waits for a boot. So as many stand idle as gangs take, at the pace of
   // late, while one boots. The share keeps the first minutes, when everything is asked for at once, from
   // filling the fleet with machines nobody will need.
-  while (!turnover_.empty() && clock.now - turnover_.front().at > turnover_memory_s) turnover_.pop_front();
-  standby_.clear();
-  for (const Turnover& t : turnover_) standby_[t.kind] += t.count / turnover_memory_s;
-  if (standby_.empty()) return;
-  double up = 0, all = 0;
-  std::map<Kind, double> stock;
-  for (std::uint32_t i = 0; i < model_.machine_count(); ++i) {
-    const Machine& m = model_.machine(MachineIndex{i});
-    if (m.stamp == 0 || m.rec.spot || m.rec.mark == MachineMark::deleting || m.failed_listed) continue;
-    Kind k{m.rec.type, m.rec.zone, false};
-    if (m.up) {
-      ++up;
-    } else if (m.rec.part == pool_part) {
-      ++stock[k];  // boots
+  while (!turnover_.empty() && clock.now - turnover_.front().at > turnover_window_s) turnover_.pop_front();
+  warm_targets_.clear();
+  for (const Turnover& t : turnover_) warm_targets_[t.kind] += t.count / turnover_window_s;
+  if (warm_targets_.empty()) return;
+  double booted_count = 0, all = 0;
+  std::map<MachineKind, double> stock;
+  for (std::uint32_t i = 0; i < state_.machine_count(); ++i) {
+    const Machine& machine = state_.machine(MachineIndex{i});
+    if (machine.revision == 0 || machine.record.spot || machine.record.mark == MachineMark::deleting ||
+        machine.reported_failed)
+      continue;
+    MachineKind kind{machine.record.type, machine.record.zone, false};
+    if (machine.has_booted) {
+      ++booted_count;
+    } else if (machine.record.partition == idle_pool) {
+      ++stock[kind];  // boots
     }
   }
-  for (const CandidateNode& b : idle) stock[{b.type, b.zone, b.spot}] += 1;
-  for (const auto& [name, a] : adopt_) {
-    if (a.rec.part == pool_part && !a.rec.up) stock[{a.rec.type, a.rec.zone, a.rec.spot}] += 1;
+  for (const CandidateMachine& b : idle) stock[{b.type, b.zone, b.spot}] += 1;
+  for (const auto& [name, a] : adoptions_) {
+    if (a.record.partition == idle_pool && !a.record.has_booted)
+      stock[{a.record.type, a.record.zone, a.record.spot}] += 1;
   }
-  for (auto& [kind, wanted] : standby_) {
-    wanted *= model_.catalog[kind.type.v].boot_s;
+  for (auto& [kind, wanted] : warm_targets_) {
+    wanted *= state_.catalog[kind.type.value].boot_s;
     all += wanted;
   }
-  double scale = std::min(1.0, standby_share * up / all);
-  for (auto& [kind, wanted] : standby_) {
+  double scale = std::min(1.0, max_warm_fraction * booted_count / all);
+  for (auto& [kind, wanted] : warm_targets_) {
     wanted = std::ceil(wanted * scale);
     double missing = std::floor(wanted - stock[kind]);
-    if (missing < 1 || refused(kind, clock.now) || asked_for(kind)) continue;
-    RentOrder& order = asking(kind);
-    auto count = std::min(static_cast<std::uint32_t>(missing), most_per_request - order.count);
+    if (missing < 1 || is_refused(kind, clock.now) || is_requested(kind)) continue;
+    ScaleOutRequest& order = new_request_for(kind);
+    auto count = std::min(static_cast<std::uint32_t>(missing), max_machines_per_request - order.count);
     order.count += count;
-    order.parts.insert(order.parts.end(), count, pool_part);
+    order.partitions.insert(order.partitions.end(), count, idle_pool);
   }
 }
 
-void Fleet::replace_suspects(std::size_t idle, Clock clock) {
-  for (const Replacement& r : gate_->replacements(clock.now)) {
+void Autoscaler::replace_suspected_machines(std::size_t idle, Clock clock) {
+  for (const Replacement& replacement : recovery_admission_->replacements(clock.now)) {
     if (idle > 0) {  // it stands ready already
       --idle;
       continue;
     }
     // Of the suspect's kind where the cloud has it, else of its type elsewhere; a wave of losses must not
     // leave the rest of a zone's work without machines only because the zone has no more.
-    std::vector<Kind> kinds = {r.kind};
-    for (ZoneIndex z : model_.catalog.at(r.kind.type.v).zones) kinds.push_back({r.kind.type, z, r.kind.spot});
-    auto kind = std::find_if(kinds.begin(), kinds.end(), [&](const Kind& k) {
-      return !refused(k, clock.now) && !asked_for(k) && !scheduler_.dark(k.zone, clock.now) &&
-             (!k.spot || model_.settings.op.use_spot) && asking(k).count < most_per_request;
+    std::vector<MachineKind> kinds = {replacement.kind};
+    for (ZoneIndex z : state_.catalog.at(replacement.kind.type.value).zones)
+      kinds.push_back({replacement.kind.type, z, replacement.kind.spot});
+    auto kind = std::find_if(kinds.begin(), kinds.end(), [&](const MachineKind& k) {
+      return !is_refused(k, clock.now) && !is_requested(k) && !scheduler_.is_unreachable(k.zone, clock.now) &&
+             (!k.spot || state_.settings.operator_settings.use_spot) &&
+             new_request_for(k).count < max_machines_per_request;
     });
     if (kind == kinds.end()) continue;
-    RentOrder& order = asking(*kind);
+    ScaleOutRequest& order = new_request_for(*kind);
     ++order.count;
-    order.parts.push_back(r.part);
-    gate_->under_way(r.suspect);
+    order.partitions.push_back(replacement.partition);
+    recovery_admission_->replacement_started(replacement.suspected_machine);
   }
-  asking_.erase(
-      std::remove_if(asking_.begin(), asking_.end(), [](const RentOrder& o) { return o.count == 0; }),
-      asking_.end());
+  new_requests_.erase(std::remove_if(new_requests_.begin(), new_requests_.end(),
+                                     [](const ScaleOutRequest& o) { return o.count == 0; }),
+                      new_requests_.end());
 }
 
-RentOrder& Fleet::asking(const Kind& k) {
-  auto same = std::find_if(asking_.begin(), asking_.end(), [&](const RentOrder& r) {
-    return r.type == k.type && r.zone == k.zone && r.spot == k.spot;
+ScaleOutRequest& Autoscaler::new_request_for(const MachineKind& kind) {
+  auto same = std::find_if(new_requests_.begin(), new_requests_.end(), [&](const ScaleOutRequest& request) {
+    return request.type == kind.type && request.zone == kind.zone && request.spot == kind.spot;
   });
-  if (same != asking_.end()) return *same;
-  asking_.push_back({"", k.type, k.zone, k.spot, 0, {}});
-  return asking_.back();
+  if (same != new_requests_.end()) return *same;
+  new_requests_.push_back({"", kind.type, kind.zone, kind.spot, 0, {}});
+  return new_requests_.back();
 }
 
-void Fleet::rent_for(const Job& j, std::uint32_t tasks, Clock clock, std::vector<CandidateNode>& bins) {
-  const JobSpec& spec = j.spec;
+void Autoscaler::request_machines(const Job& job, std::uint32_t tasks, Clock clock,
+                                  std::vector<CandidateMachine>& bins) {
+  const JobSpec& spec = job.spec;
   struct Offer {
     double price;
-    std::size_t have;  // machines in the zone already, to spread the risk
-    Kind kind;
-    int per_machine;
+    std::size_t machines_in_zone;  // machines in the zone already, to spread the risk
+    MachineKind kind;
+    int tasks_per_machine;
   };
   std::vector<Offer> offers;
-  for (std::uint32_t t = 0; t < model_.catalog.size(); ++t) {
-    const MachineType& type = model_.catalog[t];
-    int per = how_many_fit(spec.need, type.room);
-    if (per == 0) continue;
-    for (ZoneIndex z : type.zones) {
-      if (scheduler_.dark(z, clock.now)) continue;  // what boots there cannot report
-      auto have = static_cast<std::size_t>(
-          std::count_if(bins.begin(), bins.end(), [z](const CandidateNode& b) { return b.zone == z; }));
+  for (std::uint32_t type_number = 0; type_number < state_.catalog.size(); ++type_number) {
+    const MachineType& type = state_.catalog[type_number];
+    int tasks_per_machine = how_many_fit(spec.task_resources, type.capacity);
+    if (tasks_per_machine == 0) continue;
+    for (ZoneIndex zone : type.zones) {
+      if (scheduler_.is_unreachable(zone, clock.now)) continue;  // what boots there cannot report
+      auto have = static_cast<std::size_t>(std::count_if(
+          bins.begin(), bins.end(), [zone](const CandidateMachine& right) { return right.zone == zone; }));
       for (bool spot : {true, false}) {
-        Kind kind{TypeIndex{t}, z, spot};
-        if (spot && !model_.settings.op.use_spot) continue;
-        bool full = std::any_of(asking_.begin(), asking_.end(), [&](const RentOrder& r) {
-          return r.type == kind.type && r.zone == z && r.spot == spot && r.count >= most_per_request;
-        });
+        MachineKind kind{TypeIndex{type_number}, zone, spot};
+        if (spot && !state_.settings.operator_settings.use_spot) continue;
+        bool full =
+            std::any_of(new_requests_.begin(), new_requests_.end(), [&](const ScaleOutRequest& request) {
+              return request.type == kind.type && request.zone == zone && request.spot == spot &&
+                     request.count >= max_machines_per_request;
+            });
         if (full) continue;
-        if (!allowed_on(spec, kind.type, z, spot) || refused(kind, clock.now)) continue;
-        double price = (spot ? type.spot_price : type.price) / std::min<double>(per, tasks);
-        offers.push_back({price, have, kind, per});
+        if (!is_allowed_on(spec, kind.type, zone, spot) || is_refused(kind, clock.now)) continue;
+        double price = (spot ? type.spot_price : type.price) / std::min<double>(tasks_per_machine, tasks);
+        offers.push_back({price, have, kind, tasks_per_machine});
       }
     }
   }
   std::sort(offers.begin(), offers.end(), [](const Offer& a, const Offer& b) {
-    return std::tie(a.price, a.have) < std::tie(b.price, b.have);
+    return std::tie(a.price, a.machines_in_zone) < std::tie(b.price, b.machines_in_zone);
   });
   if (offers.empty()) return;
-  const Offer& o = offers.front();
+  const Offer& offer = offers.front();
   // A dearer kind is not taken only because a request for the cheapest is under way.
-  if (asked_for(o.kind)) return;
-  std::uint32_t count =
-      (tasks + static_cast<std::uint32_t>(o.per_machine) - 1) / static_cast<std::uint32_t>(o.per_machine);
-  RentOrder& order = asking(o.kind);
-  count = std::min(count, most_per_request - order.count);
+  if (is_requested(offer.kind)) return;
+  std::uint32_t count = (tasks + static_cast<std::uint32_t>(offer.tasks_per_machine) - 1) /
+                        static_cast<std::uint32_t>(offer.tasks_per_machine);
+  ScaleOutRequest& order = new_request_for(offer.kind);
+  count = std::min(count, max_machines_per_request - order.count);
   order.count += count;
-  order.parts.insert(order.parts.end(), count, spec.part);
+  order.partitions.insert(order.partitions.end(), count, spec.partition);
   for (std::uint32_t i = 0; i < count; ++i) {
-    Amounts room = model_.catalog[order.type.v].room;
-    for (int k = 0; k < o.per_machine && tasks > 0; ++k, --tasks) room -= spec.need;
+    Resources room = state_.catalog[order.type.value].capacity;
+    for (int k = 0; k < offer.tasks_per_machine && tasks > 0; ++k, --tasks) room -= spec.task_resources;
     bins.push_back(
-        {MachineIndex{}, order.type, order.zone, order.spot, model_.catalog[order.type.v].boot_s, room});
+        {MachineIndex{}, order.type, order.zone, order.spot, state_.catalog[order.type.value].boot_s, room});
   }
-  if (count > 0) note_turnover(j, bins.back(), count, clock.now);
+  if (count > 0) note_turnover(job, bins.back(), count, clock.now);
 }
 
 }  // namespace oxbowmill
--- a/src/core/types.cpp
+++ b/src/core/types.cpp
@@ -5,15 +5,15 @@
 
 namespace oxbowmill {
 
-int how_many_fit(const Amounts& need, const Amounts& room) {
-  double n = 1e6;
-  auto limit = [&n](double want, double have) {
-    if (want > 0) n = std::min(n, std::floor((have + amount_slack) / want));
+int how_many_fit(const Resources& need, const Resources& room) {
+  double sample_weight = 1e6;
+  auto limit = [&sample_weight](double want, double have) {
+    if (want > 0) sample_weight = std::min(sample_weight, std::floor((have + resource_tolerance) / want));
   };
   limit(need.cpus, room.cpus);
   limit(need.gpus, room.gpus);
   limit(need.memory_gb, room.memory_gb);
-  return n < 0 ? 0 : static_cast<int>(n);
+  return sample_weight < 0 ? 0 : static_cast<int>(sample_weight);
 }
 
 const char* name_of(JobPhase p) {
@@ -21,7 +21,7 @@
   return names[static_cast<int>(p)];
 }
 
-const char* name_of(Shape s) {
+const char* name_of(JobShape s) {
   static constexpr const char* names[] = {"array", "gang", "service"};
   return names[static_cast<int>(s)];
 }
--- a/src/core/waiting.cpp
+++ b/src/core/waiting.cpp
@@ -2,7 +2,7 @@
 
 namespace oxbowmill {
 
-const char* name_of(WaitCause c) {
+const char* name_of(PendingReason reason) {
   static constexpr const char* names[] = {"nothing",
                                           "its turn",
                                           "its team's limit",
@@ -19,47 +19,47 @@
                                           "its image",
                                           "the rest of its gang",
                                           "its stop"};
-  return names[static_cast<int>(c)];
+  return names[static_cast<int>(reason)];
 }
 
 namespace {
 
-WaitCause cause_of(const Placement& p) {
-  switch (p.state) {
+PendingReason pending_reason_of(const Placement& placement) {
+  switch (placement.state) {
     case PlacementState::placed:
-      return p.taken_over ? WaitCause::word : WaitCause::start;
+      return placement.inherited ? PendingReason::agent_silent : PendingReason::start_unconfirmed;
     case PlacementState::sent:
-      return WaitCause::start;
-    case PlacementState::seen:
-      return p.phase == TaskPhase::fetching    ? WaitCause::image
-             : p.phase == TaskPhase::gathering ? WaitCause::gang
-                                               : WaitCause::none;
+      return PendingReason::start_unconfirmed;
+    case PlacementState::reported:
+      return placement.phase == TaskPhase::fetching    ? PendingReason::image_fetch
+             : placement.phase == TaskPhase::gathering ? PendingReason::gang_members
+                                                       : PendingReason::none;
     case PlacementState::stopping:
-      return WaitCause::stop;
+      return PendingReason::stopping;
     case PlacementState::finished:
-    case PlacementState::gone:
-      return WaitCause::transaction;
+    case PlacementState::terminated:
+      return PendingReason::transaction_pending;
   }
-  return WaitCause::none;
+  return PendingReason::none;
 }
 
 }  // namespace
 
-Wait wait_of(const Model& model, const Job& j, Seconds now) {
-  Wait w;
-  if (j.phase != JobPhase::open || model.settings.op.begin_within_s <= 0) return w;
-  for (const auto& [t, p] : j.placed) {
-    if (p.state == PlacementState::finished || j.has_begun(t) || p.has_begun(now)) continue;
-    WaitCause cause = cause_of(p);
-    if (cause == WaitCause::none) continue;  // it runs, though not for long
-    ++w.tasks;
-    if (w.cause == WaitCause::none) w.cause = cause;
+PendingStatus pending_status_of(const ClusterState& model, const Job& job, Seconds now) {
+  PendingStatus wait;
+  if (job.phase != JobPhase::open || model.settings.operator_settings.start_deadline_s <= 0) return wait;
+  for (const auto& [t, p] : job.placements) {
+    if (p.state == PlacementState::finished || job.has_started(t) || p.has_started(now)) continue;
+    PendingReason cause = pending_reason_of(p);
+    if (cause == PendingReason::none) continue;  // it runs, though not for long
+    ++wait.tasks;
+    if (wait.reason == PendingReason::none) wait.reason = cause;
   }
   // What has no place waits longest.
-  if (!waits_to_begin(j)) return w;
-  w.tasks += j.pending();
-  w.cause = j.waits_for;
-  return w;
+  if (!awaits_first_start(job)) return wait;
+  wait.tasks += job.pending_count();
+  wait.reason = job.pending_reason;
+  return wait;
 }
 
 }  // namespace oxbowmill
--- a/src/lab/cluster.cpp
+++ b/src/lab/cluster.cpp
@@ -5,323 +5,340 @@
 namespace oxbowmill::lab {
 
 Settings test_settings(const std::string& node) {
-  Settings s;
-  s.node = node;
-  s.nodes = 2;
-  s.teams.resize(3);
-  s.teams[1].most = {0, 8, 0};
-  return s;
+  Settings settings;
+  settings.controller_name = node;
+  settings.controller_count = 2;
+  settings.teams.resize(3);
+  settings.teams[1].limit = {0, 8, 0};
+  return settings;
 }
 
 Names test_names() {
-  Names n;
-  for (const char* p : {state::pool_name, "red", "blue"}) n.parts.intern(p);
-  for (const char* z : {"a", "b"}) n.zones.intern(z);
-  n.types.intern("std");
-  n.images.intern("img");
-  n.classes.intern("class");
-  return n;
+  Names names;
+  for (const char* p : {state::idle_pool_name, "red", "blue"}) names.partitions.intern(p);
+  for (const char* z : {"a", "b"}) names.zones.intern(z);
+  names.types.intern("std");
+  names.images.intern("img");
+  names.classes.intern("class");
+  return names;
 }
 
 std::vector<MachineType> test_catalog() {
-  MachineType t;
-  t.room = {32, 4, 128};
-  t.price = 10;
-  t.spot_price = 3;
-  t.boot_s = 20;
-  t.zones = {ZoneIndex{0}, ZoneIndex{1}};
-  return {t};
+  MachineType type;
+  type.capacity = {32, 4, 128};
+  type.price = 10;
+  type.spot_price = 3;
+  type.boot_s = 20;
+  type.zones = {ZoneIndex{0}, ZoneIndex{1}};
+  return {type};
 }
 
 JobSpec test_job(const std::string& ref, std::uint32_t tasks, double gpus) {
-  JobSpec s;
-  s.ref = ref;
-  s.job_class = ClassIndex{0};
-  s.part = PartIndex{1};
-  s.tasks = tasks;
-  s.need = {2, gpus, 8};
-  s.image = ImageIndex{0};
-  s.flush_s = 2;
-  s.save_every_s = 10;
-  return s;
-}
-
-Controller::Controller(std::string n, State& state, Settings settings, Names names,
-                       std::vector<MachineType> catalog)
+  JobSpec job_spec;
+  job_spec.ref = ref;
+  job_spec.job_class = ClassIndex{0};
+  job_spec.partition = PartitionIndex{1};
+  job_spec.tasks = tasks;
+  job_spec.task_resources = {2, gpus, 8};
+  job_spec.image = ImageIndex{0};
+  job_spec.flush_s = 2;
+  job_spec.checkpoint_interval_s = 10;
+  return job_spec;
+}
+
+SimulatedController::SimulatedController(std::string n, StateStore& state, Settings settings, Names names,
+                                         std::vector<MachineType> catalog)
     : name(std::move(n)),
-      model(std::move(settings), std::move(names)),
-      hold(model.settings),
-      scheduler(model, hold),
-      fleet(model, scheduler),
-      state_(state) {
-  model.catalog = std::move(catalog);
-  scheduler.check_capacity();
-}
-
-void Controller::square(const recovery::Settings& settings) {
-  start = std::make_unique<recovery::Start>(model, scheduler, settings);
-  scheduler.set_gate(start.get());
-  fleet.set_gate(start.get());
-}
-
-void Controller::agree(release::Calendar calendar, models::Settings models) {
-  accord = std::make_unique<accord::Desk>(model, scheduler, 0.05);
-  planner = std::make_unique<release::Planner>(model, *accord, scheduler, 1.0);
-  planner->load(std::move(calendar));
-  planner->ask = [this](const std::string& ref) {
-    auto it = state_.keys().find(state::final_key(ref));
-    if (state_.outage()) return planner->on_no_answer(ref);
-    planner->on_final(ref, it == state_.keys().end() ? std::nullopt : state::read_phase(it->second.value),
-                      asked_at_);
+      cluster_state(std::move(settings), std::move(names)),
+      lease(cluster_state.settings),
+      scheduler(cluster_state, lease),
+      autoscaler(cluster_state, scheduler),
+      store_(state) {
+  cluster_state.catalog = std::move(catalog);
+  scheduler.enable_capacity_check();
+}
+
+void SimulatedController::enable_reconciliation(const recovery::Settings& settings) {
+  reconciler = std::make_unique<recovery::Reconciler>(cluster_state, scheduler, settings);
+  scheduler.set_recovery_admission(reconciler.get());
+  autoscaler.set_recovery_admission(reconciler.get());
+}
+
+void SimulatedController::enable_decisions(release::ReleaseCalendar calendar, models::Settings models) {
+  decision_log = std::make_unique<accord::DecisionLog>(cluster_state, scheduler, 0.05);
+  release_planner =
+      std::make_unique<release::ReleaseCoordinator>(cluster_state, *decision_log, scheduler, 1.0);
+  release_planner->load(std::move(calendar));
+  release_planner->query_final_phase = [this](const std::string& ref) {
+    auto it = store_.keys().find(state::final_key(ref));
+    if (store_.outage()) return release_planner->on_query_failed(ref);
+    release_planner->on_final_phase(
+        ref, it == store_.keys().end() ? std::nullopt : state::read_phase(it->second.value),
+        watch_opened_at_);
   };
-  council_ = accord::Council();
-  council_.add(planner.get());
+  combined_constraints_ = accord::CombinedConstraints();
+  combined_constraints_.add(release_planner.get());
   if (!models.empty()) {
-    keeper = std::make_unique<models::Keeper>(model, *accord, scheduler, std::move(models));
-    council_.add(keeper.get());
+    model_autoscaler =
+        std::make_unique<models::ModelAutoscaler>(cluster_state, *decision_log, scheduler, std::move(models));
+    combined_constraints_.add(model_autoscaler.get());
   }
-  model.counsel = &council_;
+  cluster_state.constraints = &combined_constraints_;
 }
 
-ReportAnswer Controller::hear(const WorkerReport& r, double now) {
-  if (start && hold.authority(now) == Authority::full) {
-    scheduler.notice_takeovers(now);
-    start->on_report(r, now);
+ReportAnswer SimulatedController::handle_report(const WorkerReport& report, double now) {
+  if (reconciler && lease.authority(now) == Authority::full) {
+    scheduler.detect_failovers(now);
+    reconciler->on_report(report, now);
   }
-  return scheduler.on_report(r, {now, now});
+  return scheduler.on_report(report, {now, now});
 }
 
-void Controller::list(double now) {
-  for (const auto& [key, e] : state_.keys()) {
-    auto change = state::decode(key, &e.value, model);
-    if (change) model.apply(*change, e.stamp, now);
+void SimulatedController::load_state(double now) {
+  for (const auto& [key, e] : store_.keys()) {
+    auto change = state::decode(key, &e.value, cluster_state);
+    if (change) cluster_state.apply(*change, e.revision, now);
   }
-  heard_ = state_.events().size();
+  events_applied_ = store_.events().size();
   sync(now);
 }
 
-void Controller::hear_up_to(std::size_t count, std::uint64_t revision, double asked, double now) {
-  const auto& events = state_.events();
-  for (; heard_ < count; ++heard_) {
-    const State::Event& e = events[heard_];
-    auto change = state::decode(e.key, e.value ? &*e.value : nullptr, model);
-    if (change) model.apply(*change, e.revision, now);
+void SimulatedController::apply_events_up_to(std::size_t count, std::uint64_t revision, double asked,
+                                             double now) {
+  const auto& events = store_.events();
+  for (; events_applied_ < count; ++events_applied_) {
+    const StateStore::Event& e = events[events_applied_];
+    auto change = state::decode(e.key, e.value ? &*e.value : nullptr, cluster_state);
+    if (change) cluster_state.apply(*change, e.revision, now);
   }
-  scheduler.seen_revision(revision);
-  hold.watch_answered(asked);
+  scheduler.applied_revision(revision);
+  lease.on_watch_answered(asked);
 }
 
-bool Controller::claim(PartIndex part, double now) {
-  if (hold.id() == 0) {
-    hold.opened(state_.open_hold(model.settings.op.hold_life_s, now), now);
+bool SimulatedController::acquire_partition(PartitionIndex partition, double now) {
+  if (lease.lease_id() == 0) {
+    lease.on_granted(store_.grant_lease(cluster_state.settings.operator_settings.controller_lease_s, now),
+                     now);
   }
-  Change c{ClaimKey{part}, ClaimRecord{name, hold.id()}, hold.id()};
-  std::string key = state::encode_key(c.key, model);
-  Json body = {{"guards", {{{"k", key}, {"stamp", 0}}}},
-               {"apply", {{{"put", key}, {"value", state::encode_value(c, model)}, {"grant", hold.id()}}}}};
-  bool ok = state_.txn(body).status == 200;
+  Change c{OwnershipKey{partition}, OwnershipRecord{name, lease.lease_id()}, lease.lease_id()};
+  std::string key = state::encode_key(c.key, cluster_state);
+  Json body = {
+      {"guards", {{{"k", key}, {"stamp", 0}}}},
+      {"apply",
+       {{{"put", key}, {"value", state::encode_value(c, cluster_state)}, {"grant", lease.lease_id()}}}}};
+  bool ok = store_.txn(body).status == 200;
   sync(now);
   return ok;
 }
 
-void Controller::claim_all(double now) {
-  for (std::uint32_t p = 0; p < model.parts(); ++p) claim(PartIndex{p}, now);
+void SimulatedController::acquire_all_partitions(double now) {
+  for (std::uint32_t p = 0; p < cluster_state.partition_count(); ++p)
+    acquire_partition(PartitionIndex{p}, now);
 }
 
-void Controller::renew(double now) {
-  if (state_.renew(hold.id(), now)) hold.renewed(now);
+void SimulatedController::renew(double now) {
+  if (store_.renew_lease(lease.lease_id(), now)) lease.on_renewed(now);
 }
 
-Effects Controller::decide(double now) {
+Effects SimulatedController::decide(double now) {
   Effects out;
-  asked_at_ = now;
-  bool full = hold.authority(now) == Authority::full;
-  if (full && planner) planner->pass({now, now}, out);
-  if (full && keeper) keeper->pass({now, now}, out);
-  scheduler.pass({now, now}, out);
-  if (hold.authority(now) != Authority::full) return out;
-  if (start) start->pass(now);
-  fleet.pass({now, now}, out);
+  watch_opened_at_ = now;
+  bool full = lease.authority(now) == Authority::full;
+  if (full && release_planner) release_planner->run_cycle({now, now}, out);
+  if (full && model_autoscaler) model_autoscaler->run_cycle({now, now}, out);
+  scheduler.run_cycle({now, now}, out);
+  if (lease.authority(now) != Authority::full) return out;
+  if (reconciler) reconciler->run_cycle(now);
+  autoscaler.run_cycle({now, now}, out);
   return out;
 }
 
-std::optional<State::Result> Controller::send(const Write& w) {
-  Json body = outbox_.keep(w, model).body;
-  if (fate == Fate::not_arrived) {
-    lost.push_back(body);
+std::optional<StateStore::Result> SimulatedController::send(const Write& write) {
+  Json body = write_queue_.get_or_create(write, cluster_state).body;
+  if (write_outcome == WriteOutcome::not_arrived) {
+    lost_writes.push_back(body);
     return std::nullopt;
   }
-  State::Result r = state_.txn(body);
-  if (r.status == 409) ++refused;
+  StateStore::Result r = store_.txn(body);
+  if (r.status == 409) ++refused_writes;
   return r;
 }
 
-void Controller::answered(const Write& w, Outcome outcome, Stamp revision, double now) {
-  if (outcome != Outcome::unknown) sync(now);
-  if (!scheduler.on_outcome(w.id, outcome, revision, now)) outbox_.drop(w.id);
+void SimulatedController::on_write_result(const Write& write, TransactionOutcome outcome, Revision revision,
+                                          double now) {
+  if (outcome != TransactionOutcome::unknown) sync(now);
+  if (!scheduler.on_outcome(write.id, outcome, revision, now)) write_queue_.drop(write.id);
 }
 
-Outcome outcome_of(const std::optional<State::Result>& r) {
-  if (!r) return Outcome::unknown;
-  return r->status == 200 ? Outcome::applied : r->status == 409 ? Outcome::refused : Outcome::not_executed;
+TransactionOutcome outcome_of(const std::optional<StateStore::Result>& r) {
+  if (!r) return TransactionOutcome::unknown;
+  return r->status == 200   ? TransactionOutcome::applied
+         : r->status == 409 ? TransactionOutcome::refused
+                            : TransactionOutcome::not_executed;
 }
 
-void Controller::pass(double now) {
+void SimulatedController::run_cycle(double now) {
   Effects out = decide(now);
-  if (desk) {
+  if (bidding_service) {
     // Beside the markets the cloud has nothing to give.
-    for (const RentOrder& r : out.rents) fleet.on_rented(r.request, true, {}, now);
+    for (const ScaleOutRequest& r : out.scale_outs)
+      autoscaler.on_scale_out_result(r.request_id, true, {}, now);
     std::vector<market::Call> calls;
-    desk->pass({now, now}, out, calls);
+    bidding_service->run_cycle({now, now}, out, calls);
     for (const market::Call& call : calls)
-      desk->on_answer(call, markets_->at(call.market.v).ask(call, model.names, now), {now, now});
+      bidding_service->on_answer(call, markets_->at(call.market.value).call(call, cluster_state.names, now),
+                                 {now, now});
   }
-  for (const DirectOrders& d : out.direct) direct.push_back(d);
-  rents.insert(rents.end(), out.rents.begin(), out.rents.end());
-  deletes.insert(deletes.end(), out.deletes.begin(), out.deletes.end());
+  for (const DirectCommands& d : out.direct_commands) direct_commands.push_back(d);
+  scale_outs.insert(scale_outs.end(), out.scale_outs.begin(), out.scale_outs.end());
+  machines_to_delete.insert(machines_to_delete.end(), out.deletions.begin(), out.deletions.end());
   for (const Write& w : out.writes) {
     auto r = send(w);
-    Stamp revision = r ? r->body.value("ledger_rev", std::uint64_t{0}) : 0;
-    answered(w, fate == Fate::answer_lost ? Outcome::unknown : outcome_of(r), revision, now);
+    Revision revision = r ? r->body.value("ledger_rev", std::uint64_t{0}) : 0;
+    on_write_result(w,
+                    write_outcome == WriteOutcome::answer_lost ? TransactionOutcome::unknown : outcome_of(r),
+                    revision, now);
   }
 }
 
-void Controller::trade(const market::Settings& settings, std::vector<Market>& markets) {
+void SimulatedController::enable_markets(const market::Settings& settings,
+                                         std::vector<SimulatedMarket>& markets) {
   markets_ = &markets;
-  for (const market::MarketSettings& m : settings.markets) model.names.markets.intern(m.name);
-  desk = std::make_unique<market::Desk>(model, scheduler, settings);
-  market::connect(*desk, fleet);
+  for (const market::MarketSettings& m : settings.markets) cluster_state.names.markets.intern(m.name);
+  bidding_service = std::make_unique<market::BiddingService>(cluster_state, scheduler, settings);
+  market::connect(*bidding_service, autoscaler);
 }
 
-Cluster::Cluster(int controllers) {
+SimulatedCluster::SimulatedCluster(int controllers) {
   for (int i = 0; i < controllers; ++i) {
     std::string name = "node-" + std::to_string(i);
-    nodes_.push_back(std::make_unique<Controller>(name, state, test_settings(name)));
+    controllers_.push_back(std::make_unique<SimulatedController>(name, store, test_settings(name)));
   }
-  nodes_[0]->claim_all(now);
-  for (auto& n : nodes_) n->sync(now);
+  controllers_[0]->acquire_all_partitions(now);
+  for (auto& n : controllers_) n->sync(now);
 }
 
-void Cluster::add_machine(const std::string& name, const std::string& zone, const std::string& part,
-                          bool spot) {
-  Json value = {{"part", part}, {"type", "std"}, {"zone", zone}, {"spot", spot}, {"del", false}};
-  state.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/m/" + name}, {"value", value}}}}});
-  workers_[name] = std::make_unique<Worker>(name, zone, log, spot);
+void SimulatedCluster::add_machine(const std::string& name, const std::string& zone,
+                                   const std::string& partition, bool spot) {
+  Json value = {{"part", partition}, {"type", "std"}, {"zone", zone}, {"spot", spot}, {"del", false}};
+  store.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/m/" + name}, {"value", value}}}}});
+  workers_[name] = std::make_unique<Worker>(name, zone, run_log, spot);
 }
 
-void Cluster::add_stranger(const std::string& name, const std::string& zone) {
-  workers_[name] = std::make_unique<Worker>(name, zone, log);
+void SimulatedCluster::add_unregistered_machine(const std::string& name, const std::string& zone) {
+  workers_[name] = std::make_unique<Worker>(name, zone, run_log);
 }
 
-void Cluster::add_market(const lab::Character& c) {
+void SimulatedCluster::add_market(const lab::MarketBehavior& c) {
   MarketIndex index{static_cast<std::uint32_t>(markets.size())};
-  trading.markets.push_back({c.name, index, "127.0.0.1:1", 50});
+  market_settings.markets.push_back({c.name, index, "127.0.0.1:1", 50});
   markets.emplace_back(c, 7, std::vector<std::string>{"std"}, std::vector<std::string>{"a", "b"});
-  for (auto& n : nodes_) n->trade(trading, markets);
+  for (auto& n : controllers_) n->enable_markets(market_settings, markets);
 }
 
-void Cluster::submit(JobSpec spec) {
+void SimulatedCluster::submit(JobSpec spec) {
   spec.submitted_at = now;
-  Json value = state::job_value(spec, JobPhase::open, nodes_[0]->model.names);
-  state.txn({{"guards", Json::array()}, {"apply", {{{"put", state::job_key(spec.ref)}, {"value", value}}}}});
+  Json value = state::job_value(spec, JobPhase::open, controllers_[0]->cluster_state.names);
+  store.txn({{"guards", Json::array()}, {"apply", {{{"put", state::job_key(spec.ref)}, {"value", value}}}}});
 }
 
-int Cluster::withdraw(const std::string& ref) {
+int SimulatedCluster::withdraw(const std::string& ref) {
   std::string key = state::job_key(ref);
-  auto it = state.keys().find(key);
-  if (it == state.keys().end()) return 404;
+  auto it = store.keys().find(key);
+  if (it == store.keys().end()) return 404;
   Json value = state::with_phase(it->second.value, JobPhase::cancelled);
-  return state
-      .txn({{"guards", {{{"k", key}, {"stamp", it->second.stamp}}}},
+  return store
+      .txn({{"guards", {{{"k", key}, {"stamp", it->second.revision}}}},
             {"apply", {{{"put", key}, {"value", value}}}}})
       .status;
 }
 
-ReportAnswer Cluster::exchange(const std::string& name, std::size_t n, bool lost) {
+ReportAnswer SimulatedCluster::exchange_report(const std::string& name, std::size_t n, bool lost) {
   Worker& w = worker(name);
-  ReportAnswer a = nodes_[n]->hear(w.report(now), now);
+  ReportAnswer a = controllers_[n]->handle_report(w.report(now), now);
   if (!lost) w.answer(a, now);
   return a;
 }
 
-void Cluster::run(double seconds, std::size_t n) {
+void SimulatedCluster::run(double seconds, std::size_t n) {
   double end = now + seconds;
-  Controller& c = *nodes_[n];
+  SimulatedController& controller = *controllers_[n];
   while (now < end) {
     now += 0.5;
-    state.expire(now);
-    if (!state.outage()) {
-      c.renew(now);
-      c.sync(now);
+    store.expire_leases(now);
+    if (!store.outage()) {
+      controller.renew(now);
+      controller.sync(now);
     }
-    c.pass(now);
-    for (Market& m : markets) {
+    controller.run_cycle(now);
+    for (SimulatedMarket& m : markets) {
       m.tick(now);
       for (const auto& [name, h] : m.hosts()) {
         if (h.alive && workers_.count(name) == 0) {
-          workers_[name] = std::make_unique<Worker>(name, h.zone, log);
+          workers_[name] = std::make_unique<Worker>(name, h.zone, run_log);
         } else if (!h.alive && workers_.count(name) != 0) {
           workers_[name]->power_off();
-          silenced.insert(name);
+          silenced_workers.insert(name);
         }
       }
     }
     for (auto& [name, w] : workers_) {
-      if (silenced.count(name) != 0) {
+      if (silenced_workers.count(name) != 0) {
         w->tick(now);
       } else {
-        exchange(name, n);
+        exchange_report(name, n);
       }
     }
-    while (!c.direct.empty()) {
-      DirectOrders d = std::move(c.direct.front());
-      c.direct.pop_front();
-      const std::string& to = c.model.names.machines.name(d.machine);
+    while (!controller.direct_commands.empty()) {
+      DirectCommands direct_commands = std::move(controller.direct_commands.front());
+      controller.direct_commands.pop_front();
+      const std::string& to = controller.cluster_state.names.machines.name(direct_commands.machine);
       auto w = workers_.find(to);
-      if (w != workers_.end() && silenced.count(to) == 0) w->second->command(d);
+      if (w != workers_.end() && silenced_workers.count(to) == 0) w->second->command(direct_commands);
     }
   }
 }
 
-void Cluster::kill_node(std::size_t n) {
-  state.end_hold(nodes_[n]->hold.id());
+void SimulatedCluster::kill_controller(std::size_t n) {
+  store.revoke_lease(controllers_[n]->lease.lease_id());
 }
 
-void Cluster::hand_over(std::size_t from, std::size_t to, double after_s) {
-  kill_node(from);
-  node(from).hold.lost();
+void SimulatedCluster::fail_over(std::size_t from, std::size_t to, double after_s) {
+  kill_controller(from);
+  controller(from).lease.on_lost();
   now += after_s;
-  node(to).sync(now);
-  node(to).hold.lost();
-  node(to).claim_all(now);
+  controller(to).sync(now);
+  controller(to).lease.on_lost();
+  controller(to).acquire_all_partitions(now);
 }
 
-std::uint64_t Cluster::register_node(std::size_t n) {
-  std::uint64_t hold = state.open_hold(1e6, now);
-  Change change{NodeKey{nodes_[n]->name}, ClaimRecord{nodes_[n]->name, hold}, hold};
-  Model& model = nodes_[n]->model;
-  state.txn({{"guards", Json::array()},
+std::uint64_t SimulatedCluster::register_controller(std::size_t n) {
+  std::uint64_t lease_id = store.grant_lease(1e6, now);
+  Change change{ControllerKey{controllers_[n]->name}, OwnershipRecord{controllers_[n]->name, lease_id},
+                lease_id};
+  ClusterState& model = controllers_[n]->cluster_state;
+  store.txn({{"guards", Json::array()},
              {"apply",
               {{{"put", state::encode_key(change.key, model)},
                 {"value", state::encode_value(change, model)},
-                {"grant", hold}}}}});
-  return hold;
+                {"grant", lease_id}}}}});
+  return lease_id;
 }
 
-std::string Cluster::phase(const std::string& ref) const {
+std::string SimulatedCluster::phase(const std::string& ref) const {
   for (const std::string& key : {state::job_key(ref), state::final_key(ref)}) {
-    auto it = state.keys().find(key);
-    if (it != state.keys().end()) return it->second.value.at("p").get<std::string>();
+    auto it = store.keys().find(key);
+    if (it != store.keys().end()) return it->second.value.at("p").get<std::string>();
   }
   return "none";
 }
 
-std::vector<std::string> Cluster::placed(const std::string& ref, TaskNo task) const {
+std::vector<std::string> SimulatedCluster::machines_of_task(const std::string& ref, TaskNumber task) const {
   std::vector<std::string> out;
-  auto it = state.keys().find("o/c/" + ref + "/" + std::to_string(task / chunk_tasks));
-  if (it == state.keys().end()) return out;
+  auto it = store.keys().find("o/c/" + ref + "/" + std::to_string(task / tasks_per_chunk));
+  if (it == store.keys().end()) return out;
   for (const Json& t : it->second.value.at("a")) {
-    if (t[0].get<TaskNo>() == task) out.push_back(t[1].get<std::string>());
+    if (t[0].get<TaskNumber>() == task) out.push_back(t[1].get<std::string>());
   }
   return out;
 }
--- a/src/lab/fleet_cloud.cpp
+++ b/src/lab/fleet_cloud.cpp
@@ -3,123 +3,128 @@
 
 namespace oxbowmill::lab {
 
-void FleetWorld::Impl::add_host(std::uint32_t zone, bool spot, bool at_start) {
-  std::string name = "host-" + std::to_string(100000 + hosts.size());
-  Host& h = hosts[name];
-  if (at_start) zone = static_cast<std::uint32_t>(hosts.size()) % s.zones;
-  h.zone = zone;
-  h.spot = spot;
-  h.born = now;
-  h.up_at = at_start ? now : now + s.boot_s * uniform(0.6, 1.5);
-  if (!at_start && now < quick_until) h.up_at = now + drawn(0.1, 2);
-  h.worker = std::make_unique<Worker>(name, zone_names[zone], log, spot);
-  h.worker->lease_s = s.lease_s;
-  h.worker->first_phase = TaskPhase::fetching;
-  h.next_report = h.up_at + uniform(0, s.report_s);
-  h.node = pick(s.controllers);
-  ++rented;
-  if (spot) ++rented_spot;
-  h.known = true;
+void ClusterSimulation::Impl::add_machine(std::uint32_t zone, bool spot, bool at_start) {
+  std::string name = "host-" + std::to_string(100000 + machines.size());
+  SimulatedMachine& machine = machines[name];
+  if (at_start) zone = static_cast<std::uint32_t>(machines.size()) % scenario_.zones;
+  machine.zone = zone;
+  machine.spot = spot;
+  machine.created_at = now;
+  machine.up_at = at_start ? now : now + scenario_.boot_s * uniform(0.6, 1.5);
+  if (!at_start && now < fast_boots_until) machine.up_at = now + draw(0.1, 2);
+  machine.worker = std::make_unique<Worker>(name, zone_names[zone], run_log, spot);
+  machine.worker->lease_s = scenario_.lease_s;
+  machine.worker->first_phase = TaskPhase::fetching;
+  machine.next_report = machine.up_at + uniform(0, scenario_.report_interval_s);
+  machine.controller = pick(scenario_.controllers);
+  ++created;
+  if (spot) ++created_spot;
+  machine.known = true;
   if (!at_start) return;
-  Json value = {{"part", state::pool_name},
+  Json value = {{"part", state::idle_pool_name},
                 {"type", "std"},
                 {"zone", zone_names[zone]},
                 {"spot", spot},
                 {"del", false},
                 {"up", true}};
-  state.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/m/" + name}, {"value", value}}}}});
+  store.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/m/" + name}, {"value", value}}}}});
 }
 
-void FleetWorld::Impl::serve_calls() {
-  while (!calls.empty() && now - calls.front().at >= 2 * step_s && cloud.take(1, now)) {
-    Call call = std::move(calls.front());
+void ClusterSimulation::Impl::serve_calls() {
+  while (!calls.empty() && now - calls.front().at >= 2 * step_s && cloud_budget.take(1, now)) {
+    CloudCall call = std::move(calls.front());
     calls.pop_front();
-    Node& n = nodes[call.node];
-    if (!n.core) {
+    ControllerProcess& process = controllers[call.controller];
+    if (!process.controller) {
       // The request was on its way already.
-      if (now < quick_until && !call.list && call.deletes.empty() && now >= cloud_down_until)
-        new_hosts(call.rent);
+      if (now < fast_boots_until && !call.list && call.deletes.empty() && now >= cloud_down_until)
+        create_machines(call.scale_out);
       continue;
     }
-    Fleet& fleet = n.core->fleet;
-    bool up = now >= cloud_down_until;
+    Autoscaler& fleet = process.controller->autoscaler;
+    bool booted = now >= cloud_down_until;
     if (call.list) {
-      up ? fleet.on_listed(listed(), now) : fleet.on_list_failed();
+      booted ? fleet.on_listed(list_machines(), now) : fleet.on_list_failed();
     } else if (!call.deletes.empty()) {
       for (MachineIndex m : call.deletes) {
-        if (up) remove(n.core->model.names.machines.name(m));
+        if (booted) delete_machine(process.controller->cluster_state.names.machines.name(m));
       }
-      fleet.on_deleted(call.deletes, up);
-    } else if (!up) {
-      fleet.on_rented(call.rent.request, false, {}, now);
+      fleet.on_deleted(call.deletes, booted);
+    } else if (!booted) {
+      fleet.on_scale_out_result(call.scale_out.request_id, false, {}, now);
     } else {
-      rent(call.rent, fleet);
+      scale_out(call.scale_out, fleet);
     }
   }
 }
 
-void FleetWorld::Impl::rent(const RentOrder& r, Fleet& fleet) {
-  fleet.on_rented(r.request, true, new_hosts(r), now);
+void ClusterSimulation::Impl::scale_out(const ScaleOutRequest& request, Autoscaler& fleet) {
+  fleet.on_scale_out_result(request.request_id, true, create_machines(request), now);
 }
 
-std::vector<std::string> FleetWorld::Impl::new_hosts(const RentOrder& r) {
-  auto of_zone = static_cast<std::uint32_t>(std::count_if(hosts.begin(), hosts.end(), [&](const auto& h) {
-    return h.second.known && h.second.zone == r.zone.v;
-  }));
-  std::uint32_t room = s.capacity / s.zones > of_zone ? s.capacity / s.zones - of_zone : 0;
-  if (r.spot) room = std::min(room, s.spot > rented_spot ? s.spot - rented_spot : 0);
-  std::vector<std::string> got;
-  while (got.size() < std::min(r.count, room)) {
-    std::size_t before = hosts.size();
-    add_host(r.zone.v, r.spot, false);
-    got.push_back("host-" + std::to_string(100000 + before));
-    ++second().rentals;
+std::vector<std::string> ClusterSimulation::Impl::create_machines(const ScaleOutRequest& request) {
+  auto of_zone =
+      static_cast<std::uint32_t>(std::count_if(machines.begin(), machines.end(), [&](const auto& h) {
+        return h.second.known && h.second.zone == request.zone.value;
+      }));
+  std::uint32_t room = scenario_.machine_capacity / scenario_.zones > of_zone
+                           ? scenario_.machine_capacity / scenario_.zones - of_zone
+                           : 0;
+  if (request.spot)
+    room =
+        std::min(room, scenario_.spot_machines > created_spot ? scenario_.spot_machines - created_spot : 0);
+  std::vector<std::string> created_names;
+  while (created_names.size() < std::min(request.count, room)) {
+    std::size_t before = machines.size();
+    add_machine(request.zone.value, request.spot, false);
+    created_names.push_back("host-" + std::to_string(100000 + before));
+    ++current_sample().rentals;
     // A return undone.
-    if (!returned_at.empty() && now > s.warm_s / 2) {
-      if (now - returned_at.back() < undone_s) ++result.undone;
+    if (!returned_at.empty() && now > scenario_.warm_up_s / 2) {
+      if (now - returned_at.back() < wasted_within_s) ++result.wasted_scale_outs;
       returned_at.pop_back();
     }
   }
-  return got;
+  return created_names;
 }
 
-void FleetWorld::Impl::remove(const std::string& name) {
-  auto it = hosts.find(name);
-  if (it == hosts.end() || !it->second.known) return;
-  Host& h = it->second;
-  if (h.alive && now > s.warm_s / 2) {
-    ++second().returns;
-    bool working = std::any_of(h.worker->tasks().begin(), h.worker->tasks().end(),
+void ClusterSimulation::Impl::delete_machine(const std::string& name) {
+  auto it = machines.find(name);
+  if (it == machines.end() || !it->second.known) return;
+  SimulatedMachine& machine = it->second;
+  if (machine.alive && now > scenario_.warm_up_s / 2) {
+    ++current_sample().returns;
+    bool working = std::any_of(machine.worker->tasks().begin(), machine.worker->tasks().end(),
                                [](const auto& t) { return t.second.phase != TaskPhase::ended; });
-    if (working) ++result.condemned_alive;
-    if (!h.used)
-      ++result.undone;  // rented for nothing
+    if (working) ++result.marked_for_deletion_alive;
+    if (!machine.used)
+      ++result.wasted_scale_outs;  // rented for nothing
     else if (!working)
       returned_at.push_back(now);
   }
-  lose_all(name, h);
-  h.worker->power_off();
-  h.alive = h.known = false;
-  h.died = now;
-  --rented;
-  if (h.spot) --rented_spot;
+  lose_all_tasks(name, machine);
+  machine.worker->power_off();
+  machine.alive = machine.known = false;
+  machine.died_at = now;
+  --created;
+  if (machine.spot) --created_spot;
 }
 
-std::vector<ListedMachine> FleetWorld::Impl::listed() {
+std::vector<ListedMachine> ClusterSimulation::Impl::list_machines() {
   std::vector<ListedMachine> out;
-  for (auto& [name, h] : hosts) {
-    if (!h.known || now - h.born < list_lag_s) continue;
-    ListedMachine l;
-    l.name = name;
-    l.address = "127.0.0.1:1";
-    l.type = "std";
-    l.zone = zone_names[h.zone];
-    l.spot = h.spot;
-    bool shown_dead = !h.alive && now - h.died > listed_dead_s + list_lag_s;
-    l.phase = shown_dead      ? ListedMachine::Phase::failed
-              : now < h.up_at ? ListedMachine::Phase::starting
-                              : ListedMachine::Phase::running;
-    out.push_back(std::move(l));
+  for (auto& [name, machine] : machines) {
+    if (!machine.known || now - machine.created_at < list_lag_s) continue;
+    ListedMachine listed_machine;
+    listed_machine.name = name;
+    listed_machine.address = "127.0.0.1:1";
+    listed_machine.type = "std";
+    listed_machine.zone = zone_names[machine.zone];
+    listed_machine.spot = machine.spot;
+    bool shown_dead = !machine.alive && now - machine.died_at > listed_dead_s + list_lag_s;
+    listed_machine.phase = shown_dead            ? ListedMachine::Phase::failed
+                           : now < machine.up_at ? ListedMachine::Phase::starting
+                                                 : ListedMachine::Phase::running;
+    out.push_back(std::move(listed_machine));
   }
   return out;
 }
--- a/src/lab/fleet_controllers.cpp
+++ b/src/lab/fleet_controllers.cpp
@@ -6,234 +6,264 @@
 namespace {
 
 /// Start with the truth about machines: who is dead is suspected and condemned at once, and nobody else.
-class Oracle : public recovery::Start {
+class Oracle : public recovery::Reconciler {
  public:
-  Oracle(const Model& model, const Scheduler& scheduler, const recovery::Settings& s,
+  Oracle(const ClusterState& model, const Scheduler& scheduler, const recovery::Settings& s,
          std::function<bool(const std::string&)> dead)
-      : Start(model, scheduler, s), model_(model), dead_(std::move(dead)) {}
-  bool suspected(MachineIndex m) const override { return dead_(model_.names.machines.name(m)); }
-  bool condemned(MachineIndex m) const override {
-    return suspected(m) && model_.machine(m).rec.mark == MachineMark::none;
+      : Reconciler(model, scheduler, s), state_(model), is_dead_(std::move(dead)) {}
+  bool suspected(MachineIndex machine_index) const override {
+    return is_dead_(state_.names.machines.name(machine_index));
+  }
+  bool marked_for_deletion(MachineIndex machine_index) const override {
+    return suspected(machine_index) && state_.machine(machine_index).record.mark == MachineMark::none;
   }
 
  private:
-  const Model& model_;
-  std::function<bool(const std::string&)> dead_;
+  const ClusterState& state_;
+  std::function<bool(const std::string&)> is_dead_;
 };
 
 }  // namespace
 
-void FleetWorld::Impl::boot(std::size_t i) {
-  Node& n = nodes[i];
-  n = Node();
-  n.up_since = now;
-  n.core = std::make_unique<Controller>(node_name(i), state, settings(i), names(), catalog());
-  n.changes.set_rate(0.7 * s.write_rps, std::max(0.35 * s.write_rps, double(s.txn_ops)));
-  if (way != Way::before) n.core->model.wall_ahead = wall_ahead;
-  if (way == Way::now || way == Way::twin) {
+void ClusterSimulation::Impl::start_controller(std::size_t i) {
+  ControllerProcess& process = controllers[i];
+  process = ControllerProcess();
+  process.up_since = now;
+  process.controller =
+      std::make_unique<SimulatedController>(controller_name(i), store, settings(i), names(), catalog());
+  process.change_budget.set_rate(0.7 * scenario_.write_rps,
+                                 std::max(0.35 * scenario_.write_rps, double(scenario_.txn_ops)));
+  if (variant != SimulationVariant::without_reconciliation)
+    process.controller->cluster_state.wall_clock_offset_s = wall_ahead;
+  if (variant == SimulationVariant::with_reconciliation || variant == SimulationVariant::without_faults) {
     recovery::Settings r;
     r.enabled = true;
-    n.core->square(r);
-  } else if (way == Way::bound) {
-    n.core->start = std::make_unique<Oracle>(n.core->model, n.core->scheduler, recovery::Settings(),
-                                             [this](const std::string& m) {
-                                               auto h = hosts.find(m);
-                                               return h != hosts.end() && !h->second.alive;
-                                             });
-    n.core->scheduler.set_gate(n.core->start.get());
-    n.core->fleet.set_gate(n.core->start.get());
+    process.controller->enable_reconciliation(r);
+  } else if (variant == SimulationVariant::oracle) {
+    process.controller->reconciler =
+        std::make_unique<Oracle>(process.controller->cluster_state, process.controller->scheduler,
+                                 recovery::Settings(), [this](const std::string& m) {
+                                   auto h = machines.find(m);
+                                   return h != machines.end() && !h->second.alive;
+                                 });
+    process.controller->scheduler.set_recovery_admission(process.controller->reconciler.get());
+    process.controller->autoscaler.set_recovery_admission(process.controller->reconciler.get());
   }
 }
 
-void FleetWorld::Impl::down(std::size_t i, double back_at) {
-  collect(nodes[i]);
-  nodes[i] = Node();
-  nodes[i].back_at = back_at;
+void ClusterSimulation::Impl::stop_controller(std::size_t i, double back_at) {
+  collect_requests(controllers[i]);
+  controllers[i] = ControllerProcess();
+  controllers[i].restarts_at = back_at;
 }
 
-void FleetWorld::Impl::collect(const Node& n) {
-  if (!n.core || !n.core->start) return;
-  for (std::uint32_t p = 0; p < n.core->model.parts(); ++p) {
-    const auto& c = n.core->start->counts(PartIndex{p});
+void ClusterSimulation::Impl::collect_requests(const ControllerProcess& process) {
+  if (!process.controller || !process.controller->reconciler) return;
+  for (std::uint32_t p = 0; p < process.controller->cluster_state.partition_count(); ++p) {
+    const auto& c = process.controller->reconciler->counts(PartitionIndex{p});
     result.suspected += c.suspected;
     result.returned += c.returned;
   }
 }
 
-void FleetWorld::Impl::tend(std::size_t i) {
-  Node& n = nodes[i];
-  if (!n.core) {
-    if (n.back_at < 0 || now < n.back_at) return;
-    boot(i);
+void ClusterSimulation::Impl::run_controller(std::size_t i) {
+  ControllerProcess& process = controllers[i];
+  if (!process.controller) {
+    if (process.restarts_at < 0 || now < process.restarts_at) return;
+    start_controller(i);
   }
-  if (!acts(n)) return;
-  Controller& c = *n.core;
-  bool state_up = reaches_state(n);
-  if (!n.listed) {
+  if (!acts(process)) return;
+  SimulatedController& controller = *process.controller;
+  bool state_up = reaches_state(process);
+  if (!process.state_loaded) {
     if (!state_up) return;
-    c.list(now);
-    n.listed = true;
-    if (way != Way::before) end_past(n, c);
+    controller.load_state(now);
+    process.state_loaded = true;
+    if (variant != SimulationVariant::without_reconciliation) end_lost_partitions(process, controller);
   }
-  if (state_up && now >= n.next_sync) {
-    n.next_sync = now + (c.scheduler.owns_any() ? 0.1 : 0.6);
-    n.hearings.push_back({now + delay_s(), now, state.events().size(), state.revision()});
+  if (state_up && now >= process.next_sync) {
+    process.next_sync = now + (controller.scheduler.owns_any() ? 0.1 : 0.6);
+    process.pending_watches.push_back({now + delay_s(), now, store.events().size(), store.revision()});
   }
   // Of a node that is cut off meanwhile the answer does not come.
-  if (!state_up) n.hearings.clear();
-  for (; !n.hearings.empty() && n.hearings.front().at <= now; n.hearings.pop_front())
-    c.hear_up_to(n.hearings.front().events, n.hearings.front().revision, n.hearings.front().asked, now);
-  if (state_up && now >= n.next_renew) {
-    n.next_renew = now + c.model.settings.op.hold_life_s / 4;
-    if (c.hold.id() == 0) {
-      c.hold.opened(state.open_hold(c.model.settings.op.hold_life_s, now), now);
-    } else if (state.renew(c.hold.id(), now)) {
-      c.hold.renewed(now);
+  if (!state_up) process.pending_watches.clear();
+  for (; !process.pending_watches.empty() && process.pending_watches.front().at <= now;
+       process.pending_watches.pop_front())
+    controller.apply_events_up_to(process.pending_watches.front().events,
+                                  process.pending_watches.front().revision,
+                                  process.pending_watches.front().opened_at, now);
+  if (state_up && now >= process.next_renew) {
+    process.next_renew = now + controller.cluster_state.settings.operator_settings.controller_lease_s / 4;
+    if (controller.lease.lease_id() == 0) {
+      controller.lease.on_granted(
+          store.grant_lease(controller.cluster_state.settings.operator_settings.controller_lease_s, now),
+          now);
+    } else if (store.renew_lease(controller.lease.lease_id(), now)) {
+      controller.lease.on_renewed(now);
     } else {
-      c.hold.lost();
+      controller.lease.on_lost();
     }
   }
-  if (state_up) claim(n, c);
-  while (!n.answers.empty() && n.answers.front().at <= now) {
-    auto a = std::move(n.answers.front());
-    n.answers.pop_front();
-    Stamp rev = a.result ? a.result->body.value("ledger_rev", std::uint64_t{0}) : 0;
-    c.answered(a.write, outcome_of(a.result), rev, now);
+  if (state_up) acquire_partitions(process, controller);
+  while (!process.write_responses.empty() && process.write_responses.front().at <= now) {
+    auto a = std::move(process.write_responses.front());
+    process.write_responses.pop_front();
+    Revision rev = a.result ? a.result->body.value("ledger_rev", std::uint64_t{0}) : 0;
+    controller.on_write_result(a.write, outcome_of(a.result), rev, now);
   }
-  Effects out = c.decide(now);
+  Effects out = controller.decide(now);
   for (Write& w : out.writes) {
-    c.keep(w);
-    n.queues[static_cast<std::size_t>(w.urgency)].push_back(std::move(w));
+    controller.queue_write(w);
+    process.queues[static_cast<std::size_t>(w.urgency)].push_back(std::move(w));
   }
-  pump(n, c);
-  for (const DirectOrders& d : out.direct) deliver(i, d);
-  for (RentOrder& r : out.rents) calls.push_back({i, now, std::move(r), {}, false});
-  if (!out.deletes.empty()) calls.push_back({i, now, {}, out.deletes, false});
+  send_queued_writes(process, controller);
+  for (const DirectCommands& d : out.direct_commands) deliver(i, d);
+  for (ScaleOutRequest& r : out.scale_outs) calls.push_back({i, now, std::move(r), {}, false});
+  if (!out.deletions.empty()) calls.push_back({i, now, {}, out.deletions, false});
   if (out.list_machines) calls.push_back({i, now, {}, {}, true});
-  if (c.start && now >= n.next_news) {
-    n.next_news = now + 1;
-    for (std::size_t k = 0; k < nodes.size(); ++k) {
-      bool cut = now < n.alone_until || now < nodes[k].alone_until || apart(zone_of(i)) != apart(zone_of(k));
-      if (k != i && !cut && acts(nodes[k]) && nodes[k].core->start) tell(c, *nodes[k].core);
+  if (controller.reconciler && now >= process.next_peer_update) {
+    process.next_peer_update = now + 1;
+    for (std::size_t k = 0; k < controllers.size(); ++k) {
+      bool cut = now < process.isolated_until || now < controllers[k].isolated_until ||
+                 is_isolated(zone_of(i)) != is_isolated(zone_of(k));
+      if (k != i && !cut && acts(controllers[k]) && controllers[k].controller->reconciler)
+        send_peer_status(controller, *controllers[k].controller);
     }
   }
 }
 
-void FleetWorld::Impl::tell(const Controller& from, Controller& to) const {
-  for (const auto& w : from.start->part_words()) to.start->heard_of(w, now);
-  for (MachineIndex m : from.start->suspects(200))
-    to.start->heard_of_suspect(to.model.find_recorded(from.model.names.machines.name(m)), now);
+void ClusterSimulation::Impl::send_peer_status(const SimulatedController& from,
+                                               SimulatedController& to) const {
+  for (const auto& w : from.reconciler->partition_statuses()) to.reconciler->on_peer_status(w, now);
+  for (MachineIndex m : from.reconciler->suspects(200))
+    to.reconciler->on_peer_suspect(to.cluster_state.find_recorded(from.cluster_state.names.machines.name(m)),
+                                   now);
 }
 
-void FleetWorld::Impl::put(Controller& c, const Key& key) {
-  Change change{key, ClaimRecord{c.name, c.hold.id()}, c.hold.id()};
-  std::string k = state::encode_key(key, c.model);
+void ClusterSimulation::Impl::publish_key(SimulatedController& controller, const Key& key) {
+  Change change{key, OwnershipRecord{controller.name, controller.lease.lease_id()},
+                controller.lease.lease_id()};
+  std::string encoded_key = state::encode_key(key, controller.cluster_state);
   Json guards = Json::array();
-  if (!std::holds_alternative<NodeKey>(key)) guards.push_back({{"k", k}, {"stamp", 0}});
-  Json body = {
-      {"guards", guards},
-      {"apply", {{{"put", k}, {"value", state::encode_value(change, c.model)}, {"grant", c.hold.id()}}}}};
-  if (!loses(body)) state.txn(body);
-  c.sync(now);
+  if (!std::holds_alternative<ControllerKey>(key)) guards.push_back({{"k", encoded_key}, {"stamp", 0}});
+  Json body = {{"guards", guards},
+               {"apply",
+                {{{"put", encoded_key},
+                  {"value", state::encode_value(change, controller.cluster_state)},
+                  {"grant", controller.lease.lease_id()}}}}};
+  if (!delays_write(body)) store.txn(body);
+  controller.sync(now);
 }
 
-bool FleetWorld::Impl::reaches_state(const Node& n) const {
-  auto i = static_cast<std::size_t>(&n - nodes.data());
-  return !state.outage() && now >= n.cut_until && now >= n.refused_until && now >= n.alone_until &&
-         !apart(zone_of(i));
+bool ClusterSimulation::Impl::reaches_state(const ControllerProcess& process) const {
+  auto i = static_cast<std::size_t>(&process - controllers.data());
+  return !store.outage() && now >= process.without_state_until && now >= process.refused_until &&
+         now >= process.isolated_until && !is_isolated(zone_of(i));
 }
 
-bool FleetWorld::Impl::loses(const Json& body) {
-  if (!loses_one()) return false;
-  late_writes.push_back({now + drawn(2, 12), body});
+bool ClusterSimulation::Impl::delays_write(const Json& body) {
+  if (!delays_next_write()) return false;
+  delayed_writes.push_back({now + draw(2, 12), body});
   return true;
 }
 
-void FleetWorld::Impl::end_past(Node& n, Controller& c) {
+void ClusterSimulation::Impl::end_lost_partitions(ControllerProcess& process,
+                                                  SimulatedController& controller) {
   std::set<std::uint64_t> holds;
-  for (std::uint32_t p = 0; p < c.model.parts(); ++p) {
-    const Claim& claim = c.model.claim(PartIndex{p});
-    if (claim.stamp == 0 || claim.rec.node != c.name) continue;
-    holds.insert(claim.rec.hold);
-    n.past_parts.insert(p);
+  for (std::uint32_t partition_number = 0; partition_number < controller.cluster_state.partition_count();
+       ++partition_number) {
+    const Ownership& ownership = controller.cluster_state.ownership(PartitionIndex{partition_number});
+    if (ownership.revision == 0 || ownership.record.controller != controller.name) continue;
+    holds.insert(ownership.record.lease_id);
+    process.lost_partitions.insert(partition_number);
   }
-  auto live = c.model.nodes().find(c.name);
-  if (live != c.model.nodes().end()) holds.insert(live->second.rec.hold);
-  for (std::uint64_t id : holds) state.end_hold(id);
-  c.sync(now);
+  auto live = controller.cluster_state.controllers().find(controller.name);
+  if (live != controller.cluster_state.controllers().end()) holds.insert(live->second.record.lease_id);
+  for (std::uint64_t id : holds) store.revoke_lease(id);
+  controller.sync(now);
 }
 
-void FleetWorld::Impl::claim(Node& n, Controller& c) {
-  if (c.hold.id() == 0) return;
-  if (now - n.registered_at >= 1 && needs_registration(c.model, c.hold, c.name)) {
-    n.registered_at = now;
-    put(c, NodeKey{c.name});
+void ClusterSimulation::Impl::acquire_partitions(ControllerProcess& process,
+                                                 SimulatedController& controller) {
+  if (controller.lease.lease_id() == 0) return;
+  if (now - process.registered_at >= 1 &&
+      needs_registration(controller.cluster_state, controller.lease, controller.name)) {
+    process.registered_at = now;
+    publish_key(controller, ControllerKey{controller.name});
   }
   std::vector<std::string> live;
-  for (const auto& [name, rec] : c.model.nodes()) live.push_back(name);
-  if (std::find(live.begin(), live.end(), c.name) == live.end()) return;
+  for (const auto& [name, rec] : controller.cluster_state.controllers()) live.push_back(name);
+  if (std::find(live.begin(), live.end(), controller.name) == live.end()) return;
   std::vector<std::string> all;
-  for (std::size_t k = 0; k < nodes.size(); ++k) all.push_back(node_name(k));
-  for (std::uint32_t p = 0; p < c.model.parts(); ++p) {
-    if (c.model.claim(PartIndex{p}).stamp != 0) {
-      n.claim_at.erase(p);
+  for (std::size_t k = 0; k < controllers.size(); ++k) all.push_back(controller_name(k));
+  for (std::uint32_t partition_number = 0; partition_number < controller.cluster_state.partition_count();
+       ++partition_number) {
+    if (controller.cluster_state.ownership(PartitionIndex{partition_number}).revision != 0) {
+      process.acquire_at.erase(partition_number);
       continue;
     }
-    bool young = now - n.up_since < 5;
-    std::size_t turn =
-        n.past_parts.count(p) != 0 ? 0 : claim_turn(c.model, PartIndex{p}, c.name, young ? all : live);
-    auto [it, fresh] = n.claim_at.emplace(p, now + 0.6 * static_cast<double>(turn));
+    bool young = now - process.up_since < 5;
+    std::size_t turn = process.lost_partitions.count(partition_number) != 0
+                           ? 0
+                           : acquisition_turn(controller.cluster_state, PartitionIndex{partition_number},
+                                              controller.name, young ? all : live);
+    auto [it, fresh] = process.acquire_at.emplace(partition_number, now + 0.6 * static_cast<double>(turn));
     if (now < it->second) continue;
     it->second = now + 3;
-    n.past_parts.erase(p);
-    put(c, ClaimKey{PartIndex{p}});
+    process.lost_partitions.erase(partition_number);
+    publish_key(controller, OwnershipKey{PartitionIndex{partition_number}});
   }
 }
 
-void FleetWorld::Impl::pump(Node& n, Controller& c) {
-  for (auto& q : n.queues) {
-    while (!q.empty()) {
-      auto changes = static_cast<double>(q.front().txn.changes.size());
-      if (!n.changes.take(changes, now)) return;
-      Write w = std::move(q.front());
-      q.pop_front();
-      std::optional<State::Result> r;
-      auto here = static_cast<std::size_t>(&n - nodes.data());
-      bool unreachable = now < n.cut_until || now < n.alone_until || apart(zone_of(here));
-      bool refused = !unreachable && now < n.refused_until;
+void ClusterSimulation::Impl::send_queued_writes(ControllerProcess& process,
+                                                 SimulatedController& controller) {
+  for (auto& queue : process.queues) {
+    while (!queue.empty()) {
+      auto changes = static_cast<double>(queue.front().txn.changes.size());
+      if (!process.change_budget.take(changes, now)) return;
+      Write write = std::move(queue.front());
+      queue.pop_front();
+      std::optional<StateStore::Result> write_result;
+      auto here = static_cast<std::size_t>(&process - controllers.data());
+      bool unreachable =
+          now < process.without_state_until || now < process.isolated_until || is_isolated(zone_of(here));
+      bool refused = !unreachable && now < process.refused_until;
       if (refused) {
-        r = State::Result{503, Json::object()};
-      } else if (unreachable || (!state.outage() && loses_next(c, w))) {
-        r = std::nullopt;
-      } else if (!state.outage() && !writes.take(changes, now)) {
-        r = State::Result{429, Json::object()};
+        write_result = StateStore::Result{503, Json::object()};
+      } else if (unreachable || (!store.outage() && loses_next(controller, write))) {
+        write_result = std::nullopt;
+      } else if (!store.outage() && !write_budget.take(changes, now)) {
+        write_result = StateStore::Result{429, Json::object()};
       } else {
-        r = c.send(w);
-        bool lost = loses_answer();
-        if (r && r->status == 200) {
-          second().changes += static_cast<std::uint32_t>(changes);
-          if (w.urgency == Urgency::placement) ++second().starts;
+        write_result = controller.send(write);
+        bool lost = loses_write_response();
+        if (write_result && write_result->status == 200) {
+          current_sample().changes += static_cast<std::uint32_t>(changes);
+          if (write.urgency == Urgency::placement) ++current_sample().starts;
         }
-        if (lost) r = std::nullopt;
+        if (lost) write_result = std::nullopt;
       }
-      for (const Change& ch : w.txn.changes) {
-        const auto* fin = std::get_if<FinalKey>(&ch.key);
-        if (fin != nullptr && r && r->status == 200)
-          n.finals.emplace(c.model.job(fin->job).spec.ref, std::get<JobPhase>(ch.value));
+      for (const Change& ch : write.txn.changes) {
+        const auto* fin = std::get_if<FinalPhaseKey>(&ch.key);
+        if (fin != nullptr && write_result && write_result->status == 200)
+          process.final_phases.emplace(controller.cluster_state.job(fin->job).spec.ref,
+                                       std::get<JobPhase>(ch.value));
       }
-      n.answers.push_back({now + (r ? step_s + delay_s() : 2), std::move(w), std::move(r)});
-      std::sort(n.answers.begin(), n.answers.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
+      process.write_responses.push_back(
+          {now + (write_result ? step_s + delay_s() : 2), std::move(write), std::move(write_result)});
+      std::sort(process.write_responses.begin(), process.write_responses.end(),
+                [](const auto& a, const auto& b) { return a.at < b.at; });
     }
   }
 }
 
-bool FleetWorld::Impl::loses_next(Controller& c, const Write& w) {
-  if (!loses_one()) return false;
-  c.fate = Fate::not_arrived;
-  c.send(w);
-  c.fate = Fate::answered;
-  late_writes.push_back({now + drawn(2, 12), c.lost.back()});
-  c.lost.clear();
+bool ClusterSimulation::Impl::loses_next(SimulatedController& controller, const Write& write) {
+  if (!delays_next_write()) return false;
+  controller.write_outcome = WriteOutcome::not_arrived;
+  controller.send(write);
+  controller.write_outcome = WriteOutcome::answered;
+  delayed_writes.push_back({now + draw(2, 12), controller.lost_writes.back()});
+  controller.lost_writes.clear();
   return true;
 }
 
--- a/src/lab/fleet_experiment.cpp
+++ b/src/lab/fleet_experiment.cpp
@@ -10,129 +10,142 @@
 
 namespace {
 
-double over_five(const std::vector<Second>& s, std::size_t at) {
+double five_second_mean(const std::vector<SecondSample>& s, std::size_t index) {
   double sum = 0;
-  std::size_t from = at < 4 ? 0 : at - 4;
-  for (std::size_t i = from; i <= at; ++i) sum += s[i].gpus;
-  return sum / static_cast<double>(at - from + 1);
+  std::size_t from = index < 4 ? 0 : index - 4;
+  for (std::size_t i = from; i <= index; ++i) sum += s[i].gpus_in_use;
+  return sum / static_cast<double>(index - from + 1);
 }
 
 }  // namespace
 
-double time_to_level(const FleetResult& r, const FleetResult& twin, double fault_s) {
+double time_to_level(const ClusterResult& result, const ClusterResult& twin, double fault_s) {
   constexpr double level = 0.95, stays_s = 10;
-  std::size_t n = std::min(r.seconds.size(), twin.seconds.size());
-  double held = 0;
+  std::size_t n = std::min(result.samples.size(), twin.samples.size());
+  double stable_s = 0;
   for (auto i = static_cast<std::size_t>(fault_s) + 2; i < n; ++i) {
-    held = over_five(r.seconds, i) >= level * over_five(twin.seconds, i) ? held + 1 : 0;
-    if (held >= stays_s) return static_cast<double>(i + 1) - stays_s - fault_s;
+    stable_s =
+        five_second_mean(result.samples, i) >= level * five_second_mean(twin.samples, i) ? stable_s + 1 : 0;
+    if (stable_s >= stays_s) return static_cast<double>(i + 1) - stays_s - fault_s;
   }
   return static_cast<double>(n) - fault_s;  // not within the run
 }
 
-std::vector<FleetRow> play(const FleetScenario& s, unsigned seeds, unsigned threads) {
-  std::vector<FleetRow> rows;
+std::vector<ClusterRow> play(const ClusterScenario& scenario, unsigned seeds, unsigned threads) {
+  std::vector<ClusterRow> rows;
   for (unsigned seed = 1; seed <= seeds; ++seed) {
-    for (Way w : ways) rows.push_back({w, seed, {}});
+    for (SimulationVariant w : simulation_variants) rows.push_back({w, seed, {}});
   }
-  in_parallel(rows.size(), threads,
-              [&](std::size_t i) { rows[i].result = FleetWorld(s, rows[i].way, rows[i].seed).run(); });
+  run_in_parallel(rows.size(), threads, [&](std::size_t i) {
+    rows[i].result = ClusterSimulation(scenario, rows[i].variant, rows[i].seed).run();
+  });
   return rows;
 }
 
-std::vector<FleetSummary> summarise(const FleetScenario& s, const std::vector<FleetRow>& rows) {
-  double fault = s.length_s;
-  for (const Fault& f : s.faults) fault = std::min(fault, f.at_s);
-  std::vector<FleetSummary> out;
-  for (Way w : ways) {
-    FleetSummary x;
-    x.way = w;
-    std::vector<double> level, squared, undone, lost, peak, rentals, suspected, returned, alive, changes;
-    x.least_served = 1;
+std::vector<ClusterSummary> summarise(const ClusterScenario& scenario, const std::vector<ClusterRow>& rows) {
+  double fault = scenario.duration_s;
+  for (const Fault& f : scenario.faults) fault = std::min(fault, f.at_s);
+  std::vector<ClusterSummary> out;
+  for (SimulationVariant variant : simulation_variants) {
+    ClusterSummary summary;
+    summary.variant = variant;
+    std::vector<double> level, reconciled, undone, lost, peak, rentals, suspected, returned, alive, changes;
+    summary.lowest_served_fraction = 1;
     for (std::size_t i = 0; i < rows.size(); ++i) {
-      if (rows[i].way != w) continue;
-      const FleetResult& r = rows[i].result;
-      const FleetResult& twin = rows[i - static_cast<std::size_t>(w)].result;
-      level.push_back(time_to_level(r, twin, fault));
-      if (r.squared_s >= 0) squared.push_back(r.squared_s);
-      undone.push_back(r.undone);
-      lost.push_back(r.lost_s);
-      suspected.push_back(r.suspected);
-      returned.push_back(r.returned);
-      alive.push_back(r.condemned_alive);
+      if (rows[i].variant != variant) continue;
+      const ClusterResult& result = rows[i].result;
+      const ClusterResult& twin = rows[i - static_cast<std::size_t>(variant)].result;
+      level.push_back(time_to_level(result, twin, fault));
+      if (result.reconciled_s >= 0) reconciled.push_back(result.reconciled_s);
+      undone.push_back(result.wasted_scale_outs);
+      lost.push_back(result.lost_run_time_s);
+      suspected.push_back(result.suspected);
+      returned.push_back(result.returned);
+      alive.push_back(result.marked_for_deletion_alive);
       double most = 0, rent = 0, change = 0;
-      for (auto t = static_cast<std::size_t>(fault); t < r.seconds.size(); ++t) {
-        most = std::max<double>(most, r.seconds[t].returns);
-        rent += r.seconds[t].rentals;
-        change = std::max<double>(change, r.seconds[t].changes);
+      for (auto t = static_cast<std::size_t>(fault); t < result.samples.size(); ++t) {
+        most = std::max<double>(most, result.samples[t].returns);
+        rent += result.samples[t].rentals;
+        change = std::max<double>(change, result.samples[t].changes);
       }
       peak.push_back(most);
       rentals.push_back(rent);
       changes.push_back(change);
       for (std::size_t k = 0; k < 2; ++k) {
-        if (twin.done[k] > 0) x.least_served = std::min(x.least_served, double(r.done[k]) / twin.done[k]);
-        if (twin.of_team[k] > 0)
-          x.least_served = std::min(x.least_served, double(r.of_team[k]) / twin.of_team[k]);
+        if (twin.done_by_class[k] > 0)
+          summary.lowest_served_fraction = std::min(summary.lowest_served_fraction,
+                                                    double(result.done_by_class[k]) / twin.done_by_class[k]);
+        if (twin.tasks_by_team[k] > 0)
+          summary.lowest_served_fraction = std::min(summary.lowest_served_fraction,
+                                                    double(result.tasks_by_team[k]) / twin.tasks_by_team[k]);
       }
-      x.broken += static_cast<int>(r.broken.size());
-      if (!r.broken.empty() && x.first_broken.empty())
-        x.first_broken = fmt::format("seed {}: {}", rows[i].seed, r.broken.front());
+      summary.violations += static_cast<int>(result.violations.size());
+      if (!result.violations.empty() && summary.first_violation.empty())
+        summary.first_violation = fmt::format("seed {}: {}", rows[i].seed, result.violations.front());
     }
-    x.level_s = median(level);
-    x.squared_s = median(squared);
-    x.undone = median(undone);
-    x.lost_s = median(lost);
-    x.peak_returns = median(peak);
-    x.rentals = median(rentals);
-    x.suspected = median(suspected);
-    x.returned = median(returned);
-    x.deleted_alive = median(alive);
-    x.peak_changes = median(changes);
-    out.push_back(x);
+    summary.recovery_s = median(level);
+    summary.reconciled_s = median(reconciled);
+    summary.wasted_scale_outs = median(undone);
+    summary.lost_run_time_s = median(lost);
+    summary.peak_returns = median(peak);
+    summary.rentals = median(rentals);
+    summary.suspected = median(suspected);
+    summary.returned = median(returned);
+    summary.deleted_alive = median(alive);
+    summary.peak_changes = median(changes);
+    out.push_back(summary);
   }
   return out;
 }
 
 namespace {
 /// One list of columns for all forms.
-std::vector<std::pair<const char*, double>> columns(const FleetSummary& x) {
-  return {{"level_s", x.level_s},         {"squared_s", x.squared_s},       {"undone", x.undone},
-          {"rentals", x.rentals},         {"peak_returns", x.peak_returns}, {"peak_changes", x.peak_changes},
-          {"lost_gpu_s", x.lost_s},       {"suspected", x.suspected},       {"back", x.returned},
-          {"del_alive", x.deleted_alive}, {"least_served", x.least_served}, {"broken", x.broken}};
+std::vector<std::pair<const char*, double>> columns(const ClusterSummary& summary) {
+  return {{"level_s", summary.recovery_s},
+          {"squared_s", summary.reconciled_s},
+          {"undone", summary.wasted_scale_outs},
+          {"rentals", summary.rentals},
+          {"peak_returns", summary.peak_returns},
+          {"peak_changes", summary.peak_changes},
+          {"lost_gpu_s", summary.lost_run_time_s},
+          {"suspected", summary.suspected},
+          {"back", summary.returned},
+          {"del_alive", summary.deleted_alive},
+          {"least_served", summary.lowest_served_fraction},
+          {"broken", summary.violations}};
 }
 }  // namespace
 
-std::string table(const std::string& scenario, const std::vector<FleetSummary>& rows) {
+std::string table(const std::string& scenario, const std::vector<ClusterSummary>& rows) {
   std::string out = fmt::format("{}\n{:<8}", scenario, "way");
   for (const auto& [name, v] : columns(rows.front())) out += fmt::format("{:>13}", name);
-  for (const FleetSummary& x : rows) {
-    out += fmt::format("\n{:<8}", name_of(x.way));
+  for (const ClusterSummary& x : rows) {
+    out += fmt::format("\n{:<8}", name_of(x.variant));
     for (const auto& [name, v] : columns(x)) out += fmt::format("{:>13.2f}", v);
   }
   out += '\n';
-  for (const FleetSummary& x : rows) {
-    if (!x.first_broken.empty()) out += fmt::format("{}: {}\n", name_of(x.way), x.first_broken);
+  for (const ClusterSummary& x : rows) {
+    if (!x.first_violation.empty()) out += fmt::format("{}: {}\n", name_of(x.variant), x.first_violation);
   }
   return out;
 }
 
-std::string csv(const std::string& scenario, const std::vector<FleetRow>& rows) {
+std::string csv(const std::string& scenario, const std::vector<ClusterRow>& rows) {
   std::string out = "scenario,way,seed,second,gpus,returns,rentals,starts,kills,changes\n";
-  for (const FleetRow& r : rows) {
-    for (std::size_t t = 0; t < r.result.seconds.size(); ++t) {
-      const Second& s = r.result.seconds[t];
-      out += fmt::format("{},{},{},{},{:.1f},{},{},{},{},{}\n", scenario, name_of(r.way), r.seed, t, s.gpus,
-                         s.returns, s.rentals, s.starts, s.kills, s.changes);
+  for (const ClusterRow& r : rows) {
+    for (std::size_t t = 0; t < r.result.samples.size(); ++t) {
+      const SecondSample& s = r.result.samples[t];
+      out += fmt::format("{},{},{},{},{:.1f},{},{},{},{},{}\n", scenario, name_of(r.variant), r.seed, t,
+                         s.gpus_in_use, s.returns, s.rentals, s.starts, s.kills, s.changes);
     }
   }
   return out;
 }
 
-wire::Json json(const std::string& scenario, const std::vector<FleetSummary>& rows) {
+wire::Json json(const std::string& scenario, const std::vector<ClusterSummary>& rows) {
   wire::Json list = wire::Json::array();
-  for (const FleetSummary& x : rows) {
-    wire::Json one = {{"way", name_of(x.way)}};
+  for (const ClusterSummary& x : rows) {
+    wire::Json one = {{"way", name_of(x.variant)}};
     for (const auto& [name, v] : columns(x)) one[name] = v;
     list.push_back(std::move(one));
   }
--- a/src/lab/fleet_scenario.cpp
+++ b/src/lab/fleet_scenario.cpp
@@ -9,44 +9,45 @@
 namespace {
 
 const std::map<std::string, FaultKind>& fault_names() {
-  static const std::map<std::string, FaultKind> names = {{"all_down", FaultKind::all_down},
-                                                         {"owner_down", FaultKind::owner_down},
-                                                         {"owner_cut", FaultKind::owner_cut},
-                                                         {"state_outage", FaultKind::state_outage},
-                                                         {"state_slow", FaultKind::state_slow},
-                                                         {"cloud_outage", FaultKind::cloud_outage},
-                                                         {"machines_die", FaultKind::machines_die},
-                                                         {"machines_hang", FaultKind::machines_hang},
-                                                         {"zone_cut", FaultKind::zone_cut},
-                                                         {"freeze", FaultKind::freeze},
-                                                         {"finish_all", FaultKind::finish_all},
-                                                         {"cancel", FaultKind::cancel},
-                                                         {"gang_member", FaultKind::gang_member},
-                                                         {"late_reports", FaultKind::late_reports},
-                                                         {"late_copies", FaultKind::late_copies},
-                                                         {"late_writes", FaultKind::late_writes},
-                                                         {"held_up", FaultKind::held_up},
-                                                         {"machines_deaf", FaultKind::machines_deaf},
-                                                         {"owner_refused", FaultKind::owner_refused},
-                                                         {"owner_alone", FaultKind::owner_alone},
-                                                         {"state_delay", FaultKind::state_delay},
-                                                         {"lost_answers", FaultKind::lost_answers},
-                                                         {"kept_copies", FaultKind::kept_copies},
-                                                         {"machines_mute", FaultKind::machines_mute},
-                                                         {"zone_apart", FaultKind::zone_apart},
-                                                         {"cancel_hang", FaultKind::cancel_hang},
-                                                         {"cancel_at_end", FaultKind::cancel_at_end},
-                                                         {"close_looks", FaultKind::close_looks},
-                                                         {"odd_requests", FaultKind::odd_requests},
-                                                         {"quick_boots", FaultKind::quick_boots}};
+  static const std::map<std::string, FaultKind> names = {
+      {"all_down", FaultKind::all_controllers_down},
+      {"owner_down", FaultKind::owner_down},
+      {"owner_cut", FaultKind::owner_without_state},
+      {"state_outage", FaultKind::state_outage},
+      {"state_slow", FaultKind::state_slow},
+      {"cloud_outage", FaultKind::cloud_outage},
+      {"machines_die", FaultKind::machines_die},
+      {"machines_hang", FaultKind::machines_hang},
+      {"zone_cut", FaultKind::zone_workers_cut_off},
+      {"freeze", FaultKind::owner_frozen},
+      {"finish_all", FaultKind::all_tasks_finish},
+      {"cancel", FaultKind::jobs_cancelled},
+      {"gang_member", FaultKind::gang_member_dies},
+      {"late_reports", FaultKind::delayed_reports},
+      {"late_copies", FaultKind::duplicate_reports},
+      {"late_writes", FaultKind::delayed_writes},
+      {"held_up", FaultKind::delayed_responses},
+      {"machines_deaf", FaultKind::machines_receive_nothing},
+      {"owner_refused", FaultKind::owner_refused_by_state},
+      {"owner_alone", FaultKind::owner_isolated},
+      {"state_delay", FaultKind::state_delay},
+      {"lost_answers", FaultKind::lost_write_responses},
+      {"kept_copies", FaultKind::replayed_reports},
+      {"machines_mute", FaultKind::machines_send_nothing},
+      {"zone_apart", FaultKind::zone_isolated},
+      {"cancel_hang", FaultKind::jobs_cancelled_and_machines_hang},
+      {"cancel_at_end", FaultKind::jobs_cancelled_at_end},
+      {"close_looks", FaultKind::repeated_queries},
+      {"odd_requests", FaultKind::invalid_requests},
+      {"quick_boots", FaultKind::fast_boots}};
   return names;
 }
 
 }  // namespace
 
-const char* name_of(Way w) {
+const char* name_of(SimulationVariant variant) {
   static constexpr const char* names[] = {"twin", "before", "now", "bound"};
-  return names[static_cast<int>(w)];
+  return names[static_cast<int>(variant)];
 }
 
 const char* name_of(FaultKind k) {
@@ -55,53 +56,68 @@
   return it->first.c_str();
 }
 
-void load_fleet(const std::string& file, FleetScenario& s) {
-  yaml::Map r(file, "", yaml::load(file));
-  r.get("fleet", s.fleet)
-      .get("warm_s", s.warm_s)
-      .get("length_s", s.length_s)
-      .get("controllers", s.controllers)
-      .get("zones", s.zones);
-  r.get("up", s.up).get("capacity", s.capacity).get("spot", s.spot).get("report_s", s.report_s);
-  r.get("lease_s", s.lease_s).get("cancel_s", s.cancel_s).get("boot_s", s.boot_s);
-  r.get("fetch_gb_per_s", s.fetch_gb_per_s).get("write_rps", s.write_rps).get("cloud_rps", s.cloud_rps);
-  r.get("txn_ops", s.txn_ops).get("gangs", s.gangs).get("arrays", s.arrays).get("gangs_a_s", s.gangs_a_s);
-  r.get("arrays_a_s", s.arrays_a_s).get("gang_s", s.gang_s).get("array_s", s.array_s);
-  r.get("guaranteed_gpus", s.guaranteed_gpus).get("most_gpus", s.most_gpus);
-  r.get("gang_wait_s", s.gang_wait_s);
-  r.get("few", s.few)
-      .get("few_tasks", s.few_tasks)
-      .get("bound", s.bound)
-      .get("withdrawn", s.withdrawn)
-      .get("hold_life_s", s.hold_life_s);
-  r.done();
+void load_cluster(const std::string& file, ClusterScenario& scenario) {
+  yaml::Map root(file, "", yaml::load(file));
+  root.get("fleet", scenario.cluster)
+      .get("warm_s", scenario.warm_up_s)
+      .get("length_s", scenario.duration_s)
+      .get("controllers", scenario.controllers)
+      .get("zones", scenario.zones);
+  root.get("up", scenario.initial_machines)
+      .get("capacity", scenario.machine_capacity)
+      .get("spot", scenario.spot_machines)
+      .get("report_s", scenario.report_interval_s);
+  root.get("lease_s", scenario.lease_s)
+      .get("cancel_s", scenario.cancel_timeout_s)
+      .get("boot_s", scenario.boot_s);
+  root.get("fetch_gb_per_s", scenario.fetch_gb_per_s)
+      .get("write_rps", scenario.write_rps)
+      .get("cloud_rps", scenario.cloud_rps);
+  root.get("txn_ops", scenario.txn_ops)
+      .get("gangs", scenario.initial_gangs)
+      .get("arrays", scenario.initial_arrays)
+      .get("gangs_a_s", scenario.gangs_per_s);
+  root.get("arrays_a_s", scenario.arrays_per_s)
+      .get("gang_s", scenario.gang_run_s)
+      .get("array_s", scenario.array_run_s);
+  root.get("guaranteed_gpus", scenario.guaranteed_gpus).get("most_gpus", scenario.max_gpus);
+  root.get("gang_wait_s", scenario.gang_wait_s);
+  root.get("few", scenario.small_array_fraction)
+      .get("few_tasks", scenario.small_array_max_tasks)
+      .get("bound", scenario.zone_bound_fraction)
+      .get("withdrawn", scenario.withdrawn_fraction)
+      .get("hold_life_s", scenario.controller_lease_s);
+  root.reject_unknown_keys();
 }
 
-FleetScenario load_fleet_scenario(const std::string& file, const std::string& fleet) {
-  FleetScenario s;
-  load_fleet(fleet, s);
-  yaml::Map r(file, "", yaml::load(file));
-  r.get("name", s.name);
-  YAML::Node faults = r.take("faults").value_or(YAML::Node(YAML::NodeType::Undefined));
-  r.done();
+ClusterScenario load_cluster_scenario(const std::string& file, const std::string& fleet) {
+  ClusterScenario scenario;
+  load_cluster(fleet, scenario);
+  yaml::Map root(file, "", yaml::load(file));
+  root.get("name", scenario.name);
+  YAML::Node faults = root.take("faults").value_or(YAML::Node(YAML::NodeType::Undefined));
+  root.reject_unknown_keys();
   for (std::size_t i = 0; faults && i < faults.size(); ++i) {
-    Fault f;
-    yaml::Map m = r.sub("faults[" + std::to_string(i) + "]", faults[i]);
-    auto kind = fault_names().find(m.text("kind"));
-    if (kind == fault_names().end()) m.fail("kind", "no such fault");
-    f.kind = kind->second;
-    m.get("at_s", f.at_s).get("for_s", f.for_s).get("stagger_s", f.stagger_s).get("share", f.share);
-    m.get("count", f.count).get("zone", f.zone);
-    m.done();
-    f.at_s += s.warm_s;
-    s.faults.push_back(f);
+    Fault fault;
+    yaml::Map map = root.child("faults[" + std::to_string(i) + "]", faults[i]);
+    auto kind = fault_names().find(map.text("kind"));
+    if (kind == fault_names().end()) map.fail("kind", "no such fault");
+    fault.kind = kind->second;
+    map.get("at_s", fault.at_s)
+        .get("for_s", fault.duration_s)
+        .get("stagger_s", fault.stagger_s)
+        .get("share", fault.fraction);
+    map.get("count", fault.count).get("zone", fault.zone);
+    map.reject_unknown_keys();
+    fault.at_s += scenario.warm_up_s;
+    scenario.faults.push_back(fault);
   }
-  return s;
+  return scenario;
 }
 
-void Served::count(double wait_s, bool has_begun) {
+void ServedJobs::count(double wait_s, bool has_begun) {
   ++jobs;
-  begun += has_begun ? 1 : 0;
+  started += has_begun ? 1 : 0;
   longest_wait_s = std::max(longest_wait_s, wait_s);
 }
 
