--- a/src/lab/fleet_users.cpp
+++ b/src/lab/fleet_users.cpp
@@ -3,212 +3,238 @@
 
 namespace oxbowmill::lab {
 
-void FleetWorld::Impl::submit(std::uint32_t cls) {
+void ClusterSimulation::Impl::submit(std::uint32_t class_index) {
   JobSpec spec = test_job("run-" + std::to_string(++submitted), 1);
-  JobInfo info;
-  info.cls = cls;
+  SimulatedJob info;
+  info.class_index = class_index;
   info.team = pick(2);
   info.image = pick(std::size(image_gb));
-  info.run_s = (cls == 0 ? s.gang_s : s.array_s) * std::exp(uniform(-0.7, 0.7));
-  spec.part = PartIndex{1 + info.team};
-  spec.shape = cls == 0 ? Shape::gang : Shape::array;
-  spec.rank = cls == 0 ? Rank::high : Rank::low;
-  spec.tasks = cls == 0 ? 1U << pick(3) : 5 + pick(30);
-  spec.need = cls == 0 ? Amounts{28, 4, 110} : Amounts{6, 1, 24};
-  spec.one_zone = cls == 0;
+  info.run_s =
+      (class_index == 0 ? scenario_.gang_run_s : scenario_.array_run_s) * std::exp(uniform(-0.7, 0.7));
+  spec.partition = PartitionIndex{1 + info.team};
+  spec.shape = class_index == 0 ? JobShape::gang : JobShape::array;
+  spec.priority = class_index == 0 ? Priority::high : Priority::low;
+  spec.tasks = class_index == 0 ? 1U << pick(3) : 5 + pick(30);
+  spec.task_resources = class_index == 0 ? Resources{28, 4, 110} : Resources{6, 1, 24};
+  spec.single_zone = class_index == 0;
   spec.spot = true;
-  spec.save_every_s = save_every_s;
+  spec.checkpoint_interval_s = save_every_s;
   spec.flush_s = flush_s;
   spec.estimate_s = info.run_s * std::exp(uniform(-0.4, 0.4));
   spec.image_gb = image_gb[info.image];
   spec.submitted_at = now + wall_ahead;
   info.tasks = spec.tasks;
   info.submitted = now;
-  info.gpus = spec.need.gpus;
-  if (cls == 1 && s.few > 0 && lucky(s.few)) {
-    spec.tasks = info.tasks = 1 + static_cast<std::uint32_t>(drawn(0, s.few_tasks - 0.001));
+  info.gpus = spec.task_resources.gpus;
+  if (class_index == 1 && scenario_.small_array_fraction > 0 && chance(scenario_.small_array_fraction)) {
+    spec.tasks = info.tasks =
+        1 + static_cast<std::uint32_t>(draw(0, scenario_.small_array_max_tasks - 0.001));
     info.spread = 1.5;
   }
-  if (cls == 1 && s.bound > 0 && lucky(s.bound)) {
-    double kind = drawn(0, 3);
-    spec.one_zone = kind < 1;
-    if (kind >= 1 && kind < 2) spec.zone = ZoneIndex{static_cast<std::uint32_t>(drawn(0, s.zones - 0.001))};
-    spec.scatter = kind >= 2;
+  if (class_index == 1 && scenario_.zone_bound_fraction > 0 && chance(scenario_.zone_bound_fraction)) {
+    double kind = draw(0, 3);
+    spec.single_zone = kind < 1;
+    if (kind >= 1 && kind < 2)
+      spec.zone = ZoneIndex{static_cast<std::uint32_t>(draw(0, scenario_.zones - 0.001))};
+    spec.spread_zones = kind >= 2;
   }
   Names n = names();
   spec.image = n.images.find("img-" + std::to_string(info.image));
-  User u;
-  u.ref = spec.ref;
-  u.body = wire::write_submission(spec, n);
-  u.next = now;
-  if (lucky(s.withdrawn)) u.withdraws_at = now + drawn(1, 1.5 * info.run_s);
+  User user;
+  user.ref = spec.ref;
+  user.body = wire::write_submission(spec, n);
+  user.next_request_at = now;
+  if (chance(scenario_.withdrawn_fraction)) user.withdraws_at = now + draw(1, 1.5 * info.run_s);
   jobs[spec.ref] = info;
-  std::string zone = spec.zone.valid() ? zone_names[spec.zone.v] : "";
-  rules.submits(
-      spec.ref,
-      {info.team, info.tasks, info.gpus, spec.one_zone, spec.spot, cls == 0, spec.scatter, zone, {}, true});
-  users.push_back(std::move(u));
+  std::string zone = spec.zone.valid() ? zone_names[spec.zone.value] : "";
+  invariants.on_submit(spec.ref, {info.team,
+                                  info.tasks,
+                                  info.gpus,
+                                  spec.single_zone,
+                                  spec.spot,
+                                  class_index == 0,
+                                  spec.spread_zones,
+                                  zone,
+                                  {},
+                                  true});
+  users.push_back(std::move(user));
 }
 
-FleetWorld::Impl::User* FleetWorld::Impl::user_of(const std::string& ref) {
+ClusterSimulation::Impl::User* ClusterSimulation::Impl::user_of(const std::string& ref) {
   auto u = std::find_if(users.begin(), users.end(), [&ref](const User& x) { return x.ref == ref; });
   return u == users.end() ? nullptr : &*u;
 }
 
-Told FleetWorld::Impl::ask(std::size_t k, User& u, Asks what) {
-  Node& n = nodes[k];
-  if (what == Asks::withdrawal) {
-    u.withdrawn = true;
-    rules.withdraws(u.ref);
+JobAnswer ClusterSimulation::Impl::send_request(std::size_t k, User& user, RequestKind what) {
+  ControllerProcess& process = controllers[k];
+  if (what == RequestKind::withdrawal) {
+    user.withdrawn = true;
+    invariants.on_withdraw(user.ref);
   }
-  Told told = Told::nothing;
-  if (acts(n) && n.listed && !apart(zone_of(k)))
-    told = what == Asks::submission   ? submit(n, u)
-           : what == Asks::withdrawal ? withdraw(n, u)
-                                      : poll(n, u.ref);
-  rules.told(u.ref, told, now);
-  if (told == Told::nothing && u.over) {
-    u.over = false;  // who got no answer asks again
-    u.next = now + 1.5;
+  JobAnswer answer = JobAnswer::no_answer;
+  if (acts(process) && process.state_loaded && !is_isolated(zone_of(k)))
+    answer = what == RequestKind::submission   ? submit(process, user)
+             : what == RequestKind::withdrawal ? withdraw(process, user)
+                                               : poll(process, user.ref);
+  invariants.on_answer(user.ref, answer, now);
+  if (answer == JobAnswer::no_answer && user.finished) {
+    user.finished = false;  // who got no answer asks again
+    user.next_request_at = now + 1.5;
   }
-  heard(u, told);
-  return told;
+  record_answer(user, answer);
+  return answer;
 }
 
-void FleetWorld::Impl::heard(User& u, Told what) const {
-  bool final = what == Told::done || what == Told::cancelled;
-  bool news = (!u.accepted && (final || what == Told::open)) || (final && !u.final);
-  u.accepted = u.accepted || final || what == Told::open;
-  u.final = u.final || final;
-  if (final) u.withdraws_at = 1e18;
-  if (news && now < looks_until) u.looks_until = now + 0.5;
+void ClusterSimulation::Impl::record_answer(User& user, JobAnswer what) const {
+  bool final = what == JobAnswer::done || what == JobAnswer::cancelled;
+  bool has_update = (!user.accepted && (final || what == JobAnswer::open)) || (final && !user.final);
+  user.accepted = user.accepted || final || what == JobAnswer::open;
+  user.final = user.final || final;
+  if (final) user.withdraws_at = 1e18;
+  if (has_update && now < repeated_queries_until) user.queries_until = now + 0.5;
 }
 
-void FleetWorld::Impl::look_closely(User& u) {
-  if (!u.final && lucky(0.03)) u.withdraws_at = u.next = now;
-  bool repeats = lucky(0.3);
-  for (std::size_t k = 0; k < nodes.size(); ++k) ask(k, u, repeats ? Asks::submission : Asks::status);
+void ClusterSimulation::Impl::query_all_controllers(User& user) {
+  if (!user.final && chance(0.03)) user.withdraws_at = user.next_request_at = now;
+  bool repeats = chance(0.3);
+  for (std::size_t k = 0; k < controllers.size(); ++k)
+    send_request(k, user, repeats ? RequestKind::submission : RequestKind::status);
 }
 
-void FleetWorld::Impl::send_odd_request() {
-  auto k = static_cast<std::size_t>(drawn(0, static_cast<double>(nodes.size()) - 0.01));
-  if (!users.empty() && lucky(0.6)) {
-    User& u = users[static_cast<std::size_t>(drawn(0, static_cast<double>(users.size()) - 0.01))];
-    if (u.accepted) ask(k, u, u.final ? Asks::withdrawal : Asks::submission);
+void ClusterSimulation::Impl::send_invalid_request() {
+  auto k = static_cast<std::size_t>(draw(0, static_cast<double>(controllers.size()) - 0.01));
+  if (!users.empty() && chance(0.6)) {
+    User& u = users[static_cast<std::size_t>(draw(0, static_cast<double>(users.size()) - 0.01))];
+    if (u.accepted) send_request(k, u, u.final ? RequestKind::withdrawal : RequestKind::submission);
     return;
   }
-  User u;
-  u.ref = "odd-" + std::to_string(++odd);
-  JobSpec spec = test_job(u.ref, 2);
+  User user;
+  user.ref = "odd-" + std::to_string(++invalid_request_count);
+  JobSpec spec = test_job(user.ref, 2);
   spec.image = ImageIndex{0};
-  u.body = wire::write_submission(spec, names());
+  user.body = wire::write_submission(spec, names());
   static const std::vector<std::pair<const char*, Json>> wrong = {
       {"accelerators", 5.0}, {"owner", "nobody"},    {"shards", nullptr},  {"shards", 0},
       {"vcpus", "8"},        {"yard", "nowhere"},    {"rigs", {"none"}},   {"bundle", nullptr},
       {"memory_gb", -1.0},   {"rank", "utmost"},     {"loaners", nullptr}, {"flush_s", nullptr},
       {"shape", "ring"},     {"same_place", nullptr}};
-  const auto& [field, value] = wrong[odd % wrong.size()];
-  u.body[field] = value;
-  rules.submits(u.ref, {0, 1, 1, false, true, false, false, "", {}, false});
-  ask(k, u, Asks::submission);
+  const auto& [field, value] = wrong[invalid_request_count % wrong.size()];
+  user.body[field] = value;
+  invariants.on_submit(user.ref, {0, 1, 1, false, true, false, false, "", {}, false});
+  send_request(k, user, RequestKind::submission);
 }
 
-void FleetWorld::Impl::tick_users() {
-  for (auto& u : users) {
-    if (now < u.looks_until) look_closely(u);
-    if (u.over || now < u.next) continue;
-    std::size_t k = std::uniform_int_distribution<std::size_t>(0, nodes.size() - 1)(luck);
-    bool withdraws = u.accepted && now >= u.withdraws_at;
-    Told what = ask(k, u, !u.accepted ? Asks::submission : withdraws ? Asks::withdrawal : Asks::status);
-    u.next = now + (what == Told::nothing ? 1.5 : 5);
+void ClusterSimulation::Impl::tick_users() {
+  for (auto& user : users) {
+    if (now < user.queries_until) query_all_controllers(user);
+    if (user.finished || now < user.next_request_at) continue;
+    std::size_t k = std::uniform_int_distribution<std::size_t>(0, controllers.size() - 1)(fault_random);
+    bool withdraws = user.accepted && now >= user.withdraws_at;
+    JobAnswer what = send_request(k, user,
+                                  !user.accepted ? RequestKind::submission
+                                  : withdraws    ? RequestKind::withdrawal
+                                                 : RequestKind::status);
+    user.next_request_at = now + (what == JobAnswer::no_answer ? 1.5 : 5);
     // Some ask again later, through others.
-    bool final = what == Told::done || what == Told::cancelled;
-    u.over = final && !lucky(0.7);
+    bool final = what == JobAnswer::done || what == JobAnswer::cancelled;
+    user.finished = final && !chance(0.7);
   }
-  if (now < odd_until && now >= next_odd) {
-    next_odd = now + 0.4;
-    send_odd_request();
+  if (now < invalid_requests_until && now >= next_invalid_request) {
+    next_invalid_request = now + 0.4;
+    send_invalid_request();
   }
-  if (now >= next_stranger && !nodes.empty()) {
+  if (now >= next_unknown_job_query && !controllers.empty()) {
     // Users also ask about jobs that nobody has submitted.
-    next_stranger = now + 10;
-    Node& n = nodes[static_cast<std::size_t>(drawn(0, static_cast<double>(nodes.size()) - 0.01))];
-    if (acts(n) && n.listed) rules.told("run-0", poll(n, "run-0"), now);
+    next_unknown_job_query = now + 10;
+    ControllerProcess& n =
+        controllers[static_cast<std::size_t>(draw(0, static_cast<double>(controllers.size()) - 0.01))];
+    if (acts(n) && n.state_loaded) invariants.on_answer("run-0", poll(n, "run-0"), now);
   }
 }
 
-service::KeyRead FleetWorld::Impl::read(const Node& n, const std::string& key, Json* value,
-                                        std::uint64_t* stamp) const {
-  using Kind = service::KeyRead::Kind;
-  if (!reaches_state(n) || delay_s() > 1) return {};
-  auto it = state.keys().find(key);
-  if (it == state.keys().end()) return {Kind::absent, JobPhase::open};
+service::KeyReadResult ClusterSimulation::Impl::read(const ControllerProcess& process, const std::string& key,
+                                                     Json* value, std::uint64_t* revision) const {
+  using Kind = service::KeyReadResult::Kind;
+  if (!reaches_state(process) || delay_s() > 1) return {};
+  auto it = store.keys().find(key);
+  if (it == store.keys().end()) return {Kind::absent, JobPhase::open};
   if (value != nullptr) *value = it->second.value;
-  if (stamp != nullptr) *stamp = it->second.stamp;
+  if (revision != nullptr) *revision = it->second.revision;
   auto phase = state::read_phase(it->second.value);
-  return phase ? service::KeyRead{Kind::found, *phase} : service::KeyRead{};
+  return phase ? service::KeyReadResult{Kind::found, *phase} : service::KeyReadResult{};
 }
 
-Told FleetWorld::Impl::follow(Node& n, const std::string& ref, service::Enquiry& e, service::EnquiryStep step,
-                              Json* value, std::uint64_t* stamp) const {
-  using Step = service::EnquiryStep;
-  if (step == Step::wait_for_tables) {
+JobAnswer ClusterSimulation::Impl::run_query(ControllerProcess& process, const std::string& ref,
+                                             service::StatusQuery& query, service::QueryStep step,
+                                             Json* value, std::uint64_t* revision) const {
+  using Step = service::QueryStep;
+  if (step == Step::wait_for_replica) {
     // Its tables are current where a watch that was opened after the question came has been answered.
-    bool current = reaches_state(n) && delay_s() == 0 && n.next_sync > now && n.hearings.empty();
-    if (current) n.core->sync(now);
-    const Job* j = current ? n.core->model.live_job(n.core->model.find_job(ref)) : nullptr;
-    step = e.on_tables(current, j != nullptr ? std::make_optional(j->phase) : std::nullopt);
+    bool current = reaches_state(process) && delay_s() == 0 && process.next_sync > now &&
+                   process.pending_watches.empty();
+    if (current) process.controller->sync(now);
+    const Job* j =
+        current ? process.controller->cluster_state.live_job(process.controller->cluster_state.find_job(ref))
+                : nullptr;
+    step = query.on_replica_current(current, j != nullptr ? std::make_optional(j->phase) : std::nullopt);
   }
   while (step == Step::read_live || step == Step::read_final) {
-    step = step == Step::read_live ? e.on_live(read(n, state::job_key(ref), value, stamp))
-                                   : e.on_final(read(n, state::final_key(ref)));
+    step = step == Step::read_live
+               ? query.on_live_key_read(read(process, state::job_key(ref), value, revision))
+               : query.on_final_key_read(read(process, state::final_key(ref)));
   }
-  if (step == Step::absent) return Told::absent;
-  return step == Step::answer ? tell_user(n, ref, e.phase()) : Told::nothing;
+  if (step == Step::absent) return JobAnswer::not_found;
+  return step == Step::answer ? answer_user(process, ref, query.phase()) : JobAnswer::no_answer;
 }
 
-Told FleetWorld::Impl::tell_user(Node& n, const std::string& ref, JobPhase phase) {
-  if (phase != JobPhase::open) n.finals.emplace(ref, phase);
-  return phase == JobPhase::open ? Told::open : phase == JobPhase::done ? Told::done : Told::cancelled;
+JobAnswer ClusterSimulation::Impl::answer_user(ControllerProcess& process, const std::string& ref,
+                                               JobPhase phase) {
+  if (phase != JobPhase::open) process.final_phases.emplace(ref, phase);
+  return phase == JobPhase::open   ? JobAnswer::open
+         : phase == JobPhase::done ? JobAnswer::done
+                                   : JobAnswer::cancelled;
 }
 
-Told FleetWorld::Impl::poll(Node& n, const std::string& ref) const {
-  service::Enquiry e;
-  auto known = n.finals.find(ref);
-  return follow(n, ref, e,
-                e.poll(known == n.finals.end() ? std::nullopt : std::make_optional(known->second)));
+JobAnswer ClusterSimulation::Impl::poll(ControllerProcess& process, const std::string& ref) const {
+  service::StatusQuery e;
+  auto known = process.final_phases.find(ref);
+  return run_query(
+      process, ref, e,
+      e.poll(known == process.final_phases.end() ? std::nullopt : std::make_optional(known->second)));
 }
 
-std::optional<State::Result> FleetWorld::Impl::user_txn(const Node& n, const Json& body) {
-  if (!reaches_state(n) || loses(body)) return std::nullopt;
-  auto r = state.txn(body);
-  return loses_answer() ? std::nullopt : std::make_optional(r);
+std::optional<StateStore::Result> ClusterSimulation::Impl::user_txn(const ControllerProcess& process,
+                                                                    const Json& body) {
+  if (!reaches_state(process) || delays_write(body)) return std::nullopt;
+  auto r = store.txn(body);
+  return loses_write_response() ? std::nullopt : std::make_optional(r);
 }
 
-Told FleetWorld::Impl::submit(Node& n, const User& u) {
-  Model& m = n.core->model;
-  double first = n.tries.tried(u.body, now + wall_ahead);
-  service::Admission a = service::admit(u.body, m.names, m.settings, m.catalog, first);
-  service::Enquiry e;
-  if (a.rejection) {
-    if (a.for_good) return Told::rejected;
-    Told what = follow(n, u.ref, e, e.look_up());
-    return what == Told::absent ? Told::rejected : what;
+JobAnswer ClusterSimulation::Impl::submit(ControllerProcess& process, const User& user) {
+  ClusterState& m = process.controller->cluster_state;
+  double first = process.first_attempts.record_attempt(user.body, now + wall_ahead);
+  service::Admission admission = service::admit(user.body, m.names, m.settings, m.catalog, first);
+  service::StatusQuery query;
+  if (admission.rejection) {
+    if (admission.is_permanent) return JobAnswer::rejected;
+    JobAnswer what = run_query(process, user.ref, query, query.look_up());
+    return what == JobAnswer::not_found ? JobAnswer::rejected : what;
   }
-  auto r = user_txn(n, service::submission_txn(u.ref, a.record));
-  if (!r || r->status == 200) return r ? Told::open : Told::nothing;
-  Told what = r->status == 409 ? follow(n, u.ref, e, e.look_up()) : Told::nothing;
-  return what == Told::absent ? Told::nothing : what;
+  auto r = user_txn(process, service::submission_txn(user.ref, admission.record));
+  if (!r || r->status == 200) return r ? JobAnswer::open : JobAnswer::no_answer;
+  JobAnswer what =
+      r->status == 409 ? run_query(process, user.ref, query, query.look_up()) : JobAnswer::no_answer;
+  return what == JobAnswer::not_found ? JobAnswer::no_answer : what;
 }
 
-Told FleetWorld::Impl::withdraw(Node& n, const User& u) {
-  service::Enquiry e;
+JobAnswer ClusterSimulation::Impl::withdraw(ControllerProcess& process, const User& user) {
+  service::StatusQuery e;
   Json value;
-  std::uint64_t stamp = 0;
-  Told what = follow(n, u.ref, e, e.look_up(), &value, &stamp);
-  if (what != Told::open) return what;
-  auto r = user_txn(n, service::withdrawal_txn(u.ref, value, stamp));
-  return r && r->status == 200 ? tell_user(n, u.ref, JobPhase::cancelled) : Told::nothing;
+  std::uint64_t revision = 0;
+  JobAnswer what = run_query(process, user.ref, e, e.look_up(), &value, &revision);
+  if (what != JobAnswer::open) return what;
+  auto r = user_txn(process, service::withdrawal_txn(user.ref, value, revision));
+  return r && r->status == 200 ? answer_user(process, user.ref, JobPhase::cancelled) : JobAnswer::no_answer;
 }
 
 }  // namespace oxbowmill::lab
--- a/src/lab/fleet_workers.cpp
+++ b/src/lab/fleet_workers.cpp
@@ -3,249 +3,263 @@
 
 namespace oxbowmill::lab {
 
-std::pair<std::string, TaskNo> FleetWorld::Impl::split(const std::string& id) {
+std::pair<std::string, TaskNumber> ClusterSimulation::Impl::split(const std::string& id) {
   std::size_t slash = id.rfind('/');
-  return {id.substr(0, slash), static_cast<TaskNo>(std::stoul(id.substr(slash + 1)))};
+  return {id.substr(0, slash), static_cast<TaskNumber>(std::stoul(id.substr(slash + 1)))};
 }
 
-bool FleetWorld::Impl::reachable(const Host& h) const {
+bool ClusterSimulation::Impl::reachable(const SimulatedMachine& h) const {
   return h.alive && now >= h.up_at && now >= h.hung_until &&
          !(cut_zone == zone_names[h.zone] && now < cut_until);
 }
 
-void FleetWorld::Impl::deliver(std::size_t node, const DirectOrders& d) {
-  auto h = hosts.find(nodes[node].core->model.names.machines.name(d.machine));
-  if (h == hosts.end() || !reachable(h->second) || now < h->second.deaf_until || !linked(node, h->second))
+void ClusterSimulation::Impl::deliver(std::size_t node, const DirectCommands& commands) {
+  auto machine_it =
+      machines.find(controllers[node].controller->cluster_state.names.machines.name(commands.machine));
+  if (machine_it == machines.end() || !reachable(machine_it->second) ||
+      now < machine_it->second.receives_nothing_until || !linked(node, machine_it->second))
     return;
-  if (now < held_up_until && lucky(held_up_share)) {
-    held_commands.push_back({now + drawn(0.5, longest_held_up), h->first, d});
+  if (now < delayed_responses_until && chance(delayed_responses_fraction)) {
+    delayed_commands.push_back({now + draw(0.5, max_response_delay), machine_it->first, commands});
     return;
   }
-  command(h, d);
+  command(machine_it, commands);
 }
 
-void FleetWorld::Impl::command(std::map<std::string, Host>::iterator h, const DirectOrders& d) {
-  for (const Order& o : d.orders) second().kills += o.verb == OrderVerb::kill ? 1 : 0;
-  h->second.worker->command(d);
-  after_orders(h->first, h->second);
-  h->second.next_report = std::min(h->second.next_report, now + 0.5);
+void ClusterSimulation::Impl::command(std::map<std::string, SimulatedMachine>::iterator machine_it,
+                                      const DirectCommands& commands) {
+  for (const AgentCommand& o : commands.commands)
+    current_sample().kills += o.kind == CommandKind::kill ? 1 : 0;
+  machine_it->second.worker->command(commands);
+  after_commands(machine_it->first, machine_it->second);
+  machine_it->second.next_report = std::min(machine_it->second.next_report, now + 0.5);
 }
 
-void FleetWorld::Impl::report(const std::string& name, Host& h) {
-  Node& n = nodes[h.node];
-  if (now < h.mute_until || !linked(h.node, h) || !acts(n) || !n.listed) {
-    bool hangs = n.core && now < n.frozen_until;
-    h.node = (h.node + 1) % nodes.size();
-    h.next_report = now + (hangs ? 5 : 1);
+void ClusterSimulation::Impl::report(const std::string& name, SimulatedMachine& machine) {
+  ControllerProcess& process = controllers[machine.controller];
+  if (now < machine.sends_nothing_until || !linked(machine.controller, machine) || !acts(process) ||
+      !process.state_loaded) {
+    bool hangs = process.controller && now < process.frozen_until;
+    machine.controller = (machine.controller + 1) % controllers.size();
+    machine.next_report = now + (hangs ? 5 : 1);
     return;
   }
-  WorkerReport r = h.worker->report(now);
-  if (hold_late > 0) {
-    --hold_late;
-    late.push_back(r);
-  }
-  if (now < kept_until && lucky(kept_share)) kept.push_back(r);
-  if (now < copies_until && lucky(copies_share))
-    copies.push_back({now + drawn(2, 1.3 * s.lease_s), h.node, r});
-  ReportAnswer a = n.core->hear(r, now);
-  bool held = now < held_up_until && lucky(held_up_share);
-  if (held || now < h.deaf_until) {
+  WorkerReport report = machine.worker->report(now);
+  if (reports_to_delay > 0) {
+    --reports_to_delay;
+    delayed_reports.push_back(report);
+  }
+  if (now < replay_until && chance(replay_fraction)) retained_reports.push_back(report);
+  if (now < report_copies_until && chance(report_copies_fraction))
+    report_copies.push_back({now + draw(2, 1.3 * scenario_.lease_s), machine.controller, report});
+  ReportAnswer answer = process.controller->handle_report(report, now);
+  bool delayed = now < delayed_responses_until && chance(delayed_responses_fraction);
+  if (delayed || now < machine.receives_nothing_until) {
     // A worker waits for 4 s, has one report under way, and drops what comes later.
-    double at = now < h.deaf_until ? now + 9 : now + drawn(0.5, longest_held_up);
-    if (at < now + 4) held_answers.push_back({at, name, a});
-    h.waits_until = std::min(at, now + 4);
-    h.next_report = at < now + 4 ? at + step_s : now + 5;
-    if (at >= now + 4) h.node = (h.node + 1) % nodes.size();
+    double at_s = now < machine.receives_nothing_until ? now + 9 : now + draw(0.5, max_response_delay);
+    if (at_s < now + 4) delayed_answers.push_back({at_s, name, answer});
+    machine.waits_until = std::min(at_s, now + 4);
+    machine.next_report = at_s < now + 4 ? at_s + step_s : now + 5;
+    if (at_s >= now + 4) machine.controller = (machine.controller + 1) % controllers.size();
     return;
   }
-  take_answer(name, h, a);
+  take_answer(name, machine, answer);
 }
 
-void FleetWorld::Impl::take_answer(const std::string& name, Host& h, const ReportAnswer& a) {
-  h.worker->answer(a, now);
-  for (const Order& o : a.orders) second().kills += o.verb == OrderVerb::kill ? 1 : 0;
-  after_orders(name, h);
-  if (a.kind == ReportAnswer::Kind::ok) {
-    h.next_report = now + s.report_s * uniform(0.75, 1.25);
-  } else if (a.kind == ReportAnswer::Kind::redirect) {
-    for (std::size_t k = 0; k < nodes.size(); ++k) {
-      if (node_name(k) == a.owner) h.node = k;
+void ClusterSimulation::Impl::take_answer(const std::string& name, SimulatedMachine& machine,
+                                          const ReportAnswer& answer) {
+  machine.worker->answer(answer, now);
+  for (const AgentCommand& o : answer.commands) current_sample().kills += o.kind == CommandKind::kill ? 1 : 0;
+  after_commands(name, machine);
+  if (answer.kind == ReportAnswer::Kind::ok) {
+    machine.next_report = now + scenario_.report_interval_s * uniform(0.75, 1.25);
+  } else if (answer.kind == ReportAnswer::Kind::redirect) {
+    for (std::size_t k = 0; k < controllers.size(); ++k) {
+      if (controller_name(k) == answer.owner) machine.controller = k;
     }
-    h.next_report = now + uniform(0, 0.5);
+    machine.next_report = now + uniform(0, 0.5);
   } else {
-    h.node = (h.node + 1) % nodes.size();
-    h.next_report = now + 1;
+    machine.controller = (machine.controller + 1) % controllers.size();
+    machine.next_report = now + 1;
   }
 }
 
-void FleetWorld::Impl::after_orders(const std::string& name, Host& h) {
-  for (const auto& [id, t] : h.worker->tasks()) {
-    JobInfo& j = jobs[t.job];
-    auto run = j.runs.find(t.task);
-    bool mine = run != j.runs.end() && run->second.host == name;
-    if (t.phase == TaskPhase::ended) {
-      if (mine) stopped(j, t.task, t.saved);
+void ClusterSimulation::Impl::after_commands(const std::string& name, SimulatedMachine& machine) {
+  for (const auto& [id, task_report] : machine.worker->tasks()) {
+    SimulatedJob& job = jobs[task_report.job];
+    auto run = job.runs.find(task_report.task);
+    bool mine = run != job.runs.end() && run->second.machine_name == name;
+    if (task_report.phase == TaskPhase::ended) {
+      if (mine) on_task_stopped(job, task_report.task, task_report.checkpoint_saved);
       continue;
     }
     if (mine) continue;
-    h.used = true;
+    machine.used = true;
     double& fetched =
-        h.images.try_emplace(j.image, now + image_gb[j.image] / s.fetch_gb_per_s * uniform(0.8, 1.2))
+        machine.images
+            .try_emplace(job.image, now + image_gb[job.image] / scenario_.fetch_gb_per_s * uniform(0.8, 1.2))
             .first->second;
-    j.runs[t.task] = {name, id, &h, std::max(now, fetched), -1, -1};
+    job.runs[task_report.task] = {name, id, &machine, std::max(now, fetched), -1, -1};
   }
 }
 
-double FleetWorld::Impl::progress(const JobInfo& j, const Run& r) const {
-  if (j.cls == 0) return j.gang_started < 0 ? 0 : now - j.gang_started;
-  return r.started < 0 ? 0 : now - r.started;
+double ClusterSimulation::Impl::progress(const SimulatedJob& job, const TaskRun& r) const {
+  if (job.class_index == 0) return job.gang_started < 0 ? 0 : now - job.gang_started;
+  return r.started_at < 0 ? 0 : now - r.started_at;
 }
 
-void FleetWorld::Impl::stopped(JobInfo& j, TaskNo task, bool saved) {
-  Run run = j.runs[task];
-  j.runs.erase(task);
-  double ran = progress(j, run);
-  if (ran <= 0) return;
-  double before = j.cls == 0 ? j.gang_saved : j.saved[task];
-  double kept = saved ? ran : std::floor((before + ran) / save_every_s) * save_every_s - before;
+void ClusterSimulation::Impl::on_task_stopped(SimulatedJob& job, TaskNumber task, bool saved) {
+  TaskRun run = job.runs[task];
+  job.runs.erase(task);
+  double elapsed_s = progress(job, run);
+  if (elapsed_s <= 0) return;
+  double before = job.class_index == 0 ? job.gang_saved : job.saved_s[task];
+  double kept = saved ? elapsed_s : std::floor((before + elapsed_s) / save_every_s) * save_every_s - before;
   kept = std::max(0.0, kept);
-  result.lost_s += std::max(0.0, ran - kept) * j.gpus;
-  if (j.cls != 0) {
-    j.saved[task] = before + kept;
+  result.lost_run_time_s += std::max(0.0, elapsed_s - kept) * job.gpus;
+  if (job.class_index != 0) {
+    job.saved_s[task] = before + kept;
     return;
   }
-  if (j.gang_lost_at >= 0) return;
-  j.gang_saved = before + kept;
-  result.lost_s += std::max(0.0, ran - kept) * j.gpus * static_cast<double>(j.runs.size());
-  j.gang_started = -1;
-  j.gang_lost_at = now;
+  if (job.gang_lost_at >= 0) return;
+  job.gang_saved = before + kept;
+  result.lost_run_time_s += std::max(0.0, elapsed_s - kept) * job.gpus * static_cast<double>(job.runs.size());
+  job.gang_started = -1;
+  job.gang_lost_at = now;
 }
 
-void FleetWorld::Impl::lose_all(const std::string& name, Host& h) {
-  for (const auto& [id, t] : h.worker->tasks()) {
-    JobInfo& j = jobs[t.job];
+void ClusterSimulation::Impl::lose_all_tasks(const std::string& name, SimulatedMachine& machine) {
+  for (const auto& [id, t] : machine.worker->tasks()) {
+    SimulatedJob& j = jobs[t.job];
     auto run = j.runs.find(t.task);
-    if (run != j.runs.end() && run->second.host == name) stopped(j, t.task, false);
+    if (run != j.runs.end() && run->second.machine_name == name) on_task_stopped(j, t.task, false);
   }
 }
 
-void FleetWorld::Impl::tick_workers() {
-  for (auto& [name, h] : hosts) {
-    if (!h.alive || now < h.up_at) continue;
-    h.worker->tick(now);
-    if (h.worker->tenure() != h.tenure) {
-      h.tenure = h.worker->tenure();
+void ClusterSimulation::Impl::tick_workers() {
+  for (auto& [name, machine] : machines) {
+    if (!machine.alive || now < machine.up_at) continue;
+    machine.worker->tick(now);
+    if (machine.worker->agent_epoch() != machine.agent_epoch) {
+      machine.agent_epoch = machine.worker->agent_epoch();
       // Its lease was over: everything on it is gone.
-      for (auto& [ref, j] : jobs) {
-        for (auto it = j.runs.begin(); it != j.runs.end();) {
-          TaskNo t = it->first;
-          bool here = it->second.host == name;
+      for (auto& [ref, job] : jobs) {
+        for (auto it = job.runs.begin(); it != job.runs.end();) {
+          TaskNumber t = it->first;
+          bool here = it->second.machine_name == name;
           ++it;
-          if (here) stopped(j, t, false);
+          if (here) on_task_stopped(job, t, false);
         }
       }
     }
-    if (now >= h.next_report && now >= h.waits_until && reachable(h)) report(name, h);
+    if (now >= machine.next_report && now >= machine.waits_until && reachable(machine)) report(name, machine);
   }
 }
 
-void FleetWorld::Impl::tick_tasks() {
-  for (auto& [ref, j] : jobs) {
-    if (j.runs.empty()) {
-      j.gang_lost_at = -1;
+void ClusterSimulation::Impl::tick_tasks() {
+  for (auto& [ref, job] : jobs) {
+    if (job.runs.empty()) {
+      job.gang_lost_at = -1;
       continue;
     }
-    std::vector<TaskNo> ended, gave_up;
-    bool all_ready = j.runs.size() == j.tasks;
-    for (auto& [t, r] : j.runs) {
-      Host& h = *r.at;
-      if (now < h.hung_until) {
-        r.started = r.started < 0 ? -1 : r.started + step_s;
+    std::vector<TaskNumber> ended, gave_up;
+    bool all_ready = job.runs.size() == job.tasks;
+    for (auto& [task, run] : job.runs) {
+      SimulatedMachine& machine = *run.machine;
+      if (now < machine.hung_until) {
+        run.started_at = run.started_at < 0 ? -1 : run.started_at + step_s;
         all_ready = false;
         continue;
       }
-      const std::string& id = r.id;
-      if (now < r.ready_at || !h.worker->has(id)) {
+      const std::string& id = run.task_id;
+      if (now < run.ready_at || !machine.worker->has(id)) {
         all_ready = false;
         continue;
       }
-      if (j.cls == 1) {
-        if (r.started < 0) {
-          r.started = now;
-          h.worker->set_phase(id, TaskPhase::running);
+      if (job.class_index == 1) {
+        if (run.started_at < 0) {
+          run.started_at = now;
+          machine.worker->set_phase(id, TaskPhase::running);
         }
-        if (now - r.started >= begun_after_s) j.note_begun(t, r.started);
-        if (now - r.started >= std::max(1.0, j.run_of(t) - j.saved[t])) ended.push_back(t);
-        count_gpus(j, 1);
-      } else if (j.gang_started < 0 && h.worker->phase(id) == TaskPhase::fetching) {
-        h.worker->set_phase(id, TaskPhase::gathering);
-        r.gathers_since = now;
-      } else if (j.gang_started < 0 && r.gathers_since >= 0 && now - r.gathers_since > s.gang_wait_s) {
-        gave_up.push_back(t);
+        if (now - run.started_at >= counts_as_started_after_s) job.record_start(task, run.started_at);
+        if (now - run.started_at >= std::max(1.0, job.run_time_s(task) - job.saved_s[task]))
+          ended.push_back(task);
+        count_gpus(job, 1);
+      } else if (job.gang_started < 0 && machine.worker->phase(id) == TaskPhase::fetching) {
+        machine.worker->set_phase(id, TaskPhase::gathering);
+        run.waiting_for_gang_since = now;
+      } else if (job.gang_started < 0 && run.waiting_for_gang_since >= 0 &&
+                 now - run.waiting_for_gang_since > scenario_.gang_wait_s) {
+        gave_up.push_back(task);
       }
     }
-    if (j.cls == 0) tick_gang(j, all_ready, ended);
-    for (TaskNo t : ended) finish(j, t, EndCause::done);
-    for (TaskNo t : gave_up) {
-      if (j.gang_started < 0 && j.runs.count(t) != 0) finish(j, t, EndCause::incomplete);
+    if (job.class_index == 0) tick_gang(job, all_ready, ended);
+    for (TaskNumber t : ended) finish(job, t, EndCause::done);
+    for (TaskNumber t : gave_up) {
+      if (job.gang_started < 0 && job.runs.count(t) != 0) finish(job, t, EndCause::incomplete);
     }
   }
 }
 
-void FleetWorld::Impl::tick_gang(JobInfo& j, bool all_ready, std::vector<TaskNo>& ended) {
-  if (j.gang_lost_at >= 0) {
-    if (now - j.gang_lost_at < 5) return;
-    std::vector<TaskNo> rest;
-    for (auto& [t, r] : j.runs) {
-      if (r.at->alive && now >= r.at->hung_until && r.at->worker->has(r.id)) rest.push_back(t);
+void ClusterSimulation::Impl::tick_gang(SimulatedJob& job, bool all_ready, std::vector<TaskNumber>& ended) {
+  if (job.gang_lost_at >= 0) {
+    if (now - job.gang_lost_at < 5) return;
+    std::vector<TaskNumber> rest;
+    for (auto& [t, r] : job.runs) {
+      if (r.machine->alive && now >= r.machine->hung_until && r.machine->worker->has(r.task_id))
+        rest.push_back(t);
     }
-    for (TaskNo t : rest) finish(j, t, EndCause::peers);
+    for (TaskNumber t : rest) finish(job, t, EndCause::peers_lost);
     return;
   }
-  if (j.gang_started < 0) {
+  if (job.gang_started < 0) {
     if (!all_ready) return;
-    j.gang_started = now;
-    for (auto& [t, r] : j.runs) r.at->worker->set_phase(r.id, TaskPhase::running);
+    job.gang_started = now;
+    for (auto& [t, r] : job.runs) r.machine->worker->set_phase(r.task_id, TaskPhase::running);
   }
-  count_gpus(j, j.runs.size());
-  if (now - j.gang_started >= begun_after_s) {
-    for (auto& [t, r] : j.runs) j.note_begun(t, j.gang_started);
+  count_gpus(job, job.runs.size());
+  if (now - job.gang_started >= counts_as_started_after_s) {
+    for (auto& [t, r] : job.runs) job.record_start(t, job.gang_started);
   }
-  bool hangs =
-      std::any_of(j.runs.begin(), j.runs.end(), [&](const auto& r) { return now < r.second.at->hung_until; });
+  bool hangs = std::any_of(job.runs.begin(), job.runs.end(),
+                           [&](const auto& r) { return now < r.second.machine->hung_until; });
   if (hangs) {
-    result.lost_s += std::fmod(j.gang_saved + now - j.gang_started, save_every_s) * j.gpus * j.tasks;
-    j.gang_saved = std::floor((j.gang_saved + now - j.gang_started) / save_every_s) * save_every_s;
-    j.gang_started = -1;
-    j.gang_lost_at = now;
-  } else if (now - j.gang_started >= std::max(1.0, j.run_s - j.gang_saved)) {
-    for (auto& [t, r] : j.runs) ended.push_back(t);
+    result.lost_run_time_s +=
+        std::fmod(job.gang_saved + now - job.gang_started, save_every_s) * job.gpus * job.tasks;
+    job.gang_saved = std::floor((job.gang_saved + now - job.gang_started) / save_every_s) * save_every_s;
+    job.gang_started = -1;
+    job.gang_lost_at = now;
+  } else if (now - job.gang_started >= std::max(1.0, job.run_s - job.gang_saved)) {
+    for (auto& [t, r] : job.runs) ended.push_back(t);
   }
 }
 
-void FleetWorld::Impl::finish(JobInfo& j, TaskNo t, EndCause cause) {
-  Host& h = *j.runs.at(t).at;
-  h.worker->finish(j.runs.at(t).id, cause);
+void ClusterSimulation::Impl::finish(SimulatedJob& job, TaskNumber task, EndCause cause) {
+  SimulatedMachine& h = *job.runs.at(task).machine;
+  h.worker->finish(job.runs.at(task).task_id, cause);
   h.next_report = std::min(h.next_report, now + 0.3);
-  if (cause == EndCause::done) rules.completes(split(j.runs.at(t).id).first, t);
-  if (cause == EndCause::done) j.note_begun(t, j.cls == 0 ? j.gang_started : j.runs.at(t).started);
-  if (cause == EndCause::done && j.done.insert(t).second) {
-    ++result.done[j.cls];
-    ++result.of_team[j.team];
-    User* u =
-        j.done.size() == j.tasks ? user_of(j.runs.at(t).id.substr(0, j.runs.at(t).id.rfind('/'))) : nullptr;
-    if (u != nullptr && now < end_cancels_until && lucky(end_cancel_share)) u->withdraws_at = u->next = now;
-    if (u != nullptr && now < looks_until) u->looks_until = now + 1.5;
-  }
-  j.runs.erase(t);
-  if (j.runs.empty()) {
-    j.gang_started = -1;
-    j.gang_lost_at = -1;
+  if (cause == EndCause::done) invariants.on_task_complete(split(job.runs.at(task).task_id).first, task);
+  if (cause == EndCause::done)
+    job.record_start(task, job.class_index == 0 ? job.gang_started : job.runs.at(task).started_at);
+  if (cause == EndCause::done && job.done.insert(task).second) {
+    ++result.done_by_class[job.class_index];
+    ++result.tasks_by_team[job.team];
+    User* u = job.done.size() == job.tasks
+                  ? user_of(job.runs.at(task).task_id.substr(0, job.runs.at(task).task_id.rfind('/')))
+                  : nullptr;
+    if (u != nullptr && now < end_cancels_until && chance(end_cancels_fraction))
+      u->withdraws_at = u->next_request_at = now;
+    if (u != nullptr && now < repeated_queries_until) u->queries_until = now + 1.5;
+  }
+  job.runs.erase(task);
+  if (job.runs.empty()) {
+    job.gang_started = -1;
+    job.gang_lost_at = -1;
   }
 }
 
-void FleetWorld::Impl::count_gpus(const JobInfo& j, std::size_t tasks) {
-  second().gpus += j.gpus * static_cast<double>(tasks) * step_s;
+void ClusterSimulation::Impl::count_gpus(const SimulatedJob& job, std::size_t tasks) {
+  current_sample().gpus_in_use += job.gpus * static_cast<double>(tasks) * step_s;
 }
 
 }  // namespace oxbowmill::lab
--- a/src/lab/fleet_world.cpp
+++ b/src/lab/fleet_world.cpp
@@ -7,175 +7,186 @@
 
 namespace oxbowmill::lab {
 
-FleetWorld::Impl::Impl(FleetScenario scenario, Way way_, std::uint64_t seed)
-    : s(std::move(scenario)),
-      way(way_),
+ClusterSimulation::Impl::Impl(ClusterScenario scenario, SimulationVariant way_, std::uint64_t seed)
+    : scenario_(std::move(scenario)),
+      variant(way_),
       random(seed),
-      luck(seed * 7919 + 1),
-      writes(s.write_rps, s.write_rps),
-      cloud(s.cloud_rps, 2 * s.cloud_rps),
-      rules(s.cancel_s, {s.most_gpus, s.most_gpus}) {
-  log.watcher = [this](const std::string& id, const std::string& machine, bool on) {
+      fault_random(seed * 7919 + 1),
+      write_budget(scenario_.write_rps, scenario_.write_rps),
+      cloud_budget(scenario_.cloud_rps, 2 * scenario_.cloud_rps),
+      invariants(scenario_.cancel_timeout_s, {scenario_.max_gpus, scenario_.max_gpus}) {
+  run_log.on_change = [this](const std::string& id, const std::string& machine, bool on) {
     auto [ref, task] = split(id);
-    const Host& h = hosts.at(machine);
-    on ? rules.starts(ref, task, machine, {zone_names[h.zone], h.spot}, now)
-       : rules.leaves(ref, task, machine, now);
+    const SimulatedMachine& h = machines.at(machine);
+    on ? invariants.on_task_start(ref, task, machine, {zone_names[h.zone], h.spot}, now)
+       : invariants.on_task_stop(ref, task, machine, now);
   };
-  state.txn_ops = s.txn_ops;
-  state.value_bytes = 8192;
-  for (std::uint32_t z = 0; z < s.zones; ++z) zone_names.emplace_back(1, static_cast<char>('a' + z));
-  nodes.resize(s.controllers);
-  for (std::uint32_t i = 0; i < s.up; ++i) add_host(0, false, true);
-  for (std::uint32_t i = 0; i < s.gangs; ++i) submit(0);
-  for (std::uint32_t i = 0; i < s.arrays; ++i) submit(1);
-  for (std::size_t i = 0; i < nodes.size(); ++i) boot(i);
+  store.txn_ops = scenario_.txn_ops;
+  store.value_bytes = 8192;
+  for (std::uint32_t z = 0; z < scenario_.zones; ++z) zone_names.emplace_back(1, static_cast<char>('a' + z));
+  controllers.resize(scenario_.controllers);
+  for (std::uint32_t i = 0; i < scenario_.initial_machines; ++i) add_machine(0, false, true);
+  for (std::uint32_t i = 0; i < scenario_.initial_gangs; ++i) submit(0);
+  for (std::uint32_t i = 0; i < scenario_.initial_arrays; ++i) submit(1);
+  for (std::size_t i = 0; i < controllers.size(); ++i) start_controller(i);
   // What users cancel is no trouble: the undisturbed twin's do the same.
-  for (const Fault& f : s.faults) {
-    if (way != Way::twin || f.kind == FaultKind::cancel) faults.push_back(f);
+  for (const Fault& f : scenario_.faults) {
+    if (variant != SimulationVariant::without_faults || f.kind == FaultKind::jobs_cancelled)
+      faults.push_back(f);
   }
   std::sort(faults.begin(), faults.end(), [](const Fault& a, const Fault& b) { return a.at_s < b.at_s; });
-  if (!s.faults.empty()) first_fault = s.faults.front().at_s;
+  if (!scenario_.faults.empty()) first_fault = scenario_.faults.front().at_s;
   // An owner that is cut off learns of nothing for its hold's life, and its last answer takes up to 4 s.
-  rules.starts_end_within(s.faults.empty() ? 1
-                                           : settings(0).op.hold_life_s * 1.01 + Settings::report_timeout_s);
-  rules.quiet_from(way == Way::twin ? s.warm_s : troubles_end());
-  for (const Fault& f : s.faults) first_fault = std::min(first_fault, f.at_s);
+  invariants.set_start_tolerance(scenario_.faults.empty()
+                                     ? 1
+                                     : settings(0).operator_settings.controller_lease_s * 1.01 +
+                                           Settings::report_timeout_s);
+  invariants.set_fault_free_from(variant == SimulationVariant::without_faults ? scenario_.warm_up_s
+                                                                              : faults_end());
+  for (const Fault& f : scenario_.faults) first_fault = std::min(first_fault, f.at_s);
 }
 
-std::uint32_t FleetWorld::Impl::pick(std::uint32_t n) {
+std::uint32_t ClusterSimulation::Impl::pick(std::uint32_t n) {
   return std::uniform_int_distribution<std::uint32_t>(0, n - 1)(random);
 }
 
-Settings FleetWorld::Impl::settings(std::size_t i) const {
-  Settings x;
-  x.node = node_name(i);
-  x.nodes = s.controllers;
-  if (way != Way::before) {
-    for (std::size_t k = 0; k < s.controllers; ++k) x.all_nodes.push_back(node_name(k));
+Settings ClusterSimulation::Impl::settings(std::size_t i) const {
+  Settings settings;
+  settings.controller_name = controller_name(i);
+  settings.controller_count = scenario_.controllers;
+  if (variant != SimulationVariant::without_reconciliation) {
+    for (std::size_t k = 0; k < scenario_.controllers; ++k)
+      settings.all_controllers.push_back(controller_name(k));
   }
-  Team team{{0, s.guaranteed_gpus, 0}, {0, s.most_gpus, 0}};
-  x.teams = {{}, team, team};
-  x.report_s = s.report_s;
-  x.lease_s = s.lease_s;
-  x.cancel_s = s.cancel_s;
-  x.gang_wait_s = s.gang_wait_s;
-  if (s.hold_life_s > 0) x.op.hold_life_s = s.hold_life_s;
-  x.op.hold_life_s = std::min(x.op.hold_life_s, x.cancel_s - x.lease_over_s() - 2 * Settings::margin_s);
-  x.state_rps = 4 * s.write_rps;
-  x.state_write_rps = s.write_rps;
-  x.txn_ops = s.txn_ops;
-  x.value_kb = 8;
-  x.cloud_rps = s.cloud_rps;
-  x.list_lag_s = list_lag_s;
-  return x;
+  Team team{{0, scenario_.guaranteed_gpus, 0}, {0, scenario_.max_gpus, 0}};
+  settings.teams = {{}, team, team};
+  settings.report_interval_s = scenario_.report_interval_s;
+  settings.lease_s = scenario_.lease_s;
+  settings.cancel_deadline_s = scenario_.cancel_timeout_s;
+  settings.gang_wait_timeout_s = scenario_.gang_wait_s;
+  if (scenario_.controller_lease_s > 0)
+    settings.operator_settings.controller_lease_s = scenario_.controller_lease_s;
+  settings.operator_settings.controller_lease_s =
+      std::min(settings.operator_settings.controller_lease_s,
+               settings.cancel_deadline_s - settings.lease_expiry_s() - 2 * Settings::safety_margin_s);
+  settings.state_rps = 4 * scenario_.write_rps;
+  settings.state_write_rps = scenario_.write_rps;
+  settings.max_transaction_ops = scenario_.txn_ops;
+  settings.max_value_kb = 8;
+  settings.cloud_rps = scenario_.cloud_rps;
+  settings.cloud_list_lag_s = list_lag_s;
+  return settings;
 }
 
-Names FleetWorld::Impl::names() const {
+Names ClusterSimulation::Impl::names() const {
   Names n = test_names();
   for (const std::string& z : zone_names) n.zones.intern(z);
   for (std::size_t i = 0; i < std::size(image_gb); ++i) n.images.intern("img-" + std::to_string(i));
   return n;
 }
 
-std::vector<MachineType> FleetWorld::Impl::catalog() const {
-  MachineType t = test_catalog().front();
-  t.cache_gb = 100;
-  t.fetch_gb_per_s = s.fetch_gb_per_s;
-  t.boot_s = s.boot_s;
-  t.zones.clear();
-  for (std::uint32_t z = 0; z < s.zones; ++z) t.zones.push_back(ZoneIndex{z});
-  return {t};
+std::vector<MachineType> ClusterSimulation::Impl::catalog() const {
+  MachineType type = test_catalog().front();
+  type.cache_gb = 100;
+  type.fetch_gb_per_s = scenario_.fetch_gb_per_s;
+  type.boot_s = scenario_.boot_s;
+  type.zones.clear();
+  for (std::uint32_t z = 0; z < scenario_.zones; ++z) type.zones.push_back(ZoneIndex{z});
+  return {type};
 }
 
-FleetResult FleetWorld::Impl::play() {
-  auto steps = static_cast<std::size_t>(s.length_s / step_s);
+ClusterResult ClusterSimulation::Impl::play() {
+  auto steps = static_cast<std::size_t>(scenario_.duration_s / step_s);
   for (std::size_t i = 0; i < steps; ++i) {
     if (i % 10 == 0) {
-      result.seconds.push_back({});
+      result.samples.push_back({});
       SPDLOG_DEBUG("{} s", i / 10);
-      rules.usable(usable(), now);
-      rules.check(now);
+      invariants.set_usable_machines(usable_machines(), now);
+      invariants.check(now);
       for (const User& u : users) {
-        const auto& keys = state.keys();
-        rules.stored(u.ref, keys.count(state::job_key(u.ref)) + keys.count(state::final_key(u.ref)) != 0,
-                     now);
+        const auto& keys = store.keys();
+        invariants.on_stored(
+            u.ref, keys.count(state::job_key(u.ref)) + keys.count(state::final_key(u.ref)) != 0, now);
       }
     }
     now = static_cast<double>(i + 1) * step_s;
     tick_faults();
-    state.expire(now);
+    store.expire_leases(now);
     for (std::uint32_t cls : {0U, 1U}) {
-      if (uniform(0, 1) < (cls == 0 ? s.gangs_a_s : s.arrays_a_s) * step_s) submit(cls);
+      if (uniform(0, 1) < (cls == 0 ? scenario_.gangs_per_s : scenario_.arrays_per_s) * step_s) submit(cls);
     }
-    for (std::size_t k = 0; k < nodes.size(); ++k) tend(k);
+    for (std::size_t k = 0; k < controllers.size(); ++k) run_controller(k);
     serve_calls();
     tick_workers();
     tick_tasks();
     tick_users();
-    if (result.squared_s < 0 && now > first_fault + 1) note_squared();
+    if (result.reconciled_s < 0 && now > first_fault + 1) record_reconciled();
   }
-  for (const auto& [ref, j] : jobs) result.of_class[j.cls] += j.tasks;
-  for (Node& n : nodes) collect(n);
+  for (const auto& [ref, j] : jobs) result.tasks_by_class[j.class_index] += j.tasks;
+  for (ControllerProcess& n : controllers) collect_requests(n);
   count_served();
-  rules.close();
-  result.broken = rules.broken();
-  result.answers = rules.answers;
-  result.late_starts = rules.late_starts;
-  result.refusals = rules.refusals;
+  invariants.close();
+  result.violations = invariants.violations();
+  result.answers = invariants.answers;
+  result.late_starts = invariants.late_starts;
+  result.refusals = invariants.refusals;
   return result;
 }
 
-void FleetWorld::Impl::count_served() {
+void ClusterSimulation::Impl::count_served() {
   std::array<std::vector<double>, 2> sizes;
-  for (const auto& [ref, j] : jobs) sizes[j.cls].push_back(j.tasks * j.gpus);
+  for (const auto& [ref, j] : jobs) sizes[j.class_index].push_back(j.tasks * j.gpus);
   std::array<double, 2> large{};
   for (std::size_t c = 0; c < sizes.size(); ++c) {
     std::sort(sizes[c].begin(), sizes[c].end());
     if (!sizes[c].empty()) large[c] = sizes[c][sizes[c].size() * 9 / 10];
   }
   for (const User& u : users) {
-    const JobInfo& j = jobs.at(u.ref);
-    if (!u.accepted || u.withdrawn || now - j.submitted < s.boot_s + 2 * begun_after_s) continue;
-    bool begun = j.begun.size() == j.tasks;
+    const SimulatedJob& job = jobs.at(u.ref);
+    if (!u.accepted || u.withdrawn || now - job.submitted < scenario_.boot_s + 2 * counts_as_started_after_s)
+      continue;
+    bool begun = job.started_at.size() == job.tasks;
     double last = begun ? 0 : now;
-    for (const auto& [t, at] : j.begun) last = std::max(last, at);
-    for (Served* x : {&result.class_served[j.cls], &result.team_served[j.team]})
-      x->count(last - j.submitted, begun);
-    if (j.tasks * j.gpus >= large[j.cls]) result.largest_served[j.cls].count(last - j.submitted, begun);
+    for (const auto& [t, at] : job.started_at) last = std::max(last, at);
+    for (ServedJobs* x : {&result.class_served[job.class_index], &result.team_served[job.team]})
+      x->count(last - job.submitted, begun);
+    if (job.tasks * job.gpus >= large[job.class_index])
+      result.largest_served[job.class_index].count(last - job.submitted, begun);
   }
 }
 
-std::map<std::string, Rules::Usable> FleetWorld::Impl::usable() const {
-  std::map<std::string, Rules::Usable> out;
-  if (now < troubles_end()) return out;  // nothing is judged by it
-  const double gpus = catalog().front().room.gpus;
-  for (const auto& [name, h] : hosts) {
-    bool well = h.known && reachable(h) && now >= h.deaf_until && now >= h.mute_until;
+std::map<std::string, InvariantChecker::UsableMachine> ClusterSimulation::Impl::usable_machines() const {
+  std::map<std::string, InvariantChecker::UsableMachine> out;
+  if (now < faults_end()) return out;  // nothing is judged by it
+  const double gpus = catalog().front().capacity.gpus;
+  for (const auto& [name, h] : machines) {
+    bool well = h.known && reachable(h) && now >= h.receives_nothing_until && now >= h.sends_nothing_until;
     if (well) out[name] = {{zone_names[h.zone], h.spot, "std"}, gpus};
   }
   return out;
 }
 
-void FleetWorld::Impl::note_squared() {
-  double at = -1;
+void ClusterSimulation::Impl::record_reconciled() {
+  double at_s = -1;
   std::uint32_t owned = 0;
-  for (const Node& n : nodes) {
-    if (!n.core || !n.core->start) continue;
-    for (std::uint32_t i = 0; i < n.core->model.parts(); ++i) {
-      PartIndex p{i};
-      if (!n.core->scheduler.owns(p)) continue;
+  for (const ControllerProcess& process : controllers) {
+    if (!process.controller || !process.controller->reconciler) continue;
+    for (std::uint32_t i = 0; i < process.controller->cluster_state.partition_count(); ++i) {
+      PartitionIndex partition{i};
+      if (!process.controller->scheduler.owns(partition)) continue;
       ++owned;
-      if (n.core->start->state(p) <= recovery::PartState::squaring) return;
-      at = std::max(at, n.core->start->squared_at(p));
+      if (process.controller->reconciler->phase(partition) <= recovery::PartitionPhase::reconciling) return;
+      at_s = std::max(at_s, process.controller->reconciler->reconciled_at(partition));
     }
   }
-  if (owned == 3 && at > first_fault) result.squared_s = at - first_fault;
+  if (owned == 3 && at_s > first_fault) result.reconciled_s = at_s - first_fault;
 }
 
-FleetWorld::FleetWorld(const FleetScenario& s, Way way, std::uint64_t seed)
-    : impl_(std::make_unique<Impl>(s, way, seed)) {}
-FleetWorld::~FleetWorld() = default;
-FleetResult FleetWorld::run() {
+ClusterSimulation::ClusterSimulation(const ClusterScenario& scenario, SimulationVariant way,
+                                     std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(scenario, way, seed)) {}
+ClusterSimulation::~ClusterSimulation() = default;
+ClusterResult ClusterSimulation::run() {
   return impl_->play();
 }
 
--- a/src/lab/fleet_world_impl.h
+++ b/src/lab/fleet_world_impl.h
@@ -14,67 +14,68 @@
 constexpr double step_s = 0.1;
 constexpr double image_gb[] = {4, 6, 8, 10, 12};
 constexpr double save_every_s = 30, flush_s = 3;
-constexpr double undone_s = 60;  // a return is undone by a rental within this time
+constexpr double wasted_within_s = 60;  // a return is undone by a rental within this time
 constexpr double listed_dead_s = 30;
 constexpr double list_lag_s = 4;
 
-struct FleetWorld::Impl {
-  struct Node {
-    std::unique_ptr<Controller> core;  // none: down
-    double back_at = -1, frozen_until = -1, next_renew = 0, next_news = 0, next_sync = 0, up_since = 0,
-           cut_until = -1, refused_until = -1, alone_until = -1, registered_at = -1e9;
-    bool listed = false;
-    std::map<std::uint32_t, double> claim_at;
+struct ClusterSimulation::Impl {
+  struct ControllerProcess {
+    std::unique_ptr<SimulatedController> controller;  // none: down
+    double restarts_at = -1, frozen_until = -1, next_renew = 0, next_peer_update = 0, next_sync = 0,
+           up_since = 0, without_state_until = -1, refused_until = -1, isolated_until = -1,
+           registered_at = -1e9;
+    bool state_loaded = false;
+    std::map<std::uint32_t, double> acquire_at;
     std::array<std::deque<Write>, 6> queues;
-    struct Answer {
+    struct WriteResponse {
       double at;
       Write write;
-      std::optional<State::Result> result;
+      std::optional<StateStore::Result> result;
     };
-    std::deque<Answer> answers;
-    TokenBucket changes{1, 1};
-    std::set<std::uint32_t> past_parts;
-    struct Hearing {  // a watch under way
-      double at, asked;
+    std::deque<WriteResponse> write_responses;
+    TokenBucket change_budget{1, 1};
+    std::set<std::uint32_t> lost_partitions;
+    struct PendingWatch {  // a watch under way
+      double at, opened_at;
       std::size_t events;
       std::uint64_t revision;
     };
-    std::deque<Hearing> hearings;
-    std::map<std::string, JobPhase> finals;  // told or read here
-    service::FirstTries tries;
+    std::deque<PendingWatch> pending_watches;
+    std::map<std::string, JobPhase> final_phases;  // told or read here
+    service::FirstAttempts first_attempts;
   };
-  struct Host {
+  struct SimulatedMachine {
     std::unique_ptr<Worker> worker;
     std::uint32_t zone = 0;
     bool spot = false, alive = true, known = false, used = false;
-    double up_at = 0, born = 0, died = -1, hung_until = -1, next_report = 0, deaf_until = -1, mute_until = -1,
-           waits_until = -1;
-    std::size_t node = 0;
-    std::uint64_t tenure = 1;
+    double up_at = 0, created_at = 0, died_at = -1, hung_until = -1, next_report = 0,
+           receives_nothing_until = -1, sends_nothing_until = -1, waits_until = -1;
+    std::size_t controller = 0;
+    std::uint64_t agent_epoch = 1;
     std::map<std::uint32_t, double> images;  // and when fetched
   };
-  struct Run {
-    std::string host, id;
-    Host* at = nullptr;
-    double ready_at = 0, started = -1, gathers_since = -1;
+  struct TaskRun {
+    std::string machine_name, task_id;
+    SimulatedMachine* machine = nullptr;
+    double ready_at = 0, started_at = -1, waiting_for_gang_since = -1;
   };
-  struct JobInfo {
-    std::uint32_t cls = 0, team = 0, tasks = 0, image = 0;
+  struct SimulatedJob {
+    std::uint32_t class_index = 0, team = 0, tasks = 0, image = 0;
     double run_s = 0, gpus = 1, spread = 0;
-    double run_of(TaskNo t) const { return run_s * (1 + spread * t); }
-    std::map<TaskNo, Run> runs;      // by task, as its machine has it
-    std::map<TaskNo, double> saved;  // progress in a checkpoint
+    double run_time_s(TaskNumber task) const { return run_s * (1 + spread * task); }
+    std::map<TaskNumber, TaskRun> runs;    // by task, as its machine has it
+    std::map<TaskNumber, double> saved_s;  // progress in a checkpoint
     double gang_started = -1, gang_saved = 0, gang_lost_at = -1;
-    std::set<TaskNo> done;
+    std::set<TaskNumber> done;
     double submitted = 0;
-    std::map<TaskNo, double> begun;  // when, of each task that has run for long enough to count
-    void note_begun(TaskNo t, double at) { begun.try_emplace(t, at); }
+    std::map<TaskNumber, double> started_at;  // when, of each task that has run for long enough to count
+    void record_start(TaskNumber task, double at_s) { started_at.try_emplace(task, at_s); }
   };
 
-  Impl(FleetScenario scenario, Way way_, std::uint64_t seed);
+  Impl(ClusterScenario scenario, SimulationVariant way_, std::uint64_t seed);
   double uniform(double a, double b) { return std::uniform_real_distribution<double>(a, b)(random); }
   std::uint32_t pick(std::uint32_t n);
-  std::string node_name(std::size_t i) const { return "node-" + std::to_string(i); }
+  std::string controller_name(std::size_t i) const { return "node-" + std::to_string(i); }
 
   Settings settings(std::size_t i) const;
   Names names() const;
@@ -82,186 +83,195 @@
 
   // --- Controllers.
 
-  void boot(std::size_t i);
-  void down(std::size_t i, double back_at);
-  void collect(const Node& n);
-  bool acts(const Node& n) const { return n.core && now >= n.frozen_until; }
+  void start_controller(std::size_t i);
+  void stop_controller(std::size_t i, double back_at);
+  void collect_requests(const ControllerProcess& process);
+  bool acts(const ControllerProcess& process) const {
+    return process.controller && now >= process.frozen_until;
+  }
 
-  void tend(std::size_t i);
-  void tell(const Controller& from, Controller& to) const;
-  void put(Controller& c, const Key& key);
-  bool reaches_state(const Node& n) const;
+  void run_controller(std::size_t i);
+  void send_peer_status(const SimulatedController& from, SimulatedController& to) const;
+  void publish_key(SimulatedController& controller, const Key& key);
+  bool reaches_state(const ControllerProcess& process) const;
   double delay_s() const { return now < delay_until ? state_delay : 0; }
-  bool lucky(double share) { return std::uniform_real_distribution<double>(0, 1)(luck) < share; }
-  double drawn(double a, double b) { return std::uniform_real_distribution<double>(a, b)(luck); }
+  bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(fault_random) < share; }
+  double draw(double a, double b) { return std::uniform_real_distribution<double>(a, b)(fault_random); }
 
   /// The transaction gets no answer, and is carried out after newer ones.
-  bool loses(const Json& body);
-  bool loses_one() { return now < late_writes_until && lucky(late_write_share); }
+  bool delays_write(const Json& body);
+  bool delays_next_write() { return now < delayed_writes_until && chance(delayed_writes_fraction); }
   /// It is carried out, and its answer lost.
-  bool loses_answer() { return now < lost_answers_until && lucky(lost_answers_share); }
+  bool loses_write_response() { return now < lost_answers_until && chance(lost_answers_fraction); }
   /// Both are on the same side of a cut.
-  std::uint32_t zone_of(std::size_t node) const { return static_cast<std::uint32_t>(node) % s.zones; }
-  bool apart(std::uint32_t zone) const { return now < apart_until && zone_names[zone] == apart_zone; }
-  bool linked(std::size_t node, const Host& h) const { return apart(zone_of(node)) == apart(h.zone); }
+  std::uint32_t zone_of(std::size_t node) const { return static_cast<std::uint32_t>(node) % scenario_.zones; }
+  bool is_isolated(std::uint32_t zone) const {
+    return now < isolated_until && zone_names[zone] == isolated_zone;
+  }
+  bool linked(std::size_t node, const SimulatedMachine& h) const {
+    return is_isolated(zone_of(node)) == is_isolated(h.zone);
+  }
 
-  void end_past(Node& n, Controller& c);
-  void claim(Node& n, Controller& c);
-  void pump(Node& n, Controller& c);
-  bool loses_next(Controller& c, const Write& w);
+  void end_lost_partitions(ControllerProcess& process, SimulatedController& controller);
+  void acquire_partitions(ControllerProcess& process, SimulatedController& controller);
+  void send_queued_writes(ControllerProcess& process, SimulatedController& controller);
+  bool loses_next(SimulatedController& controller, const Write& write);
 
   // --- The cloud.
 
-  void add_host(std::uint32_t zone, bool spot, bool at_start);
+  void add_machine(std::uint32_t zone, bool spot, bool at_start);
 
-  struct Call {
-    std::size_t node;
+  struct CloudCall {
+    std::size_t controller;
     double at;
-    RentOrder rent;
+    ScaleOutRequest scale_out;
     std::vector<MachineIndex> deletes;
     bool list;
   };
 
   void serve_calls();
-  void rent(const RentOrder& r, Fleet& fleet);
+  void scale_out(const ScaleOutRequest& request, Autoscaler& fleet);
   /// As many as the cloud has of these.
-  std::vector<std::string> new_hosts(const RentOrder& r);
-  void remove(const std::string& name);
-  std::vector<ListedMachine> listed();
+  std::vector<std::string> create_machines(const ScaleOutRequest& request);
+  void delete_machine(const std::string& name);
+  std::vector<ListedMachine> list_machines();
 
   // --- Users.
 
-  void submit(std::uint32_t cls);
+  void submit(std::uint32_t class_index);
   /// A user of one job: submits it, asks each 5 s, perhaps withdraws it. Each time through any node.
   struct User {
     std::string ref;
     Json body;  // as it is sent
-    double next = 0, withdraws_at = 1e18, looks_until = -1;
-    bool accepted = false, over = false, withdrawn = false, final = false;
+    double next_request_at = 0, withdraws_at = 1e18, queries_until = -1;
+    bool accepted = false, finished = false, withdrawn = false, final = false;
   };
 
   void tick_users();
   /// What the user asks of node `k`, and hears.
-  enum class Asks { submission, status, withdrawal };
-  Told ask(std::size_t k, User& u, Asks what);
-  void heard(User& u, Told what) const;
-  void look_closely(User& u);
-  void send_odd_request();
+  enum class RequestKind { submission, status, withdrawal };
+  JobAnswer send_request(std::size_t k, User& user, RequestKind what);
+  void record_answer(User& user, JobAnswer what) const;
+  void query_all_controllers(User& user);
+  void send_invalid_request();
   User* user_of(const std::string& ref);
-  std::map<std::string, Rules::Usable> usable() const;
-  service::KeyRead read(const Node& n, const std::string& key, Json* value = nullptr,
-                        std::uint64_t* stamp = nullptr) const;
-  Told follow(Node& n, const std::string& ref, service::Enquiry& e, service::EnquiryStep step,
-              Json* value = nullptr, std::uint64_t* stamp = nullptr) const;
-  static Told tell_user(Node& n, const std::string& ref, JobPhase phase);
-  Told poll(Node& n, const std::string& ref) const;
-  std::optional<State::Result> user_txn(const Node& n, const Json& body);
-  Told submit(Node& n, const User& u);
-  Told withdraw(Node& n, const User& u);
+  std::map<std::string, InvariantChecker::UsableMachine> usable_machines() const;
+  service::KeyReadResult read(const ControllerProcess& process, const std::string& key, Json* value = nullptr,
+                              std::uint64_t* revision = nullptr) const;
+  JobAnswer run_query(ControllerProcess& process, const std::string& ref, service::StatusQuery& query,
+                      service::QueryStep step, Json* value = nullptr,
+                      std::uint64_t* revision = nullptr) const;
+  static JobAnswer answer_user(ControllerProcess& process, const std::string& ref, JobPhase phase);
+  JobAnswer poll(ControllerProcess& process, const std::string& ref) const;
+  std::optional<StateStore::Result> user_txn(const ControllerProcess& process, const Json& body);
+  JobAnswer submit(ControllerProcess& process, const User& user);
+  JobAnswer withdraw(ControllerProcess& process, const User& user);
 
   // --- Workers.
 
-  static std::pair<std::string, TaskNo> split(const std::string& id);
-  bool reachable(const Host& h) const;
-  void deliver(std::size_t node, const DirectOrders& d);
-  void command(std::map<std::string, Host>::iterator h, const DirectOrders& d);
-  void report(const std::string& name, Host& h);
-  void take_answer(const std::string& name, Host& h, const ReportAnswer& a);
+  static std::pair<std::string, TaskNumber> split(const std::string& id);
+  bool reachable(const SimulatedMachine& h) const;
+  void deliver(std::size_t node, const DirectCommands& commands);
+  void command(std::map<std::string, SimulatedMachine>::iterator machine_it, const DirectCommands& commands);
+  void report(const std::string& name, SimulatedMachine& machine);
+  void take_answer(const std::string& name, SimulatedMachine& machine, const ReportAnswer& answer);
   /// Tasks that have just started or stopped on this worker.
-  void after_orders(const std::string& name, Host& h);
-  double progress(const JobInfo& j, const Run& r) const;
+  void after_commands(const std::string& name, SimulatedMachine& machine);
+  double progress(const SimulatedJob& job, const TaskRun& r) const;
   /// The task is off its machine; what it had not saved is lost.
-  void stopped(JobInfo& j, TaskNo task, bool saved);
-  void lose_all(const std::string& name, Host& h);
+  void on_task_stopped(SimulatedJob& job, TaskNumber task, bool saved);
+  void lose_all_tasks(const std::string& name, SimulatedMachine& machine);
   void tick_workers();
   void tick_tasks();
-  void tick_gang(JobInfo& j, bool all_ready, std::vector<TaskNo>& ended);
-  void finish(JobInfo& j, TaskNo t, EndCause cause);
-  void count_gpus(const JobInfo& j, std::size_t tasks);
+  void tick_gang(SimulatedJob& job, bool all_ready, std::vector<TaskNumber>& ended);
+  void finish(SimulatedJob& job, TaskNumber task, EndCause cause);
+  void count_gpus(const SimulatedJob& job, std::size_t tasks);
 
   // --- Faults and rules.
 
-  std::size_t busiest() const;
+  std::size_t busiest_owner() const;
   /// Machines that are up, in an order of this seed's.
-  std::vector<std::string> some_hosts(std::uint32_t count);
-  void die(const std::string& name);
-  void apply(const Fault& f);
+  std::vector<std::string> pick_machines(std::uint32_t count);
+  void kill_machine(const std::string& name);
+  void apply(const Fault& fault_spec);
   void tick_faults();
   /// What was kept of reports, as a part's new owner begins.
-  void give_kept_copies();
+  void replay_reports();
   template <class T>
-  struct Late {
+  struct Delayed {
     double at;
-    T what;
+    T value;
   };
-  struct Copy {
+  struct ReportCopy {
     double at;
-    std::size_t node;
-    WorkerReport what;
+    std::size_t controller;
+    WorkerReport report;
   };
   template <class T>
-  struct Held {
+  struct DelayedMessage {
     double at;
-    std::string host;
-    T what;
+    std::string machine_name;
+    T message;
   };
   /// Those whose time has come are done with; those that `fn` puts off stay.
   template <class T, class Fn>
-  void each_due(std::vector<T>& all, Fn fn) {
+  void each_due(std::vector<T>& all, Fn handler) {
     auto due = std::move(all);
     all.clear();
-    for (T& x : due) {
-      if (x.at > now || !fn(x)) all.push_back(std::move(x));
+    for (T& item : due) {
+      if (item.at > now || !handler(item)) all.push_back(std::move(item));
     }
   }
 
   /// When the last trouble is over.
-  double troubles_end() const;
-  Second& second() { return result.seconds.back(); }
+  double faults_end() const;
+  SecondSample& current_sample() { return result.samples.back(); }
 
-  FleetResult play();
+  ClusterResult play();
   /// By job, from outside: who was served, and how late the last of their tasks began.
   void count_served();
-  void note_squared();
+  void record_reconciled();
 
-  FleetScenario s;
-  Way way;
+  ClusterScenario scenario_;
+  SimulationVariant variant;
   std::mt19937_64 random;
   double now = 0;
   static constexpr double wall_ahead = 1e-6;  // known, and as good as none
   std::vector<std::string> zone_names;
-  State state;
-  RunLog log;
-  std::mt19937_64 luck;  // of users and of what goes wrong on the way: the days' jobs do not depend on it
-  TokenBucket writes, cloud;
-  Rules rules;
+  StateStore store;
+  RunLog run_log;
+  std::mt19937_64
+      fault_random;  // of users and of what goes wrong on the way: the days' jobs do not depend on it
+  TokenBucket write_budget, cloud_budget;
+  InvariantChecker invariants;
   std::vector<User> users;
-  std::vector<Late<Json>> late_writes;
-  std::vector<Copy> copies;
-  std::vector<Held<DirectOrders>> held_commands;
-  std::vector<Held<ReportAnswer>> held_answers;
-  double lost_answers_share = 0, lost_answers_until = -1, kept_share = 0, kept_until = -1, apart_until = -1,
-         end_cancel_share = 0, end_cancels_until = -1, looks_until = -1, odd_until = -1, quick_until = -1,
-         next_odd = 0, longest_held_up = 6;
-  std::vector<WorkerReport> kept;
-  std::map<std::uint32_t, Stamp> terms;  // by part: of the owner that was last seen to begin
-  std::uint64_t odd = 0;
-  std::string apart_zone;
-  double late_write_share = 0, late_writes_until = -1, copies_share = 0, copies_until = -1, held_up_share = 0,
-         held_up_until = -1, state_delay = 0, delay_until = -1, next_stranger = 0;
-  std::vector<Node> nodes;
-  std::map<std::string, Host> hosts;
-  std::map<std::string, JobInfo> jobs;
-  std::deque<Call> calls;
+  std::vector<Delayed<Json>> delayed_writes;
+  std::vector<ReportCopy> report_copies;
+  std::vector<DelayedMessage<DirectCommands>> delayed_commands;
+  std::vector<DelayedMessage<ReportAnswer>> delayed_answers;
+  double lost_answers_fraction = 0, lost_answers_until = -1, replay_fraction = 0, replay_until = -1,
+         isolated_until = -1, end_cancels_fraction = 0, end_cancels_until = -1, repeated_queries_until = -1,
+         invalid_requests_until = -1, fast_boots_until = -1, next_invalid_request = 0, max_response_delay = 6;
+  std::vector<WorkerReport> retained_reports;
+  std::map<std::uint32_t, Revision> ownership_revisions;  // by part: of the owner that was last seen to begin
+  std::uint64_t invalid_request_count = 0;
+  std::string isolated_zone;
+  double delayed_writes_fraction = 0, delayed_writes_until = -1, report_copies_fraction = 0,
+         report_copies_until = -1, delayed_responses_fraction = 0, delayed_responses_until = -1,
+         state_delay = 0, delay_until = -1, next_unknown_job_query = 0;
+  std::vector<ControllerProcess> controllers;
+  std::map<std::string, SimulatedMachine> machines;
+  std::map<std::string, SimulatedJob> jobs;
+  std::deque<CloudCall> calls;
   std::vector<double> returned_at;
   std::vector<Fault> faults;
-  std::vector<WorkerReport> late;
-  std::uint32_t hold_late = 0, rented = 0, rented_spot = 0;
+  std::vector<WorkerReport> delayed_reports;
+  std::uint32_t reports_to_delay = 0, created = 0, created_spot = 0;
   std::uint64_t submitted = 0;
-  double late_at = 0, outage_until = 0, slow_until = 0, cloud_down_until = -1, cut_until = -1,
+  double delayed_reports_due_at = 0, outage_until = 0, slow_until = 0, cloud_down_until = -1, cut_until = -1,
          first_fault = 1e9;
   std::string cut_zone;
-  FleetResult result;
+  ClusterResult result;
 };
 
 }  // namespace oxbowmill::lab
--- a/src/lab/hollow_fleet.cpp
+++ b/src/lab/hollow_fleet.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr double tick_s = 0.02, tells_every_s = 1;
-constexpr double report_timeout_s = 4, least_between_reports_s = 0.5, next_node_after_s = 1;
-constexpr std::size_t hosts_a_block = 250;
+constexpr double tick_s = 0.02, counts_interval_s = 1;
+constexpr double report_timeout_s = 4, least_between_reports_s = 0.5, next_controller_after_s = 1;
+constexpr std::size_t hosts_per_block = 250;
 constexpr const char* type_name = "std";
 
 net::Address loopback(std::size_t second, std::size_t third, std::size_t fourth, std::uint16_t port) {
   return {"127." + std::to_string(second) + "." + std::to_string(third) + "." + std::to_string(fourth), port};
 }
 
-std::pair<std::string, TaskNo> split_id(const std::string& id) {
+std::pair<std::string, TaskNumber> split_id(const std::string& id) {
   std::size_t slash = id.rfind('/');
-  return {id.substr(0, slash), static_cast<TaskNo>(std::stoul(id.substr(slash + 1)))};
+  return {id.substr(0, slash), static_cast<TaskNumber>(std::stoul(id.substr(slash + 1)))};
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
   return loopback(60, 0, 1, port);
 }
 net::Address ScaleAddresses::worker(std::size_t i) const {
-  return loopback(64, i / hosts_a_block, 1 + i % hosts_a_block, port);
+  return loopback(64, i / hosts_per_block, 1 + i % hosts_per_block, port);
 }
 
 std::string scale_controller_name(std::size_t i) {
@@ -58,24 +58,26 @@
   return std::stoul(name.substr(name.find('-') + 1));
 }
 
-struct HollowFleet::Hollow {
+struct AgentSimulator::SimulatedAgent {
   std::size_t number = 0;
   Worker worker;
-  std::unique_ptr<net::HttpServer> commands;
+  std::unique_ptr<net::HttpServer> command_server;
   std::unique_ptr<net::HttpClient> client;
   std::size_t controller = 0, connected_to = 0;
   bool alive = true, reporting = false;
-  double up_at = 0, born = 0, next_report = 0, last_report = -1e9, cut_until = -1, token_told_at = -1e9;
-  std::uint64_t tenure = 1;
-  std::map<std::string, Run> runs;
+  double up_at = 0, created_at = 0, next_report = 0, last_report = -1e9, cut_until = -1,
+         fencing_token_published_at = -1e9;
+  std::uint64_t agent_epoch = 1;
+  std::map<std::string, TaskRun> runs;
   std::map<std::string, double> images;  // and when each is there
 
-  Hollow(std::size_t n, std::string name, std::string zone, RunLog& log)
+  SimulatedAgent(std::size_t n, std::string name, std::string zone, RunLog& log)
       : number(n), worker(std::move(name), std::move(zone), log) {}
 };
 
-HollowFleet::HollowFleet(event_base* base, const ScaleSettings& settings, const ScaleAddresses& addresses,
-                         ScaleEventWriter& events, std::function<double()> now)
+AgentSimulator::AgentSimulator(event_base* base, const ScaleSettings& settings,
+                               const ScaleAddresses& addresses, ScaleEventWriter& events,
+                               std::function<double()> now)
     : base_(base),
       settings_(settings),
       addresses_(addresses),
@@ -85,8 +87,8 @@
       faults_(settings.faults),
       cloud_calls_(settings.cloud_rps, 2 * settings.cloud_rps),
       timer_(base, [this] { tick(); }) {
-  began_ = expected_tick_ = now_();
-  log_.watcher = [this](const std::string& id, const std::string& machine, bool on) {
+  began_at_ = expected_tick_ = now_();
+  log_.on_change = [this](const std::string& id, const std::string& machine, bool on) {
     ScaleEvent event;
     event.kind = on ? ScaleEventKind::task_starts : ScaleEventKind::task_leaves;
     std::tie(event.job, event.task) = split_id(id);
@@ -95,24 +97,25 @@
   };
   next_in_zone_.resize(settings.zones);
   for (std::uint32_t i = 0; i < settings.workers; ++i)
-    add_machine(i % settings.zones, began_ + uniform(0, settings.report_s));
-  cloud_ = std::make_unique<net::HttpServer>(base, addresses.cloud(), wire::most_body,
-                                             [this](net::Request&& r) { serve_cloud(std::move(r)); });
-  timer_.after(tick_s);
+    add_machine(i % settings.zones, began_at_ + uniform(0, settings.report_interval_s));
+  cloud_ =
+      std::make_unique<net::HttpServer>(base, addresses.cloud(), wire::max_body_size,
+                                        [this](net::Request&& request) { serve_cloud(std::move(request)); });
+  timer_.schedule(tick_s);
 }
 
-HollowFleet::~HollowFleet() = default;
+AgentSimulator::~AgentSimulator() = default;
 
-std::string HollowFleet::add_machine(std::size_t zone, double up_at) {
+std::string AgentSimulator::add_machine(std::size_t zone, double up_at) {
   // A machine's number tells its zone, to whoever knows only its name.
   std::size_t number = settings_.zones * next_in_zone_[zone]++ + zone;
-  auto hollow = std::make_unique<Hollow>(number, scale_machine_name(number),
-                                         scale_zone_name(number % settings_.zones), log_);
+  auto hollow = std::make_unique<SimulatedAgent>(number, scale_machine_name(number),
+                                                 scale_zone_name(number % settings_.zones), log_);
   hollow->worker.lease_s = settings_.lease_s;
   hollow->worker.first_phase = TaskPhase::fetching;
   hollow->worker.address = net::to_string(addresses_.worker(number));
   hollow->up_at = hollow->next_report = up_at;
-  hollow->born = now_();
+  hollow->created_at = now_();
   hollow->controller = number % settings_.controllers;
   std::string name = hollow->worker.name();
   machines_[number] = std::move(hollow);
@@ -120,56 +123,56 @@
   return name;
 }
 
-void HollowFleet::power_off(Hollow& hollow) {
+void AgentSimulator::power_off(SimulatedAgent& hollow) {
   if (!hollow.alive) return;
   hollow.alive = false;
   --alive_;
   auto runs = hollow.runs;
   for (const auto& [id, run] : runs) end_run(hollow, id, run, false);
   hollow.worker.power_off();
-  hollow.commands.reset();
+  hollow.command_server.reset();
   hollow.client.reset();
 }
 
-void HollowFleet::tick() {
+void AgentSimulator::tick() {
   double now = now_();
-  counts_.late_s = std::max(counts_.late_s, now - expected_tick_);
+  counts_.max_lateness_s = std::max(counts_.max_lateness_s, now - expected_tick_);
   while (!faults_.empty()) {
-    auto due = std::find_if(faults_.begin(), faults_.end(),
-                            [&](const ScaleFault& fault) { return now >= began_ + fault.at_s; });
-    if (due == faults_.end()) break;
-    ScaleFault fault = *due;
-    faults_.erase(due);
+    auto due_fault = std::find_if(faults_.begin(), faults_.end(),
+                                  [&](const ScaleFault& fault) { return now >= began_at_ + fault.at_s; });
+    if (due_fault == faults_.end()) break;
+    ScaleFault fault = *due_fault;
+    faults_.erase(due_fault);
     apply(fault, now);
   }
-  while (!due_.empty() && due_.top().at <= now) {
-    Due due = due_.top();
-    due_.pop();
+  while (!timed_events_.empty() && timed_events_.top().at <= now) {
+    TimedEvent due = timed_events_.top();
+    timed_events_.pop();
     on_due(due, now);
   }
   for (const auto& [number, hollow] : machines_) tick_machine(*hollow, now);
-  if (now >= next_told_) tell_counts();
+  if (now >= next_counts_at_) write_counts();
   expected_tick_ = now_() + tick_s;
-  timer_.after(tick_s);
+  timer_.schedule(tick_s);
 }
 
-void HollowFleet::tick_machine(Hollow& hollow, double now) {
+void AgentSimulator::tick_machine(SimulatedAgent& hollow, double now) {
   if (!hollow.alive || now < hollow.up_at) return;
-  if (!hollow.commands) {
-    hollow.commands = std::make_unique<net::HttpServer>(
-        base_, addresses_.worker(hollow.number), wire::most_body,
-        [this, &hollow](net::Request&& r) { on_command(hollow, std::move(r)); });
+  if (!hollow.command_server) {
+    hollow.command_server = std::make_unique<net::HttpServer>(
+        base_, addresses_.worker(hollow.number), wire::max_body_size,
+        [this, &hollow](net::Request&& request) { on_command(hollow, std::move(request)); });
   }
   hollow.worker.tick(now);
-  if (hollow.worker.tenure() != hollow.tenure) {  // its lease was over
-    hollow.tenure = hollow.worker.tenure();
+  if (hollow.worker.agent_epoch() != hollow.agent_epoch) {  // its lease was over
+    hollow.agent_epoch = hollow.worker.agent_epoch();
     auto runs = hollow.runs;
     for (const auto& [id, run] : runs) end_run(hollow, id, run, false);
   }
   if (!hollow.reporting && now >= hollow.next_report && now >= hollow.cut_until) send_report(hollow, now);
 }
 
-void HollowFleet::send_report(Hollow& hollow, double now) {
+void AgentSimulator::send_report(SimulatedAgent& hollow, double now) {
   // A client is replaced here and not where it answers: its own callback may not destroy it.
   if (!hollow.client || hollow.connected_to != hollow.controller)
     hollow.client = std::make_unique<net::HttpClient>(base_, addresses_.controller(hollow.controller), 1);
@@ -183,7 +186,7 @@
                       [this, &hollow](const net::Response& response) { on_answer(hollow, response); });
 }
 
-void HollowFleet::on_answer(Hollow& hollow, const net::Response& response) {
+void AgentSimulator::on_answer(SimulatedAgent& hollow, const net::Response& response) {
   double now = now_();
   hollow.reporting = false;
   if (!hollow.alive) return;
@@ -194,9 +197,9 @@
   }
   Json body = Json::from_cbor(response.body, true, false);
   if (response.status == 200) {
-    hollow.next_report = now + settings_.report_s * uniform(0.75, 1.25);
+    hollow.next_report = now + settings_.report_interval_s * uniform(0.75, 1.25);
     if (auto answer = read_answer(body)) hollow.worker.answer(*answer, now);
-    take_in_tasks(hollow);
+    sync_tasks(hollow);
     return;
   }
   if (response.status == 0) ++counts_.unanswered;
@@ -209,13 +212,13 @@
     named = true;
   }
   hollow.controller = next;
-  hollow.next_report = now + (named ? uniform(0, least_between_reports_s) : next_node_after_s);
+  hollow.next_report = now + (named ? uniform(0, least_between_reports_s) : next_controller_after_s);
 }
 
-void HollowFleet::on_command(Hollow& hollow, net::Request&& request) {
+void AgentSimulator::on_command(SimulatedAgent& hollow, net::Request&& request) {
   double now = now_();
   if (now < hollow.cut_until) {
-    held_.push_back(request.responder);
+    unanswered_commands_.push_back(request.responder);
     return;
   }
   ++counts_.commands;
@@ -223,21 +226,22 @@
   Json body = Json::from_cbor(request.body, true, false);
   auto command = body.is_object() ? read_command(body) : std::nullopt;
   if (!command) return request.responder->reply(400, "");
-  std::uint64_t token = hollow.worker.token();
+  std::uint64_t fencing_token = hollow.worker.fencing_token();
   bool done = hollow.worker.command(*command);
-  bool token_is_news = hollow.worker.token() > token && now - hollow.token_told_at >= settings_.lease_s / 2;
-  if (token_is_news) hollow.token_told_at = now;
-  if (done && (token_is_news || !command->orders.empty())) wake_for(hollow, now);
-  if (done) take_in_tasks(hollow);
+  bool token_is_new = hollow.worker.fencing_token() > fencing_token &&
+                      now - hollow.fencing_token_published_at >= settings_.lease_s / 2;
+  if (token_is_new) hollow.fencing_token_published_at = now;
+  if (done && (token_is_new || !command->commands.empty())) schedule_report(hollow, now);
+  if (done) sync_tasks(hollow);
   request.responder->reply(done ? 200 : 409, "");
 }
 
-void HollowFleet::wake_for(Hollow& hollow, double now) {
+void AgentSimulator::schedule_report(SimulatedAgent& hollow, double now) {
   hollow.next_report =
       std::min(hollow.next_report, std::max(now, hollow.last_report + least_between_reports_s));
 }
 
-void HollowFleet::take_in_tasks(Hollow& hollow) {
+void AgentSimulator::sync_tasks(SimulatedAgent& hollow) {
   double now = now_();
   auto runs = hollow.runs;
   for (const auto& [id, run] : runs) {
@@ -245,37 +249,38 @@
     bool there = task != hollow.worker.tasks().end() && task->second.attempt == run.attempt &&
                  task->second.phase != TaskPhase::ended;
     if (there) continue;
-    end_run(hollow, id, run, task != hollow.worker.tasks().end() && task->second.saved);
-    wake_for(hollow, now);
+    end_run(hollow, id, run, task != hollow.worker.tasks().end() && task->second.checkpoint_saved);
+    schedule_report(hollow, now);
   }
   for (const auto& [id, task] : hollow.worker.tasks()) {
     if (task.phase == TaskPhase::ended || hollow.runs.count(id) != 0) continue;
     start_run(hollow, id, task);
-    wake_for(hollow, now);
+    schedule_report(hollow, now);
   }
 }
 
-void HollowFleet::start_run(Hollow& hollow, const std::string& id, const TaskReport& task) {
+void AgentSimulator::start_run(SimulatedAgent& hollow, const std::string& id, const TaskReport& task) {
   ScaleJob job = scale_job(settings_, task.job);
-  double now = now_(), fetch_s = job.kind == nullptr ? 0 : job.kind->image_gb / settings_.fetch_gb_per_s;
-  std::string image = job.kind == nullptr ? "" : job.kind->name + std::to_string(job.image);
+  double now = now_(),
+         fetch_s = job.job_class == nullptr ? 0 : job.job_class->image_gb / settings_.fetch_gb_per_s;
+  std::string image = job.job_class == nullptr ? "" : job.job_class->name + std::to_string(job.image);
   double ready_at = hollow.images.try_emplace(image, now + fetch_s * uniform(0.8, 1.2)).first->second;
-  Run& run = hollow.runs[id];
+  TaskRun& run = hollow.runs[id];
   run.task = task.task;
   run.attempt = task.attempt;
   run.ready_at = std::max(now, ready_at);
-  due_.push({run.ready_at, hollow.number, id, run.attempt});
-  if (job.kind != nullptr && job.kind->shape == Shape::gang) {
+  timed_events_.push({run.ready_at, hollow.number, id, run.attempt});
+  if (job.job_class != nullptr && job.job_class->shape == JobShape::gang) {
     Gang& gang = gangs_[task.job];
     if (gang.attempt != task.attempt) gang = {task.attempt, {}, false, -1};
     gang.members[task.task] = hollow.number;
   }
 }
 
-void HollowFleet::end_run(Hollow& hollow, const std::string& id, const Run& run, bool saved) {
+void AgentSimulator::end_run(SimulatedAgent& hollow, const std::string& id, const TaskRun& run, bool saved) {
   auto [ref, task] = split_id(id);
   double now = now_();
-  if (saved && run.started >= 0) saved_s_[id] += now - run.started;
+  if (saved && run.started_at >= 0) saved_s_[id] += now - run.started_at;
   hollow.runs.erase(id);
   auto gang = gangs_.find(ref);
   if (gang == gangs_.end() || gang->second.attempt != run.attempt) return;
@@ -283,39 +288,42 @@
   if (!gang->second.running || gang->second.lost_at >= 0) return;
   gang->second.lost_at = now;
   for (const auto& [member, machine] : gang->second.members) {
-    due_.push({now + settings_.gang_peer_s / 2, machine, ref + "/" + std::to_string(member), run.attempt});
+    timed_events_.push(
+        {now + settings_.gang_peer_s / 2, machine, ref + "/" + std::to_string(member), run.attempt});
   }
 }
 
-void HollowFleet::on_due(const Due& due, double now) {
-  Hollow& hollow = *machines_.at(due.machine);
-  auto found = hollow.runs.find(due.id);
-  if (!hollow.alive || found == hollow.runs.end() || found->second.attempt != due.attempt) return;
-  Run& run = found->second;
-  auto gang = gangs_.find(split_id(due.id).first);
+void AgentSimulator::on_due(const TimedEvent& event, double now) {
+  SimulatedAgent& hollow = *machines_.at(event.machine);
+  auto found = hollow.runs.find(event.task_id);
+  if (!hollow.alive || found == hollow.runs.end() || found->second.attempt != event.attempt) return;
+  TaskRun& run = found->second;
+  auto gang = gangs_.find(split_id(event.task_id).first);
   bool in_gang = gang != gangs_.end() && gang->second.attempt == run.attempt;
-  if (run.started >= 0) {
+  if (run.started_at >= 0) {
     // Its wait for the other members may end while it runs: that is over.
     bool lost = in_gang && gang->second.lost_at >= 0;
-    if (lost) finish(hollow, due.id, EndCause::peers);
-    if (!lost && now >= run.ends_at) finish(hollow, due.id, EndCause::done);
+    if (lost) finish(hollow, event.task_id, EndCause::peers_lost);
+    if (!lost && now >= run.ends_at) finish(hollow, event.task_id, EndCause::done);
     return;
   }
-  if (run.gathers_since < 0) return image_is_there(hollow, due.id, run, now);
-  if (now - run.gathers_since >= settings_.gang_wait_s) finish(hollow, due.id, EndCause::incomplete);
+  if (run.waiting_for_gang_since < 0) return on_image_ready(hollow, event.task_id, run, now);
+  if (now - run.waiting_for_gang_since >= settings_.gang_wait_s)
+    finish(hollow, event.task_id, EndCause::incomplete);
 }
 
-void HollowFleet::image_is_there(Hollow& hollow, const std::string& id, Run& run, double now) {
-  if (done_.count(id) != 0) return finish(hollow, id, EndCause::done);
+void AgentSimulator::on_image_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now) {
+  if (finished_tasks_.count(id) != 0) return finish(hollow, id, EndCause::done);
   ScaleJob job = scale_job(settings_, split_id(id).first);
-  if (job.kind != nullptr && job.kind->shape == Shape::gang) return member_is_ready(hollow, id, run, now);
+  if (job.job_class != nullptr && job.job_class->shape == JobShape::gang)
+    return on_member_ready(hollow, id, run, now);
   begin_running(hollow, id, run, now);
 }
 
-void HollowFleet::begin_running(Hollow& hollow, const std::string& id, Run& run, double now) {
+void AgentSimulator::begin_running(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now) {
   auto [ref, task] = split_id(id);
   ScaleJob job = scale_job(settings_, ref);
-  run.started = now;
+  run.started_at = now;
   hollow.worker.set_phase(id, TaskPhase::running);
   ScaleEvent event;
   event.kind = ScaleEventKind::task_runs;
@@ -323,24 +331,25 @@
   event.task = task;
   event.machine = hollow.worker.name();
   events_.write(event);
-  wake_for(hollow, now);
-  if (job.kind != nullptr && job.kind->shape == Shape::service) return;
+  schedule_report(hollow, now);
+  if (job.job_class != nullptr && job.job_class->shape == JobShape::service) return;
   double left = std::max(1.0, scale_run_time_s(settings_, ref, task) - saved_s_[id]);
   run.ends_at = now + left;
-  due_.push({run.ends_at, hollow.number, id, run.attempt});
+  timed_events_.push({run.ends_at, hollow.number, id, run.attempt});
 }
 
-void HollowFleet::member_is_ready(Hollow& hollow, const std::string& id, Run& run, double now) {
+void AgentSimulator::on_member_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run,
+                                     double now) {
   std::string ref = split_id(id).first;
-  run.gathers_since = now;
+  run.waiting_for_gang_since = now;
   hollow.worker.set_phase(id, TaskPhase::gathering);
-  due_.push({now + settings_.gang_wait_s, hollow.number, id, run.attempt});
-  wake_for(hollow, now);
+  timed_events_.push({now + settings_.gang_wait_s, hollow.number, id, run.attempt});
+  schedule_report(hollow, now);
   Gang& gang = gangs_[ref];
-  if (gang.members.size() < scale_job(settings_, ref).kind->tasks) return;
+  if (gang.members.size() < scale_job(settings_, ref).job_class->tasks) return;
   auto is_ready = [&](const auto& member) {
     auto found = machines_.at(member.second)->runs.find(ref + "/" + std::to_string(member.first));
-    return found != machines_.at(member.second)->runs.end() && found->second.gathers_since >= 0;
+    return found != machines_.at(member.second)->runs.end() && found->second.waiting_for_gang_since >= 0;
   };
   if (!std::all_of(gang.members.begin(), gang.members.end(), is_ready)) return;
   gang.running = true;
@@ -350,14 +359,14 @@
   }
 }
 
-void HollowFleet::finish(Hollow& hollow, const std::string& id, EndCause cause) {
+void AgentSimulator::finish(SimulatedAgent& hollow, const std::string& id, EndCause cause) {
   auto [ref, task] = split_id(id);
-  Run run = hollow.runs.at(id);
+  TaskRun run = hollow.runs.at(id);
   hollow.runs.erase(id);
   auto gang = gangs_.find(ref);
   if (gang != gangs_.end() && gang->second.attempt == run.attempt) gang->second.members.erase(task);
   if (cause == EndCause::done) {
-    done_.insert(id);
+    finished_tasks_.insert(id);
     ScaleEvent event;
     event.kind = ScaleEventKind::task_completes;
     event.job = ref;
@@ -365,12 +374,12 @@
     events_.write(event);
   }
   hollow.worker.finish(id, cause);
-  wake_for(hollow, now_());
+  schedule_report(hollow, now_());
 }
 
-std::vector<HollowFleet::Hollow*> HollowFleet::some_machines(std::uint32_t count) {
+std::vector<AgentSimulator::SimulatedAgent*> AgentSimulator::pick_machines(std::uint32_t count) {
   // Neighbours, as machines of a rack are.
-  std::vector<Hollow*> alive;
+  std::vector<SimulatedAgent*> alive;
   for (const auto& [number, hollow] : machines_) {
     if (hollow->alive) alive.push_back(hollow.get());
   }
@@ -382,40 +391,40 @@
   return alive;
 }
 
-void HollowFleet::apply(const ScaleFault& fault, double now) {
+void AgentSimulator::apply(const ScaleFault& fault, double now) {
   bool gone = fault.kind == ScaleFaultKind::workers_gone || fault.kind == ScaleFaultKind::workers_replaced;
   if (!gone && fault.kind != ScaleFaultKind::workers_cut) return;  // another process's
-  for (Hollow* hollow : some_machines(fault.count)) {
+  for (SimulatedAgent* hollow : pick_machines(fault.count)) {
     if (gone) power_off(*hollow);
     if (fault.kind == ScaleFaultKind::workers_replaced)
       add_machine(hollow->number % settings_.zones, now + settings_.boot_s);
-    if (fault.kind == ScaleFaultKind::workers_cut) hollow->cut_until = now + fault.for_s;
+    if (fault.kind == ScaleFaultKind::workers_cut) hollow->cut_until = now + fault.duration_s;
   }
 }
 
-void HollowFleet::tell_counts() {
-  next_told_ = now_() + tells_every_s;
+void AgentSimulator::write_counts() {
+  next_counts_at_ = now_() + counts_interval_s;
   events_.counter("reports", counts_.reports);
   events_.counter("report_bytes", counts_.report_bytes);
   events_.counter("answer_bytes", counts_.answer_bytes);
   events_.counter("reports_unanswered", counts_.unanswered);
   events_.counter("commands", counts_.commands);
   events_.counter("command_bytes", counts_.command_bytes);
-  events_.counter("workers_late_s", counts_.late_s);
+  events_.counter("workers_late_s", counts_.max_lateness_s);
   events_.counter("machines", static_cast<double>(alive_));
-  counts_.late_s = 0;
+  counts_.max_lateness_s = 0;
   events_.flush();
-  if (held_.size() > settings_.workers) held_.clear();
+  if (unanswered_commands_.size() > settings_.workers) unanswered_commands_.clear();
 }
 
-Json HollowFleet::catalog() const {
+Json AgentSimulator::catalog() const {
   Json zones = Json::array();
   for (std::size_t z = 0; z < settings_.zones; ++z) zones.push_back(scale_zone_name(z));
   return {{"rigs",
            {{{"sku", type_name},
-             {"vcpus", settings_.machine.cpus},
-             {"accelerators", settings_.machine.gpus},
-             {"memory_gb", settings_.machine.memory_gb},
+             {"vcpus", settings_.machine_resources.cpus},
+             {"accelerators", settings_.machine_resources.gpus},
+             {"memory_gb", settings_.machine_resources.memory_gb},
              {"cache_gb", 100.0},
              {"fetch_gb_per_s", settings_.fetch_gb_per_s},
              {"rate", 3.0},
@@ -424,8 +433,8 @@
              {"yards", zones}}}}};
 }
 
-Json HollowFleet::rent(const Json& body) {
-  auto [known, fresh] = rentals_.try_emplace(body.at("hire").get<std::string>());
+Json AgentSimulator::scale_out(const Json& body) {
+  auto [known, fresh] = scale_outs_.try_emplace(body.at("hire").get<std::string>());
   if (!fresh) return known->second;
   Json hosts = Json::array();
   auto wanted = body.at("count").get<std::size_t>();
@@ -435,13 +444,13 @@
     while (scale_zone_name(z) == zone && hosts.size() < wanted && alive_ < settings_.workers)
       hosts.push_back(add_machine(z, now_() + settings_.boot_s * uniform(0.6, 1.5)));
   }
-  if (hosts.empty()) rentals_.erase(known);
+  if (hosts.empty()) scale_outs_.erase(known);
   Json answer = {{"hosts", hosts}};
-  if (!hosts.empty()) rentals_[body.at("hire").get<std::string>()] = answer;
+  if (!hosts.empty()) scale_outs_[body.at("hire").get<std::string>()] = answer;
   return answer;
 }
 
-Json HollowFleet::list(const std::string& query) const {
+Json AgentSimulator::list(const std::string& query) const {
   constexpr std::size_t most = 500;
   std::size_t at = query.find("from=");
   std::string from = at == std::string::npos ? "" : query.substr(at + 5, scale_machine_name(0).size());
@@ -449,7 +458,7 @@
   bool truncated = false;
   auto first = from.empty() ? machines_.begin() : machines_.upper_bound(scale_machine_number(from));
   for (; first != machines_.end(); ++first) {
-    const Hollow& hollow = *first->second;
+    const SimulatedAgent& hollow = *first->second;
     if (!hollow.alive) continue;
     truncated = hosts.size() >= most;
     if (truncated) break;
@@ -459,12 +468,12 @@
                      {"yard", scale_zone_name(hollow.number % settings_.zones)},
                      {"loaners", false},
                      {"phase", now_() < hollow.up_at ? "starting" : "running"},
-                     {"age_s", now_() - hollow.born}});
+                     {"age_s", now_() - hollow.created_at}});
   }
   return {{"hosts", hosts}, {"truncated", truncated}};
 }
 
-void HollowFleet::serve_cloud(net::Request&& request) {
+void AgentSimulator::serve_cloud(net::Request&& request) {
   auto reply = [&request](int status, const Json& body) {
     request.responder->reply(status, wire::encode(body));
   };
@@ -474,7 +483,7 @@
   auto body = wire::decode_map(request.body);
   if (!body) return reply(400, Json::object());
   if (request.path == "/rentals") {
-    Json answer = rent(*body);
+    Json answer = scale_out(*body);
     return answer["hosts"].empty() ? reply(503, {{"error", "no capacity"}}) : reply(200, answer);
   }
   if (request.path != "/rentals/delete") return reply(404, Json::object());
--- a/src/lab/market.cpp
+++ b/src/lab/market.cpp
@@ -8,34 +8,34 @@
 
 using wire::Json;
 
-Market::Market(Character c, std::uint64_t seed, std::vector<std::string> types,
-               std::vector<std::string> zones)
-    : c_(std::move(c)), random_(seed), types_(std::move(types)), zones_(std::move(zones)) {}
+SimulatedMarket::SimulatedMarket(MarketBehavior profile, std::uint64_t seed, std::vector<std::string> types,
+                                 std::vector<std::string> zones)
+    : behavior_(std::move(profile)), random_(seed), types_(std::move(types)), zones_(std::move(zones)) {}
 
-std::uint32_t Market::busy() const {
+std::uint32_t SimulatedMarket::busy() const {
   std::uint32_t n = 0;
   for (const auto& [name, h] : hosts_) n += h.until < 0 ? 1 : 0;
   for (const auto& [name, b] : bids_)
-    n += b.phase == "open" || b.phase == "raised" || b.phase == "won" ? b.expects : 0;
+    n += b.phase == "open" || b.phase == "raised" || b.phase == "won" ? b.expected_count : 0;
   return n;
 }
 
-MarketReply Market::handle(const std::string& method, const std::string& path, const std::string& body,
-                           double now) {
-  bool bad_now = bad(now);
-  if (bad_now && chance(c_.deaf)) return {0, "", 0};
-  if (bad_now && chance(c_.throttle)) return {chance(0.5) ? 429 : 503, "", 2};
+MarketReply SimulatedMarket::handle(const std::string& method, const std::string& path,
+                                    const std::string& body, double now) {
+  bool bad_now = faults_active(now);
+  if (bad_now && chance(behavior_.lost_request_chance)) return {0, "", 0};
+  if (bad_now && chance(behavior_.throttle_chance)) return {chance(0.5) ? 429 : 503, "", 2};
   tick(now);
-  Json in = body.empty() ? Json::object() : Json::from_cbor(body, true, false);
-  MarketReply r{404, "", 0};
-  auto say = [&r](const Json& j) { r = {200, wire::encode(j), 0}; };
+  Json request = body.empty() ? Json::object() : Json::from_cbor(body, true, false);
+  MarketReply reply{404, "", 0};
+  auto respond = [&reply](const Json& json) { reply = {200, wire::encode(json), 0}; };
   const std::string bids = "/bids/";
-  if (!in.is_object()) {
-    r.status = 400;
+  if (!request.is_object()) {
+    reply.status = 400;
   } else if (path == "/quotes") {
-    say(quotes(in, now));
+    respond(quotes(request, now));
   } else if (path == "/bids") {
-    r = bid(in, now);
+    reply = bid(request, now);
   } else if (path.rfind(bids, 0) == 0) {
     std::string name = path.substr(bids.size());
     std::size_t slash = name.find('/');
@@ -44,217 +44,220 @@
     auto it = bids_.find(name);
     if (verb == "withdraw") {
       // Uses the name up, also of a bid that has not come yet.
-      Bid& b = bids_[name];
-      if (it == bids_.end() || b.phase == "open" || b.phase == "raised") {
-        b.phase = "withdrawn";
-        b.expects = 0;
+      Bid& bid = bids_[name];
+      if (it == bids_.end() || bid.phase == "open" || bid.phase == "raised") {
+        bid.phase = "withdrawn";
+        bid.expected_count = 0;
       }
-      if (b.phase == "won") b.expects = 0, b.deliveries.clear();
-      maybe_close(b);
-      say(state_of(name, now));
+      if (bid.phase == "won") bid.expected_count = 0, bid.deliveries.clear();
+      maybe_close(bid);
+      respond(state_of(name, now));
     } else if (it == bids_.end()) {
-      r.status = 404;
+      reply.status = 404;
     } else if (verb == "confirm") {
-      Bid& b = it->second;
-      if (b.phase == "raised" && in.value("round", 0ULL) == b.round &&
-          std::abs(in.value("rate", 0.0) - b.raise) < 1e-4) {
-        accept(b, b.raise, now);
-        say(state_of(name, now));
-      } else if (b.phase == "raised" || b.phase == "open") {
-        r.status = 409;
+      Bid& bid = it->second;
+      if (bid.phase == "raised" && request.value("round", 0ULL) == bid.round &&
+          std::abs(request.value("rate", 0.0) - bid.raise) < 1e-4) {
+        accept(bid, bid.raise, now);
+        respond(state_of(name, now));
+      } else if (bid.phase == "raised" || bid.phase == "open") {
+        reply.status = 409;
       } else {
-        say(state_of(name, now));
+        respond(state_of(name, now));
       }
     } else if (verb.empty() && method == "GET") {
-      say(state_of(name, now));
+      respond(state_of(name, now));
     }
   } else if (path == "/returns") {
     Json back = Json::array();
-    for (const Json& h : in.value("hosts", Json::array())) {
+    for (const Json& h : request.value("hosts", Json::array())) {
       auto it = h.is_string() ? hosts_.find(h.get<std::string>()) : hosts_.end();
       back.push_back(h);
       if (it == hosts_.end() || it->second.returned) continue;
       Host& host = it->second;
       host.returned = true;
       if (host.until < 0) host.until = now;
-      host.alive = c_.keeps_running && bad_now;
+      host.alive = behavior_.runs_after_return && bad_now;
       maybe_close(bids_[host.bid]);
     }
-    say({{"returned", back}});
+    respond({{"returned", back}});
   } else if (path.rfind("/charges", 0) == 0) {
     std::uint64_t no = 0;
     Json list = Json::array();
     for (const auto& [name, b] : bids_) {
       if (!b.hosts.empty()) list.push_back({{"no", ++no}, {"bid", name}, {"amount", charge(b, now)}});
     }
-    say({{"charges", list}});
+    respond({{"charges", list}});
   }
-  if (bad_now && chance(c_.stall)) return {0, "", 0};
-  if (bad_now && r.status == 200 && chance(c_.garble)) {
-    r.body = chance(0.5) ? r.body.substr(0, r.body.size() / 2) : "\xbf\x61";
+  if (bad_now && chance(behavior_.stall_chance)) return {0, "", 0};
+  if (bad_now && reply.status == 200 && chance(behavior_.garbled_response_chance)) {
+    reply.body = chance(0.5) ? reply.body.substr(0, reply.body.size() / 2) : "\xbf\x61";
   }
-  return r;
+  return reply;
 }
 
-market::Answer Market::ask(const market::Call& c, const Names& names, double now) {
-  wire::MarketRequest r = wire::write_market_call(c, names);
+market::Answer SimulatedMarket::call(const market::Call& call, const Names& names, double now) {
+  wire::MarketRequest r = wire::write_market_call(call, names);
   MarketReply reply =
-      handle(r.post ? "POST" : "GET", r.path, r.body.is_null() ? "" : wire::encode(r.body), now);
-  return wire::read_market_answer(c, reply.status, reply.body, reply.retry_after_s, names);
+      handle(r.is_post ? "POST" : "GET", r.path, r.body.is_null() ? "" : wire::encode(r.body), now);
+  return wire::read_market_answer(call, reply.status, reply.body, reply.retry_after_s, names);
 }
 
-Json Market::quotes(const Json& body, double now) {
+Json SimulatedMarket::quotes(const Json& body, double now) {
   Json out = Json::array();
-  std::uint32_t free = c_.capacity > busy() ? c_.capacity - busy() : 0;
+  std::uint32_t free = behavior_.capacity > busy() ? behavior_.capacity - busy() : 0;
   if (free == 0) return {{"quotes", out}};
-  for (const Json& w : body.value("wants", Json::array())) {
-    if (!w.is_object() || w.value("loaners", false)) continue;
-    double rate = c_.price * std::uniform_real_distribution<>(0.97, 1.03)(random_);
-    if (bad(now) && chance(c_.absurd)) {
+  for (const Json& wanted : body.value("wants", Json::array())) {
+    if (!wanted.is_object() || wanted.value("loaners", false)) continue;
+    double rate = behavior_.price * std::uniform_real_distribution<>(0.97, 1.03)(random_);
+    if (faults_active(now) && chance(behavior_.absurd_response_chance)) {
       const double absurd[] = {-rate, std::numeric_limits<double>::quiet_NaN(), 1e300, 0};
       rate = absurd[random_() % 4];
     }
-    out.push_back({{"quote", c_.name + "-q" + std::to_string(++quoted_)},
-                   {"rig", w.value("rig", "")},
-                   {"yard", w.value("yard", "")},
+    out.push_back({{"quote", behavior_.name + "-q" + std::to_string(++last_quote_number_)},
+                   {"rig", wanted.value("rig", "")},
+                   {"yard", wanted.value("yard", "")},
                    {"loaners", false},
                    {"count", free},
                    {"rate", rate},
-                   {"valid_ms", c_.valid_s * 1000},
-                   {"deliver_s", c_.delivery_s}});
+                   {"valid_ms", behavior_.valid_s * 1000},
+                   {"deliver_s", behavior_.delivery_s}});
   }
   return {{"quotes", out}};
 }
 
-MarketReply Market::bid(const Json& body, double now) {
+MarketReply SimulatedMarket::bid(const Json& body, double now) {
   std::string name = body.value("bid", "");
   auto known = bids_.find(name);
   if (known != bids_.end()) {
-    if (!known->second.asked.is_null() && known->second.asked != body) ++renamed;
+    if (!known->second.request.is_null() && known->second.request != body) ++reused_bid_names;
     return {200, wire::encode(state_of(name, now)), 0};
   }
-  Bid b;
-  b.asked = body;
-  b.limit = body.value("limit", 0.0);
-  b.term_s = body.value("term_s", 0.0);
-  b.count = b.expects = body.value("count", 0U);
-  b.decides_at = now + c_.auction_s;
+  Bid bid;
+  bid.request = body;
+  bid.limit = body.value("limit", 0.0);
+  bid.duration_s = body.value("term_s", 0.0);
+  bid.count = bid.expected_count = body.value("count", 0U);
+  bid.decides_at = now + behavior_.auction_s;
   std::uint32_t in_use = busy();
-  if (name.empty() || b.count == 0) return {400, "", 0};
-  if (b.limit < c_.price * 0.97 || in_use + b.count > c_.capacity) b.phase = "lost", b.expects = 0;
-  bids_[name] = std::move(b);
+  if (name.empty() || bid.count == 0) return {400, "", 0};
+  if (bid.limit < behavior_.price * 0.97 || in_use + bid.count > behavior_.capacity)
+    bid.phase = "lost", bid.expected_count = 0;
+  bids_[name] = std::move(bid);
   tick(now);
   return {200, wire::encode(state_of(name, now)), 0};
 }
 
-void Market::decide(Bid& b, double now) {
-  double rate = std::min(b.limit, c_.price * std::uniform_real_distribution<>(0.97, 1.03)(random_));
-  if (bad(now) && b.round < 2 && chance(c_.raise_chance)) {
-    b.phase = "raised";
-    ++b.round;
-    b.raise = (b.raise > 0 ? b.raise : rate) * c_.raise_by;
+void SimulatedMarket::decide(Bid& bid, double now) {
+  double rate = std::min(bid.limit, behavior_.price * std::uniform_real_distribution<>(0.97, 1.03)(random_));
+  if (faults_active(now) && bid.round < 2 && chance(behavior_.raise_chance)) {
+    bid.phase = "raised";
+    ++bid.round;
+    bid.raise = (bid.raise > 0 ? bid.raise : rate) * behavior_.raise_factor;
     return;
   }
-  accept(b, rate, now);
+  accept(bid, rate, now);
 }
 
-void Market::accept(Bid& b, double rate, double now) {
-  b.phase = "won";
-  b.rate = rate;
-  bool bad_now = bad(now);
-  if (bad_now && chance(c_.never)) return;
-  auto n = static_cast<std::uint32_t>(std::ceil(b.count * (bad_now ? c_.short_share : 1)));
-  double wait = c_.delivery_s * (bad_now && chance(c_.late) ? c_.late_by : 1);
+void SimulatedMarket::accept(Bid& bid, double rate, double now) {
+  bid.phase = "won";
+  bid.rate = rate;
+  bool bad_now = faults_active(now);
+  if (bad_now && chance(behavior_.never_delivers_chance)) return;
+  auto n = static_cast<std::uint32_t>(std::ceil(bid.count * (bad_now ? behavior_.delivered_fraction : 1)));
+  double wait = behavior_.delivery_s * (bad_now && chance(behavior_.late_chance) ? behavior_.late_factor : 1);
   for (std::uint32_t i = 0; i < n; ++i)
-    b.deliveries.push_back(now + wait * std::exp(std::normal_distribution<>(0, c_.delivery_spread)(random_)));
-  std::sort(b.deliveries.begin(), b.deliveries.end(), std::greater<>());
-  b.wrong = bad_now && chance(c_.wrong);
-  b.twice = bad_now && chance(c_.twice);
-  b.factor = bad_now ? c_.overcharge : 1;
+    bid.deliveries.push_back(
+        now + wait * std::exp(std::normal_distribution<>(0, behavior_.delivery_spread)(random_)));
+  std::sort(bid.deliveries.begin(), bid.deliveries.end(), std::greater<>());
+  bid.delivers_wrong_machines = bad_now && chance(behavior_.wrong_delivery_chance);
+  bid.delivers_twice = bad_now && chance(behavior_.double_delivery_chance);
+  bid.overcharge_factor = bad_now ? behavior_.overcharge_factor : 1;
 }
 
-void Market::deliver(const std::string& name, Bid& b, double now) {
-  b.deliveries.pop_back();
-  if (b.twice) {
+void SimulatedMarket::deliver(const std::string& name, Bid& bid, double now) {
+  bid.deliveries.pop_back();
+  if (bid.delivers_twice) {
     // Another bid's machine, sold again.
     for (const auto& [host, h] : hosts_) {
       if (h.bid == name || !h.alive) continue;
-      b.hosts.insert(host);
-      if (b.expects > 0) --b.expects;
+      bid.hosts.insert(host);
+      if (bid.expected_count > 0) --bid.expected_count;
       return;
     }
   }
-  Host h{c_.name + ".m" + std::to_string(++named_), name, b.asked.value("rig", ""), b.asked.value("yard", ""),
-         now};
-  if (b.wrong) {
+  Host new_host{behavior_.name + ".m" + std::to_string(++last_host_number_), name,
+                bid.request.value("rig", ""), bid.request.value("yard", ""), now};
+  if (bid.delivers_wrong_machines) {
     if (zones_.size() > 1)
-      h.zone = zones_[(std::find(zones_.begin(), zones_.end(), h.zone) - zones_.begin() + 1) % zones_.size()];
+      new_host.zone = zones_[(std::find(zones_.begin(), zones_.end(), new_host.zone) - zones_.begin() + 1) %
+                             zones_.size()];
     else
-      h.type = "other";
+      new_host.type = "other";
   }
-  b.hosts.insert(h.name);
-  if (b.expects > 0) --b.expects;
-  hosts_[h.name] = std::move(h);
+  bid.hosts.insert(new_host.name);
+  if (bid.expected_count > 0) --bid.expected_count;
+  hosts_[new_host.name] = std::move(new_host);
 }
 
-void Market::maybe_close(Bid& b) {
-  if (b.phase != "won" || b.expects > 0 || b.hosts.empty()) {
-    if (b.phase == "won" && b.expects == 0) b.phase = "withdrawn";
+void SimulatedMarket::maybe_close(Bid& bid) {
+  if (bid.phase != "won" || bid.expected_count > 0 || bid.hosts.empty()) {
+    if (bid.phase == "won" && bid.expected_count == 0) bid.phase = "withdrawn";
     return;
   }
-  for (const std::string& h : b.hosts) {
+  for (const std::string& h : bid.hosts) {
     if (hosts_.at(h).until < 0) return;
   }
-  b.phase = "closed";
+  bid.phase = "closed";
 }
 
-void Market::tick(double now) {
+void SimulatedMarket::tick(double now) {
   for (auto& [name, b] : bids_) {
     if (b.phase == "open" && now >= b.decides_at) decide(b, now);
     while (b.phase == "won" && !b.deliveries.empty() && b.deliveries.back() <= now) deliver(name, b, now);
   }
-  for (auto& [host, h] : hosts_) {
-    double term = bids_[h.bid].term_s;
-    if (h.until < 0 && now - h.since >= term) {
-      h.until = h.since + term;
-      h.alive = false;
-      maybe_close(bids_[h.bid]);
+  for (auto& [host, host_state] : hosts_) {
+    double duration_s = bids_[host_state.bid].duration_s;
+    if (host_state.until < 0 && now - host_state.since >= duration_s) {
+      host_state.until = host_state.since + duration_s;
+      host_state.alive = false;
+      maybe_close(bids_[host_state.bid]);
     }
   }
 }
 
-double Market::charge(const Bid& b, double now) const {
+double SimulatedMarket::charge(const Bid& bid, double now) const {
   double sum = 0;
-  for (const std::string& name : b.hosts) {
+  for (const std::string& name : bid.hosts) {
     const Host& h = hosts_.at(name);
-    sum += b.rate * ((h.until < 0 ? now : h.until) - h.since) / 3600 * b.factor;
+    sum += bid.rate * ((h.until < 0 ? now : h.until) - h.since) / 3600 * bid.overcharge_factor;
   }
   return sum;
 }
 
-double Market::charged(double now) const {
+double SimulatedMarket::charged(double now) const {
   double sum = 0;
   for (const auto& [name, b] : bids_) sum += charge(b, now);
   return sum;
 }
 
-Json Market::state_of(const std::string& name, double now) {
-  const Bid& b = bids_.at(name);
+Json SimulatedMarket::state_of(const std::string& name, double now) {
+  const Bid& bid = bids_.at(name);
   Json hosts = Json::array();
-  for (const std::string& host : b.hosts) {
+  for (const std::string& host : bid.hosts) {
     const Host& h = hosts_.at(host);
     if (h.until >= 0) continue;
     hosts.push_back(
         {{"host", host}, {"address", "127.0.0.1:1"}, {"rig", h.type}, {"yard", h.zone}, {"loaners", false}});
   }
-  Json j = {{"bid", name},
-            {"phase", b.phase},
-            {"expects", b.expects},
-            {"hosts", hosts},
-            {"charged", charge(b, now)}};
-  if (b.rate > 0) j["rate"] = b.rate;
-  if (b.phase == "raised") j["round"] = b.round, j["raise"] = b.raise;
-  return j;
+  Json json = {{"bid", name},
+               {"phase", bid.phase},
+               {"expects", bid.expected_count},
+               {"hosts", hosts},
+               {"charged", charge(bid, now)}};
+  if (bid.rate > 0) json["rate"] = bid.rate;
+  if (bid.phase == "raised") json["round"] = bid.round, json["raise"] = bid.raise;
+  return json;
 }
 
 }  // namespace oxbowmill::lab
--- a/src/lab/market_server.cpp
+++ b/src/lab/market_server.cpp
@@ -2,17 +2,18 @@
 
 namespace oxbowmill::lab {
 
-MarketServer::MarketServer(event_base* base, const net::Address& bind, Market market,
+MarketServer::MarketServer(event_base* base, const net::Address& bind, SimulatedMarket market,
                            std::function<double()> now)
     : market_(std::move(market)),
       now_(std::move(now)),
-      server_(base, bind, wire::most_body, [this](net::Request&& r) {
-        if (on_request) on_request(r);
-        MarketReply a = market_.handle(r.method == EVHTTP_REQ_POST ? "POST" : "GET", r.path, r.body, now_());
-        if (a.status == 0) {
-          stalled_.push_back(r.responder);
+      server_(base, bind, wire::max_body_size, [this](net::Request&& request) {
+        if (on_request) on_request(request);
+        MarketReply reply = market_.handle(request.method == EVHTTP_REQ_POST ? "POST" : "GET", request.path,
+                                           request.body, now_());
+        if (reply.status == 0) {
+          stalled_.push_back(request.responder);
         } else {
-          r.responder->reply(a.status, a.body, a.retry_after_s);
+          request.responder->reply(reply.status, reply.body, reply.retry_after_s);
         }
       }) {}
 
--- a/src/lab/scale_event.cpp
+++ b/src/lab/scale_event.cpp
@@ -9,8 +9,8 @@
 using Json = nlohmann::json;
 
 std::string to_line(const ScaleEvent& event) {
-  return Json{static_cast<int>(event.kind), event.at, event.job, event.machine, event.task, event.value,
-              static_cast<int>(event.told)}
+  return Json{static_cast<int>(event.kind),  event.at, event.job, event.machine, event.task, event.value,
+              static_cast<int>(event.answer)}
              .dump() +
          "\n";
 }
@@ -27,7 +27,7 @@
     event.machine = list[3].get<std::string>();
     event.task = list[4].get<std::uint32_t>();
     event.value = list[5].get<double>();
-    event.told = static_cast<Told>(list[6].get<int>());
+    event.answer = static_cast<JobAnswer>(list[6].get<int>());
     return event;
   } catch (const Json::exception&) {
     return std::nullopt;
--- a/src/lab/scale_run.cpp
+++ b/src/lab/scale_run.cpp
@@ -28,7 +28,8 @@
 constexpr std::uint16_t lowest_port = 10000, ports = 20000;  // below those that the system hands out
 constexpr double events_settle_s = 1.5;                      // so late may a process's events arrive
 constexpr double sample_every_s = 1, progress_every_s = 10;
-constexpr double busiest_share = 0.85, latest_s = 0.5;  // beyond these a stand-in holds the service back
+constexpr double max_processor_fraction = 0.85,
+                 max_lateness_s = 0.5;  // beyond these a stand-in holds the service back
 
 volatile std::sig_atomic_t interrupted = 0;
 
@@ -77,46 +78,47 @@
   std::size_t most_sockets = 0;
 };
 
-class Run {
+class ScaleRun {
  public:
-  Run(const ScaleSettings& settings, const ScaleOptions& options) : settings_(settings), options_(options) {
+  ScaleRun(const ScaleSettings& settings, const ScaleOptions& options)
+      : settings_(settings), options_(options) {
     addresses_.port = static_cast<std::uint16_t>(lowest_port + ::getpid() % ports);
     std::filesystem::create_directories(options.directory);
   }
-  Run(const Run&) = delete;
-  Run& operator=(const Run&) = delete;
-  ~Run() {
+  ScaleRun(const ScaleRun&) = delete;
+  ScaleRun& operator=(const ScaleRun&) = delete;
+  ~ScaleRun() {
     for (Process& process : processes_) end(process);
   }
 
   ScaleReport play() {
-    start_stand_in("state",
-                   [this](event_base* base, ScaleEventWriter& events) { serve_state(base, events); });
+    start_simulator("state",
+                    [this](event_base* base, ScaleEventWriter& events) { serve_state(base, events); });
     for (std::size_t i = 0; i < settings_.controllers; ++i) {
       write_settings(i);
       processes_.push_back({scale_controller_name(i), -1, -1, "", 0, 0, 0, 0});
       start_controller(processes_.back(), i);
     }
-    start_stand_in("workers", [this](event_base* base, ScaleEventWriter& events) {
-      HollowFleet fleet(base, settings_, addresses_, events, steady_now);
+    start_simulator("workers", [this](event_base* base, ScaleEventWriter& events) {
+      AgentSimulator fleet(base, settings_, addresses_, events, steady_now);
       event_base_dispatch(base);
     });
-    start_stand_in("users", [this](event_base* base, ScaleEventWriter& events) {
+    start_simulator("users", [this](event_base* base, ScaleEventWriter& events) {
       ScaleUsers users(base, settings_, addresses_, events, steady_now);
       event_base_dispatch(base);
     });
-    began_ = steady_now();
-    judge_ = std::make_unique<ScaleJudge>(settings_, began_);
+    began_at_ = steady_now();
+    evaluator_ = std::make_unique<ScaleEvaluator>(settings_, began_at_);
     loop();
     if (interrupted != 0) throw std::runtime_error("interrupted; all processes of the run were ended");
-    judge_->close();
+    evaluator_->close();
     return report();
   }
 
  private:
-  using Serve = std::function<void(event_base*, ScaleEventWriter&)>;
+  using ServeFunction = std::function<void(event_base*, ScaleEventWriter&)>;
 
-  void start_stand_in(const std::string& role, const Serve& serve) {
+  void start_simulator(const std::string& role, const ServeFunction& serve) {
     int ends[2];
     if (::pipe(ends) != 0) throw std::runtime_error("no pipe for " + role);
     pid_t pid = ::fork();
@@ -125,16 +127,16 @@
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
       ::close(ends[0]);
       ::signal(SIGPIPE, SIG_IGN);
-      run_stand_in(role, ends[1], serve);
+      run_simulator(role, ends[1], serve);
     }
     ::close(ends[1]);
     ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
     processes_.push_back({role, pid, ends[0], "", 0, 0, 0, 0});
   }
 
-  [[noreturn]] static void run_stand_in(const std::string& role, int events, const Serve& serve) {
+  [[noreturn]] static void run_simulator(const std::string& role, int events, const ServeFunction& serve) {
     try {
-      auto base = net::make_base();
+      auto base = net::make_event_base();
       ScaleEventWriter writer(events, steady_now);
       serve(base.get(), writer);
     } catch (const std::exception& e) {
@@ -153,9 +155,9 @@
       bool outage =
           std::any_of(settings_.faults.begin(), settings_.faults.end(), [&](const ScaleFault& fault) {
             return fault.kind == ScaleFaultKind::state_outage && now >= began + fault.at_s &&
-                   now < began + fault.at_s + fault.for_s;
+                   now < began + fault.at_s + fault.duration_s;
           });
-      if (outage != server.state().outage()) server.set_outage(outage);
+      if (outage != server.store().outage()) server.set_outage(outage);
       const StateServer::Counts& counts = server.counts();
       events.counter("state_requests", static_cast<double>(counts.requests));
       events.counter("state_refused", static_cast<double>(counts.refused));
@@ -165,13 +167,13 @@
       events.counter("state_bytes_in", static_cast<double>(counts.bytes_in));
       events.counter("state_bytes_out", static_cast<double>(counts.bytes_out));
       events.counter("state_watch_bytes", static_cast<double>(counts.watch_bytes));
-      events.counter("state_keys", static_cast<double>(server.state().keys().size()));
+      events.counter("state_keys", static_cast<double>(server.store().keys().size()));
       events.counter("state_late_s", late);
       events.flush();
       expected = steady_now() + tick_s;
-      timer.after(tick_s);
+      timer.schedule(tick_s);
     });
-    timer.after(tick_s);
+    timer.schedule(tick_s);
     event_base_dispatch(base);
   }
 
@@ -200,9 +202,10 @@
           << "\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = " << std::fixed << std::setprecision(1)
           << settings_.team_gpus << "\n";
     }
-    out << "[settings.workers]\nreport_s = " << settings_.report_s << "\nlease_s = " << settings_.lease_s
-        << "\ngang_wait_s = " << settings_.gang_wait_s << "\ngang_peer_s = " << settings_.gang_peer_s
-        << "\ncancel_s = " << settings_.cancel_s << "\n[settings.state]\nrps = " << settings_.state_rps
+    out << "[settings.workers]\nreport_s = " << settings_.report_interval_s
+        << "\nlease_s = " << settings_.lease_s << "\ngang_wait_s = " << settings_.gang_wait_s
+        << "\ngang_peer_s = " << settings_.gang_peer_s << "\ncancel_s = " << settings_.cancel_timeout_s
+        << "\n[settings.state]\nrps = " << settings_.state_rps
         << "\nwrite_rps = " << settings_.state_write_rps << "\nvalue_kb = " << settings_.value_kb
         << "\ntxn_ops = " << settings_.txn_ops << "\n[settings.cloud]\nrps = " << settings_.cloud_rps
         << "\nlist_lag_s = 1.0\n";
@@ -210,18 +213,19 @@
   }
 
   void start_controller(Process& process, std::size_t i) {
-    std::vector<std::string> words = {options_.program};
-    for (const std::string& file : options_.operators) words.insert(words.end(), {"--operator", file});
-    words.insert(words.end(), {"--config", settings_file(i)});
-    std::string log = options_.directory + "/" + process.role + ".log";
+    std::vector<std::string> command_line = {options_.program};
+    for (const std::string& file : options_.operators)
+      command_line.insert(command_line.end(), {"--operator", file});
+    command_line.insert(command_line.end(), {"--config", settings_file(i)});
+    std::string log_path = options_.directory + "/" + process.role + ".log";
     pid_t pid = ::fork();
     if (pid < 0) throw std::runtime_error("cannot start " + process.role);
     if (pid == 0) {
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-      int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+      int out = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
       if (out >= 0) ::dup2(out, STDERR_FILENO);
       std::vector<char*> arguments;
-      for (std::string& word : words) arguments.push_back(word.data());
+      for (std::string& word : command_line) arguments.push_back(word.data());
       arguments.push_back(nullptr);
       ::execv(options_.program.c_str(), arguments.data());
       ::_exit(127);
@@ -241,14 +245,14 @@
 
   Process& controller(std::size_t i) {
     return *std::find_if(processes_.begin(), processes_.end(),
-                         [&](const Process& p) { return p.role == scale_controller_name(i); });
+                         [&](const Process& process) { return process.role == scale_controller_name(i); });
   }
 
   void loop() {
     constexpr int wait_ms = 50;
     plan_faults();
-    double next_sample = began_, next_progress = began_ + progress_every_s;
-    while (interrupted == 0 && steady_now() < began_ + settings_.duration_s) {
+    double next_sample = began_at_, next_progress = began_at_ + progress_every_s;
+    while (interrupted == 0 && steady_now() < began_at_ + settings_.duration_s) {
       std::vector<pollfd> waiting;
       for (const Process& p : processes_) {
         if (p.events >= 0) waiting.push_back({p.events, POLLIN, 0});
@@ -256,32 +260,32 @@
       ::poll(waiting.data(), waiting.size(), wait_ms);
       for (Process& p : processes_) read_events(p);
       double now = steady_now();
-      judge_up_to(now - events_settle_s);
+      evaluate_up_to(now - events_settle_s);
       play_faults(now);
       if (now >= next_sample) {
         next_sample = now + sample_every_s;
         sample(now);
-        judge_->check(now - events_settle_s);
+        evaluator_->check(now - events_settle_s);
       }
       if (options_.progress && now >= next_progress) {
         next_progress = now + progress_every_s;
-        std::cerr << "oxbow-lab: " << settings_.name << ": " << std::lround(now - began_) << " of "
-                  << std::lround(settings_.duration_s) << " s, " << judge_->starts() << " starts, "
-                  << judge_->broken().size() << " rules broken" << std::endl;
+        std::cerr << "oxbow-lab: " << settings_.name << ": " << std::lround(now - began_at_) << " of "
+                  << std::lround(settings_.duration_s) << " s, " << evaluator_->starts() << " starts, "
+                  << evaluator_->violations().size() << " rules broken" << std::endl;
       }
     }
-    judge_up_to(steady_now());
+    evaluate_up_to(steady_now());
   }
 
   void read_events(Process& process) {
     char buffer[1 << 16];
     while (process.events >= 0) {
-      ssize_t n = ::read(process.events, buffer, sizeof buffer);
-      if (n <= 0) {
-        if (n == 0) throw std::runtime_error(process.role + " ended by itself");
+      ssize_t bytes_read = ::read(process.events, buffer, sizeof buffer);
+      if (bytes_read <= 0) {
+        if (bytes_read == 0) throw std::runtime_error(process.role + " ended by itself");
         break;
       }
-      process.unread.append(buffer, static_cast<std::size_t>(n));
+      process.unread.append(buffer, static_cast<std::size_t>(bytes_read));
     }
     std::size_t from = 0;
     for (std::size_t to = 0; (to = process.unread.find('\n', from)) != std::string::npos; from = to + 1) {
@@ -291,20 +295,20 @@
     process.unread.erase(0, from);
   }
 
-  void judge_up_to(double until) {
+  void evaluate_up_to(double until) {
     std::stable_sort(pending_.begin(), pending_.end(),
                      [](const ScaleEvent& a, const ScaleEvent& b) { return a.at < b.at; });
     auto later =
         std::find_if(pending_.begin(), pending_.end(), [&](const ScaleEvent& e) { return e.at > until; });
-    for (auto event = pending_.begin(); event != later; ++event) judge_->take(*event);
+    for (auto event = pending_.begin(); event != later; ++event) evaluator_->add(*event);
     pending_.erase(pending_.begin(), later);
   }
 
   /// What is to be done to a controller, and when.
-  struct Act {
+  struct ScheduledAction {
     double at = 0;
     std::size_t controller = 0;
-    enum class What : std::uint8_t { kill, start, stop, go_on } what = What::kill;
+    enum class ActionKind : std::uint8_t { kill, start, stop, resume } kind = ActionKind::kill;
   };
 
   void plan_faults() {
@@ -317,43 +321,45 @@
           all ? settings_.controllers : std::min<std::size_t>(fault.count, settings_.controllers);
       for (std::size_t i = 0; i < count; ++i) {
         std::size_t which = next++ % settings_.controllers;
-        acts_.push_back({began_ + fault.at_s, which, killed ? Act::What::kill : Act::What::stop});
-        acts_.push_back(
-            {began_ + fault.at_s + fault.for_s, which, killed ? Act::What::start : Act::What::go_on});
+        actions_.push_back({began_at_ + fault.at_s, which,
+                            killed ? ScheduledAction::ActionKind::kill : ScheduledAction::ActionKind::stop});
+        actions_.push_back(
+            {began_at_ + fault.at_s + fault.duration_s, which,
+             killed ? ScheduledAction::ActionKind::start : ScheduledAction::ActionKind::resume});
       }
     }
   }
 
   void play_faults(double now) {
-    for (auto act = acts_.begin(); act != acts_.end();) {
-      if (now < act->at) {
-        ++act;
+    for (auto action = actions_.begin(); action != actions_.end();) {
+      if (now < action->at) {
+        ++action;
         continue;
       }
-      Process& process = controller(act->controller);
-      switch (act->what) {
-        case Act::What::kill:
+      Process& process = controller(action->controller);
+      switch (action->kind) {
+        case ScheduledAction::ActionKind::kill:
           add_usage(process);
           end(process);
           break;
-        case Act::What::start:
-          if (process.pid < 0) start_controller(process, act->controller);
+        case ScheduledAction::ActionKind::start:
+          if (process.pid < 0) start_controller(process, action->controller);
           break;
-        case Act::What::stop:
+        case ScheduledAction::ActionKind::stop:
           if (process.pid > 0) ::kill(process.pid, SIGSTOP);
           break;
-        case Act::What::go_on:
+        case ScheduledAction::ActionKind::resume:
           if (process.pid > 0) ::kill(process.pid, SIGCONT);
           break;
       }
-      act = acts_.erase(act);
+      action = actions_.erase(action);
     }
   }
 
   void add_usage(Process& process) const {
     if (process.pid <= 0) return;
     Usage usage = usage_of(process.pid);
-    if (warm_) {
+    if (warmed_up_) {
       process.used_s += std::max(0.0, usage.processor_s - process.last_used_s);
       process.most_resident_mb = std::max(process.most_resident_mb, usage.resident_mb);
       process.most_sockets = std::max(process.most_sockets, usage.sockets);
@@ -362,91 +368,93 @@
   }
 
   void sample(double now) {
-    if (!warm_ && now >= began_ + settings_.warm_s) {
+    if (!warmed_up_ && now >= began_at_ + settings_.warm_up_s) {
       for (Process& p : processes_) add_usage(p);
-      warm_ = true;
-      warm_at_ = now;
+      warmed_up_ = true;
+      warmed_up_at_ = now;
       return;
     }
-    for (Process& p : processes_) {
+    for (Process& process : processes_) {
       // One that ended by itself is a finding, and is not started again.
-      bool mine = p.pid > 0 && p.events < 0;
-      if (mine && ::waitpid(p.pid, nullptr, WNOHANG) == p.pid) {
-        ended_.push_back(p.role);
-        p.pid = -1;
+      bool mine = process.pid > 0 && process.events < 0;
+      if (mine && ::waitpid(process.pid, nullptr, WNOHANG) == process.pid) {
+        ended_.push_back(process.role);
+        process.pid = -1;
       }
-      add_usage(p);
+      add_usage(process);
     }
-    measured_s_ = now - warm_at_;
+    measured_s_ = now - warmed_up_at_;
   }
 
   ScaleReport report() const {
     ScaleReport out;
-    out.broken = judge_->broken();
-    for (const std::string& role : ended_) out.broken.push_back("ended by itself: " + role);
+    out.violations = evaluator_->violations();
+    for (const std::string& role : ended_) out.violations.push_back("ended by itself: " + role);
     double seconds = std::max(1.0, measured_s_);
     Json processes = Json::array();
     double controllers = 0;
-    for (const Process& p : processes_) {
-      double share = p.used_s / seconds;
-      processes.push_back({{"role", p.role},
+    for (const Process& process : processes_) {
+      double share = process.used_s / seconds;
+      processes.push_back({{"role", process.role},
                            {"processor", share},
-                           {"resident_mb", p.most_resident_mb},
-                           {"sockets", p.most_sockets}});
-      bool stand_in = p.role.rfind("node-", 0) != 0;
-      if (!stand_in) controllers += p.used_s;
-      if (stand_in && share > busiest_share)
-        out.no_figure.push_back(p.role + " used " + std::to_string(share) + " of a core");
+                           {"resident_mb", process.most_resident_mb},
+                           {"sockets", process.most_sockets}});
+      bool stand_in = process.role.rfind("node-", 0) != 0;
+      if (!stand_in) controllers += process.used_s;
+      if (stand_in && share > max_processor_fraction)
+        out.missing_figures.push_back(process.role + " used " + std::to_string(share) + " of a core");
     }
     for (const char* counter : {"workers_late_s", "users_late_s", "state_late_s"}) {
-      if (judge_->highest(counter) > latest_s)
-        out.no_figure.push_back(std::string(counter) + " " + std::to_string(judge_->highest(counter)));
+      if (evaluator_->maximum_of(counter) > max_lateness_s)
+        out.missing_figures.push_back(std::string(counter) + " " +
+                                      std::to_string(evaluator_->maximum_of(counter)));
     }
-    double starts = std::max<double>(1, static_cast<double>(judge_->starts()));
+    double starts = std::max<double>(1, static_cast<double>(evaluator_->starts()));
     Json classes = Json::object();
     for (std::size_t c = 0; c < settings_.classes.size(); ++c) {
-      const ScaleJudge::ClassWaits& waits = judge_->waits()[c];
+      const ScaleEvaluator::ClassWaits& waits = evaluator_->waits()[c];
       classes[settings_.classes[c].name] = {{"jobs", waits.jobs},
                                             {"begun", waits.begun},
-                                            {"first_s", spread(waits.first_s)},
-                                            {"all_s", spread(waits.all_s)}};
+                                            {"first_s", distribution_json(waits.first_s)},
+                                            {"all_s", distribution_json(waits.all_s)}};
     }
-    out.figures = {{"run", settings_.name},
-                   {"seed", settings_.seed},
-                   {"workers", settings_.workers},
-                   {"controllers", settings_.controllers},
-                   {"measured_s", seconds},
-                   {"processes", processes},
-                   {"starts", judge_->starts()},
-                   {"starts_a_s", static_cast<double>(judge_->starts()) / seconds},
-                   {"most_running", judge_->most_running()},
-                   {"lost", judge_->lost()},
-                   {"controllers_ms_a_start", 1000 * controllers / starts},
-                   {"controllers_processor", controllers / seconds},
-                   {"changes_a_start", judge_->risen("state_changes") / starts},
-                   {"state_requests_a_s", judge_->risen("state_requests") / seconds},
-                   {"state_refused", judge_->risen("state_refused")},
-                   {"state_failed", judge_->risen("state_failed")},
-                   {"state_bytes_in_a_start", judge_->risen("state_bytes_in") / starts},
-                   {"watch_bytes_a_s", judge_->risen("state_watch_bytes") / seconds},
-                   {"state_keys", judge_->highest("state_keys")},
-                   {"reports_a_s", judge_->risen("reports") / seconds},
-                   {"report_bytes_a_worker_s", judge_->risen("report_bytes") / seconds / settings_.workers},
-                   {"answer_bytes_a_worker_s", judge_->risen("answer_bytes") / seconds / settings_.workers},
-                   {"command_bytes_a_worker_s", judge_->risen("command_bytes") / seconds / settings_.workers},
-                   {"commands_a_s", judge_->risen("commands") / seconds},
-                   {"reports_unanswered", judge_->risen("reports_unanswered")},
-                   {"users_asked", judge_->risen("users_asked")},
-                   {"users_refused", judge_->risen("users_refused")},
-                   {"submit_ms", spread(judge_->submit_ms())},
-                   {"classes", classes},
-                   {"broken", out.broken},
-                   {"no_figure", out.no_figure}};
+    out.figures = {
+        {"run", settings_.name},
+        {"seed", settings_.seed},
+        {"workers", settings_.workers},
+        {"controllers", settings_.controllers},
+        {"measured_s", seconds},
+        {"processes", processes},
+        {"starts", evaluator_->starts()},
+        {"starts_a_s", static_cast<double>(evaluator_->starts()) / seconds},
+        {"most_running", evaluator_->max_running()},
+        {"lost", evaluator_->lost()},
+        {"controllers_ms_a_start", 1000 * controllers / starts},
+        {"controllers_processor", controllers / seconds},
+        {"changes_a_start", evaluator_->increase_of("state_changes") / starts},
+        {"state_requests_a_s", evaluator_->increase_of("state_requests") / seconds},
+        {"state_refused", evaluator_->increase_of("state_refused")},
+        {"state_failed", evaluator_->increase_of("state_failed")},
+        {"state_bytes_in_a_start", evaluator_->increase_of("state_bytes_in") / starts},
+        {"watch_bytes_a_s", evaluator_->increase_of("state_watch_bytes") / seconds},
+        {"state_keys", evaluator_->maximum_of("state_keys")},
+        {"reports_a_s", evaluator_->increase_of("reports") / seconds},
+        {"report_bytes_a_worker_s", evaluator_->increase_of("report_bytes") / seconds / settings_.workers},
+        {"answer_bytes_a_worker_s", evaluator_->increase_of("answer_bytes") / seconds / settings_.workers},
+        {"command_bytes_a_worker_s", evaluator_->increase_of("command_bytes") / seconds / settings_.workers},
+        {"commands_a_s", evaluator_->increase_of("commands") / seconds},
+        {"reports_unanswered", evaluator_->increase_of("reports_unanswered")},
+        {"users_asked", evaluator_->increase_of("users_asked")},
+        {"users_refused", evaluator_->increase_of("users_refused")},
+        {"submit_ms", distribution_json(evaluator_->submit_ms())},
+        {"classes", classes},
+        {"broken", out.violations},
+        {"no_figure", out.missing_figures}};
     return out;
   }
 
-  static Json spread(const Spread& s) {
-    return {{"n", s.count()}, {"p50", s.at(0.5)}, {"p99", s.at(0.99)}, {"worst", s.at(1)}};
+  static Json distribution_json(const Distribution& s) {
+    return {{"n", s.count()}, {"p50", s.quantile(0.5)}, {"p99", s.quantile(0.99)}, {"worst", s.quantile(1)}};
   }
 
   const ScaleSettings& settings_;
@@ -454,11 +462,11 @@
   ScaleAddresses addresses_;
   std::vector<Process> processes_;
   std::vector<ScaleEvent> pending_;
-  std::vector<Act> acts_;
+  std::vector<ScheduledAction> actions_;
   std::vector<std::string> ended_;
-  std::unique_ptr<ScaleJudge> judge_;
-  double began_ = 0, warm_at_ = 0, measured_s_ = 0;
-  bool warm_ = false;
+  std::unique_ptr<ScaleEvaluator> evaluator_;
+  double began_at_ = 0, warmed_up_at_ = 0, measured_s_ = 0;
+  bool warmed_up_ = false;
 };
 
 /// Interrupts end the run in order, with its processes.
@@ -481,32 +489,32 @@
   if (::access(options.program.c_str(), X_OK) != 0)
     throw std::runtime_error(options.program + ": is no program that can be run");
   InterruptGuard guard;
-  return Run(settings, options).play();
+  return ScaleRun(settings, options).play();
 }
 
 std::string table(const ScaleReport& report) {
   std::ostringstream out;
-  const Json& f = report.figures;
+  const Json& figures = report.figures;
   out << std::fixed << std::setprecision(2);
   auto row = [&](const std::string& name, const Json& value) {
     out << "  " << std::left << std::setw(28) << name << value << '\n';
   };
-  out << f.at("run").get<std::string>() << ", seed " << f.at("seed") << ", " << f.at("workers")
-      << " workers, " << f.at("controllers") << " controllers, " << f.at("measured_s").get<double>()
-      << " s measured\n";
-  if (!report.no_figure.empty()) {
+  out << figures.at("run").get<std::string>() << ", seed " << figures.at("seed") << ", "
+      << figures.at("workers") << " workers, " << figures.at("controllers") << " controllers, "
+      << figures.at("measured_s").get<double>() << " s measured\n";
+  if (!report.missing_figures.empty()) {
     out << "  the machine was the limit, so these are no figures of the service:\n";
-    for (const std::string& why : report.no_figure) out << "    " << why << '\n';
+    for (const std::string& why : report.missing_figures) out << "    " << why << '\n';
   }
   for (const char* key :
        {"starts", "starts_a_s", "most_running", "lost", "controllers_ms_a_start", "controllers_processor",
         "changes_a_start", "state_requests_a_s", "state_bytes_in_a_start", "watch_bytes_a_s", "reports_a_s",
         "report_bytes_a_worker_s", "answer_bytes_a_worker_s", "submit_ms"})
-    row(key, f.at(key));
-  for (const auto& [name, waits] : f.at("classes").items()) row(name, waits);
-  for (const Json& p : f.at("processes")) row(p.at("role").get<std::string>(), p);
-  out << "  " << report.broken.size() << " rules broken\n";
-  for (const std::string& rule : report.broken) out << "    " << rule << '\n';
+    row(key, figures.at(key));
+  for (const auto& [name, waits] : figures.at("classes").items()) row(name, waits);
+  for (const Json& p : figures.at("processes")) row(p.at("role").get<std::string>(), p);
+  out << "  " << report.violations.size() << " rules broken\n";
+  for (const std::string& rule : report.violations) out << "    " << rule << '\n';
   return out.str();
 }
 
--- a/src/lab/scale_settings.cpp
+++ b/src/lab/scale_settings.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-constexpr double most_workers = 5000, most_controllers = 9, longest_run_s = 300, most_tasks = 100000;
+constexpr double max_workers = 5000, max_controllers = 9, longest_run_s = 300, max_tasks = 100000;
 constexpr double settles_s = 5;  // after a trouble, until nothing of it is under way
-constexpr std::size_t most_kinds = 16, most_faults = 32;
+constexpr std::size_t max_kinds = 16, max_faults = 32;
 
 constexpr ScaleFaultKind fault_kinds[] = {
     ScaleFaultKind::controller_killed, ScaleFaultKind::controllers_killed, ScaleFaultKind::controller_stopped,
     ScaleFaultKind::state_outage,      ScaleFaultKind::workers_gone,       ScaleFaultKind::workers_replaced,
     ScaleFaultKind::workers_cut};
 
-void count(yaml::Map& map, const std::string& key, std::uint32_t& out, double least, double most) {
+void read_count(yaml::Map& map, const std::string& key, std::uint32_t& out, double least, double most) {
   double value = out;
   map.number(key, value, least, most);
   if (value != static_cast<double>(static_cast<std::uint32_t>(value))) map.fail(key, "not a whole number");
   out = static_cast<std::uint32_t>(value);
 }
 
-void amounts(yaml::Map& map, Amounts& out) {
+void read_resources(yaml::Map& map, Resources& out) {
   map.number("cpus", out.cpus, 0, 1024);
   map.number("gpus", out.gpus, 0, 1024);
   map.number("memory_gb", out.memory_gb, 0, 65536);
@@ -45,21 +45,23 @@
 ScaleClass read_class(yaml::Map map) {
   ScaleClass kind;
   kind.name = map.text("name");
-  kind.shape = one_of<Shape>(map, "shape",
-                             {{"array", Shape::array}, {"gang", Shape::gang}, {"service", Shape::service}});
-  kind.rank = one_of<Rank>(
-      map, "rank",
-      {{"low", Rank::low}, {"normal", Rank::normal}, {"high", Rank::high}, {"production", Rank::production}});
+  kind.shape = one_of<JobShape>(
+      map, "shape", {{"array", JobShape::array}, {"gang", JobShape::gang}, {"service", JobShape::service}});
+  kind.priority = one_of<Priority>(map, "rank",
+                                   {{"low", Priority::low},
+                                    {"normal", Priority::normal},
+                                    {"high", Priority::high},
+                                    {"production", Priority::production}});
   map.number("rate", kind.rate, 0, 50);
-  count(map, "initial", kind.initial, 0, 5000);
-  count(map, "tasks", kind.tasks, 1, most_tasks);
+  read_count(map, "initial", kind.initial, 0, 5000);
+  read_count(map, "tasks", kind.tasks, 1, max_tasks);
   map.number("run_s", kind.run_s, 1, longest_run_s);
   map.number("spread", kind.spread, 0, 0.9);
-  amounts(map, kind.need);
+  read_resources(map, kind.resources);
   map.number("image_gb", kind.image_gb, 0, 100);
-  count(map, "images", kind.images, 1, 1000);
-  map.number("withdrawn", kind.withdrawn, 0, 1);
-  map.done();
+  read_count(map, "images", kind.images, 1, 1000);
+  map.number("withdrawn", kind.withdrawn_fraction, 0, 1);
+  map.reject_unknown_keys();
   return kind;
 }
 
@@ -69,9 +71,9 @@
   for (ScaleFaultKind kind : fault_kinds) known.emplace_back(name_of(kind), kind);
   fault.kind = one_of(map, "kind", known);
   map.number("at_s", fault.at_s, 0, settings.duration_s);
-  map.number("for_s", fault.for_s, 0, settings.duration_s);
-  count(map, "count", fault.count, 1, settings.workers);
-  map.done();
+  map.number("for_s", fault.duration_s, 0, settings.duration_s);
+  read_count(map, "count", fault.count, 1, settings.workers);
+  map.reject_unknown_keys();
   return fault;
 }
 
@@ -93,54 +95,55 @@
   return names[static_cast<int>(kind)];
 }
 
-double ScaleSettings::quiet_from_s() const {
-  double end = warm_s;
-  for (const ScaleFault& fault : faults) end = std::max(end, fault.at_s + fault.for_s);
+double ScaleSettings::fault_free_from_s() const {
+  double end = warm_up_s;
+  for (const ScaleFault& fault : faults) end = std::max(end, fault.at_s + fault.duration_s);
   return end + lease_s + settles_s;
 }
 
 ScaleSettings load_scale_settings(const std::string& file) {
-  ScaleSettings s;
+  ScaleSettings settings;
   yaml::Map map(file, "", yaml::load(file));
-  s.name = map.text("name");
+  settings.name = map.text("name");
   double seed = 1;
   map.number("seed", seed, 1, 1e9);
-  s.seed = static_cast<std::uint64_t>(seed);
-  count(map, "workers", s.workers, 1, most_workers);
-  count(map, "controllers", s.controllers, 1, most_controllers);
-  count(map, "zones", s.zones, 1, 19);
-  count(map, "teams", s.teams, 1, 80);
-  map.number("duration_s", s.duration_s, 5, longest_run_s);
-  map.number("warm_s", s.warm_s, 0, s.duration_s);
-  map.number("report_s", s.report_s, 0.5, 60);
-  map.number("lease_s", s.lease_s, 2, 120);
-  map.number("cancel_s", s.cancel_s, 5, 300);
-  map.number("gang_wait_s", s.gang_wait_s, 1, 300);
-  map.number("gang_peer_s", s.gang_peer_s, 1, 60);
-  map.number("state_rps", s.state_rps, 10, 100000);
-  map.number("state_write_rps", s.state_write_rps, 10, 100000);
-  map.number("value_kb", s.value_kb, 4, 64);
-  map.number("cloud_rps", s.cloud_rps, 1, 1000);
-  count(map, "txn_ops", s.txn_ops, 12, 256);
-  map.number("fetch_gb_per_s", s.fetch_gb_per_s, 0.01, 100);
-  map.number("boot_s", s.boot_s, 0, 120);
-  map.number("team_gpus", s.team_gpus, 0, 1e6);
+  settings.seed = static_cast<std::uint64_t>(seed);
+  read_count(map, "workers", settings.workers, 1, max_workers);
+  read_count(map, "controllers", settings.controllers, 1, max_controllers);
+  read_count(map, "zones", settings.zones, 1, 19);
+  read_count(map, "teams", settings.teams, 1, 80);
+  map.number("duration_s", settings.duration_s, 5, longest_run_s);
+  map.number("warm_s", settings.warm_up_s, 0, settings.duration_s);
+  map.number("report_s", settings.report_interval_s, 0.5, 60);
+  map.number("lease_s", settings.lease_s, 2, 120);
+  map.number("cancel_s", settings.cancel_timeout_s, 5, 300);
+  map.number("gang_wait_s", settings.gang_wait_s, 1, 300);
+  map.number("gang_peer_s", settings.gang_peer_s, 1, 60);
+  map.number("state_rps", settings.state_rps, 10, 100000);
+  map.number("state_write_rps", settings.state_write_rps, 10, 100000);
+  map.number("value_kb", settings.value_kb, 4, 64);
+  map.number("cloud_rps", settings.cloud_rps, 1, 1000);
+  read_count(map, "txn_ops", settings.txn_ops, 12, 256);
+  map.number("fetch_gb_per_s", settings.fetch_gb_per_s, 0.01, 100);
+  map.number("boot_s", settings.boot_s, 0, 120);
+  map.number("team_gpus", settings.team_gpus, 0, 1e6);
   if (auto machine = map.take("machine")) {
-    yaml::Map sub = map.sub("machine", *machine);
-    amounts(sub, s.machine);
-    sub.done();
+    yaml::Map sub = map.child("machine", *machine);
+    read_resources(sub, settings.machine_resources);
+    sub.reject_unknown_keys();
   }
   auto classes = map.take("classes");
-  if (!classes || !classes->IsSequence() || classes->size() == 0 || classes->size() > most_kinds)
+  if (!classes || !classes->IsSequence() || classes->size() == 0 || classes->size() > max_kinds)
     map.fail("classes", "1 to 16 are needed");
-  for (const auto& node : *classes) s.classes.push_back(read_class(map.sub("classes", node)));
+  for (const auto& node : *classes) settings.classes.push_back(read_class(map.child("classes", node)));
   if (auto faults = map.take("faults")) {
-    if (!faults->IsSequence() || faults->size() > most_faults)
+    if (!faults->IsSequence() || faults->size() > max_faults)
       map.fail("faults", "a list of 32 at most is needed");
-    for (const auto& node : *faults) s.faults.push_back(read_fault(map.sub("faults", node), s));
+    for (const auto& node : *faults)
+      settings.faults.push_back(read_fault(map.child("faults", node), settings));
   }
-  map.done();
-  return s;
+  map.reject_unknown_keys();
+  return settings;
 }
 
 std::string scale_job_ref(std::size_t class_index, std::uint32_t number) {
@@ -153,22 +156,22 @@
   std::size_t index = std::stoul(ref.substr(4, dash - 4));
   if (index >= settings.classes.size()) return {};
   ScaleJob job;
-  job.kind = &settings.classes[index];
+  job.job_class = &settings.classes[index];
   job.number = static_cast<std::uint32_t>(std::stoul(ref.substr(dash + 1)));
   auto random = random_of(settings, ref, job_salt);
   job.team = std::uniform_int_distribution<std::uint32_t>(0, settings.teams - 1)(random);
-  job.image = std::uniform_int_distribution<std::uint32_t>(0, job.kind->images - 1)(random);
-  job.withdrawn = std::bernoulli_distribution(job.kind->withdrawn)(random);
+  job.image = std::uniform_int_distribution<std::uint32_t>(0, job.job_class->images - 1)(random);
+  job.withdrawn = std::bernoulli_distribution(job.job_class->withdrawn_fraction)(random);
   return job;
 }
 
-double scale_run_time_s(const ScaleSettings& settings, const std::string& ref, TaskNo task) {
+double scale_run_time_s(const ScaleSettings& settings, const std::string& ref, TaskNumber task) {
   ScaleJob job = scale_job(settings, ref);
-  if (job.kind == nullptr) return 1;
+  if (job.job_class == nullptr) return 1;
   // The members of a gang complete together.
-  auto random = random_of(settings, ref, job.kind->shape == Shape::gang ? 0 : task);
-  double spread = job.kind->spread;
-  return job.kind->run_s * std::uniform_real_distribution<double>(1 - spread, 1 + spread)(random);
+  auto random = random_of(settings, ref, job.job_class->shape == JobShape::gang ? 0 : task);
+  double spread = job.job_class->spread;
+  return job.job_class->run_s * std::uniform_real_distribution<double>(1 - spread, 1 + spread)(random);
 }
 
 }  // namespace oxbowmill::lab
--- a/src/lab/scale_users.cpp
+++ b/src/lab/scale_users.cpp
@@ -8,33 +8,33 @@
 
 namespace {
 
-constexpr double tick_s = 0.02, tells_every_s = 1;
+constexpr double tick_s = 0.02, counts_interval_s = 1;
 constexpr double poll_every_s = 5, submit_timeout_s = 5, poll_timeout_s = 2, retry_after_s = 1,
                  give_up_s = 60;
 constexpr double withdraws_within_s = 40;
 constexpr std::size_t connections = 24;  // to each controller
 
-const char* wire_name(Shape shape) {
-  return shape == Shape::array ? "batch" : shape == Shape::gang ? "gang" : "standing";
+const char* wire_name(JobShape shape) {
+  return shape == JobShape::array ? "batch" : shape == JobShape::gang ? "gang" : "standing";
 }
 
-const char* wire_name(Rank rank) {
+const char* wire_name(Priority rank) {
   static constexpr const char* names[] = {"best_effort", "standard", "high", "production"};
   return names[static_cast<int>(rank)];
 }
 
 Json submission(const ScaleSettings& settings, const std::string& ref) {
   ScaleJob job = scale_job(settings, ref);
-  const ScaleClass& kind = *job.kind;
+  const ScaleClass& kind = *job.job_class;
   return {{"ref", ref},
           {"jobclass", kind.name},
           {"owner", "team-" + std::to_string(job.team)},
           {"shape", wire_name(kind.shape)},
-          {"rank", wire_name(kind.rank)},
+          {"rank", wire_name(kind.priority)},
           {"shards", kind.tasks},
-          {"vcpus", kind.need.cpus},
-          {"accelerators", kind.need.gpus},
-          {"memory_gb", kind.need.memory_gb},
+          {"vcpus", kind.resources.cpus},
+          {"accelerators", kind.resources.gpus},
+          {"memory_gb", kind.resources.memory_gb},
           {"bundle", kind.name + std::to_string(job.image)},
           {"size_gb", kind.image_gb},
           {"rigs", nullptr},
@@ -42,19 +42,19 @@
           {"same_place", false},
           {"scatter", false},
           {"loaners", false},
-          {"runtime_s", kind.shape == Shape::service ? 0.0 : kind.run_s},
+          {"runtime_s", kind.shape == JobShape::service ? 0.0 : kind.run_s},
           {"save_every_s", 0.0},
           {"flush_s", 0.0},
           {"due_s", nullptr}};
 }
 
-Told told_of(const net::Response& response) {
-  if (response.status == 404) return Told::absent;
-  if (response.status == 400 || response.status == 422) return Told::rejected;
-  if (response.status != 200 && response.status != 201) return Told::nothing;
+JobAnswer answer_of(const net::Response& response) {
+  if (response.status == 404) return JobAnswer::not_found;
+  if (response.status == 400 || response.status == 422) return JobAnswer::rejected;
+  if (response.status != 200 && response.status != 201) return JobAnswer::no_answer;
   Json body = Json::from_cbor(response.body, true, false);
   std::string phase = body.is_object() ? body.value("phase", "") : "";
-  return phase == "done" ? Told::done : phase == "cancelled" ? Told::cancelled : Told::open;
+  return phase == "done" ? JobAnswer::done : phase == "cancelled" ? JobAnswer::cancelled : JobAnswer::open;
 }
 
 }  // namespace
@@ -75,14 +75,14 @@
     for (std::uint32_t i = 0; i < kind.initial; ++i) arrive(c, now_s);
     next_arrival_.push_back(now_s);
   }
-  timer_.after(tick_s);
+  timer_.schedule(tick_s);
 }
 
 void ScaleUsers::arrive(std::size_t class_index, double now) {
   auto user = std::make_unique<User>();
   user->ref = scale_job_ref(class_index, arrived_[class_index]++);
-  user->first_try = now;
-  user->next = now;
+  user->first_attempt_at = now;
+  user->next_request_at = now;
   if (scale_job(settings_, user->ref).withdrawn)
     user->withdraws_at = now + std::uniform_real_distribution<double>(0.5, withdraws_within_s)(random_);
   ScaleEvent event;
@@ -94,26 +94,28 @@
 
 void ScaleUsers::tick() {
   double now = now_();
-  late_s_ = std::max(late_s_, now - expected_tick_);
-  for (std::size_t c = 0; c < settings_.classes.size(); ++c) {
-    double rate = settings_.classes[c].rate;
-    while (rate > 0 && next_arrival_[c] <= now) {
-      next_arrival_[c] += std::exponential_distribution<double>(rate)(random_);
-      arrive(c, now);
+  max_lateness_s_ = std::max(max_lateness_s_, now - expected_tick_);
+  for (std::size_t class_index = 0; class_index < settings_.classes.size(); ++class_index) {
+    double rate = settings_.classes[class_index].rate;
+    while (rate > 0 && next_arrival_[class_index] <= now) {
+      next_arrival_[class_index] += std::exponential_distribution<double>(rate)(random_);
+      arrive(class_index, now);
     }
   }
-  auto over = [](const std::unique_ptr<User>& user) { return user->step == Step::over && !user->asking; };
+  auto over = [](const std::unique_ptr<User>& user) {
+    return user->step == Step::finished && !user->request_pending;
+  };
   users_.erase(std::remove_if(users_.begin(), users_.end(), over), users_.end());
   for (const auto& user : users_) {
-    if (!user->asking && now >= user->next) act(*user, now);
+    if (!user->request_pending && now >= user->next_request_at) act(*user, now);
   }
-  if (now >= next_told_) tell_counts();
+  if (now >= next_counts_at_) write_counts();
   expected_tick_ = now_() + tick_s;
-  timer_.after(tick_s);
+  timer_.schedule(tick_s);
 }
 
 void ScaleUsers::act(User& user, double now) {
-  bool calls_off = user.step == Step::following && user.withdraws_at >= 0 && now >= user.withdraws_at;
+  bool calls_off = user.step == Step::polling && user.withdraws_at >= 0 && now >= user.withdraws_at;
   if (calls_off) {
     user.step = Step::withdrawing;
     ScaleEvent event;
@@ -121,17 +123,17 @@
     event.job = user.ref;
     events_.write(event);
   }
-  ++asked_;
-  user.asking = true;
+  ++requests_;
+  user.request_pending = true;
   switch (user.step) {
     case Step::submitting:
       return submit(user);
-    case Step::following:
+    case Step::polling:
       return poll(user);
     case Step::withdrawing:
       return withdraw(user);
-    case Step::over:
-      user.asking = false;
+    case Step::finished:
+      user.request_pending = false;
   }
 }
 
@@ -142,75 +144,79 @@
 void ScaleUsers::submit(User& user) {
   std::string body = wire::encode(submission(settings_, user.ref));
   bytes_ += static_cast<double>(body.size());
-  any_controller().send(EVHTTP_REQ_POST, "/submissions", std::move(body), submit_timeout_s,
-                        [this, &user](const net::Response& r) { on_submitted(user, r); });
+  any_controller().send(
+      EVHTTP_REQ_POST, "/submissions", std::move(body), submit_timeout_s,
+      [this, &user](const net::Response& http_response) { on_submitted(user, http_response); });
 }
 
 void ScaleUsers::poll(User& user) {
-  any_controller().send(EVHTTP_REQ_GET, "/submissions/" + user.ref, "", poll_timeout_s,
-                        [this, &user](const net::Response& r) { on_polled(user, r); });
+  any_controller().send(
+      EVHTTP_REQ_GET, "/submissions/" + user.ref, "", poll_timeout_s,
+      [this, &user](const net::Response& http_response) { on_polled(user, http_response); });
 }
 
 void ScaleUsers::withdraw(User& user) {
-  any_controller().send(EVHTTP_REQ_POST, "/submissions/" + user.ref + "/withdraw", "", submit_timeout_s,
-                        [this, &user](const net::Response& r) { on_withdrawn(user, r); });
+  any_controller().send(
+      EVHTTP_REQ_POST, "/submissions/" + user.ref + "/withdraw", "", submit_timeout_s,
+      [this, &user](const net::Response& http_response) { on_withdrawn(user, http_response); });
 }
 
-void ScaleUsers::tell(const User& user, Told told) {
-  if (told == Told::nothing) ++refused_;
+void ScaleUsers::record_answer(const User& user, JobAnswer answer) {
+  if (answer == JobAnswer::no_answer) ++refused_;
   ScaleEvent event;
-  event.kind = ScaleEventKind::job_told;
+  event.kind = ScaleEventKind::job_answered;
   event.job = user.ref;
-  event.told = told;
+  event.answer = answer;
   events_.write(event);
 }
 
 void ScaleUsers::on_submitted(User& user, const net::Response& response) {
   double now = now_();
-  user.asking = false;
+  user.request_pending = false;
   bytes_ += static_cast<double>(response.body.size());
-  Told told = told_of(response);
-  tell(user, told);
-  if (told == Told::open || told == Told::done || told == Told::cancelled) {
+  JobAnswer answer = answer_of(response);
+  record_answer(user, answer);
+  if (answer == JobAnswer::open || answer == JobAnswer::done || answer == JobAnswer::cancelled) {
     ScaleEvent event;
     event.kind = ScaleEventKind::job_accepted;
     event.job = user.ref;
-    event.value = 1000 * (now - user.first_try);
+    event.value = 1000 * (now - user.first_attempt_at);
     events_.write(event);
-    user.step = Step::following;
-    user.next = now + poll_every_s;
-    if (user.withdraws_at >= 0) user.next = std::min(user.next, user.withdraws_at);
+    user.step = Step::polling;
+    user.next_request_at = now + poll_every_s;
+    if (user.withdraws_at >= 0) user.next_request_at = std::min(user.next_request_at, user.withdraws_at);
     return;
   }
-  if (told != Told::nothing || now - user.first_try > give_up_s) user.step = Step::over;
-  user.next = now + std::max(retry_after_s, response.retry_after_s);
+  if (answer != JobAnswer::no_answer || now - user.first_attempt_at > give_up_s) user.step = Step::finished;
+  user.next_request_at = now + std::max(retry_after_s, response.retry_after_s);
 }
 
 void ScaleUsers::on_polled(User& user, const net::Response& response) {
-  user.asking = false;
+  user.request_pending = false;
   bytes_ += static_cast<double>(response.body.size());
-  Told told = told_of(response);
-  tell(user, told);
-  if (told == Told::done || told == Told::cancelled) user.step = Step::over;
-  user.next = now_() + poll_every_s;
-  if (user.withdraws_at >= 0) user.next = std::min(user.next, std::max(now_(), user.withdraws_at));
+  JobAnswer answer = answer_of(response);
+  record_answer(user, answer);
+  if (answer == JobAnswer::done || answer == JobAnswer::cancelled) user.step = Step::finished;
+  user.next_request_at = now_() + poll_every_s;
+  if (user.withdraws_at >= 0)
+    user.next_request_at = std::min(user.next_request_at, std::max(now_(), user.withdraws_at));
 }
 
 void ScaleUsers::on_withdrawn(User& user, const net::Response& response) {
-  user.asking = false;
-  Told told = told_of(response);
-  tell(user, told);
-  if (told == Told::done || told == Told::cancelled) user.step = Step::over;
-  user.next = now_() + retry_after_s;
+  user.request_pending = false;
+  JobAnswer answer = answer_of(response);
+  record_answer(user, answer);
+  if (answer == JobAnswer::done || answer == JobAnswer::cancelled) user.step = Step::finished;
+  user.next_request_at = now_() + retry_after_s;
 }
 
-void ScaleUsers::tell_counts() {
-  next_told_ = now_() + tells_every_s;
-  events_.counter("users_asked", asked_);
+void ScaleUsers::write_counts() {
+  next_counts_at_ = now_() + counts_interval_s;
+  events_.counter("users_asked", requests_);
   events_.counter("users_refused", refused_);
   events_.counter("users_bytes", bytes_);
-  events_.counter("users_late_s", late_s_);
-  late_s_ = 0;
+  events_.counter("users_late_s", max_lateness_s_);
+  max_lateness_s_ = 0;
   events_.flush();
 }
 
--- a/src/lab/state_server.cpp
+++ b/src/lab/state_server.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::size_t log_length = 10000;
-constexpr std::size_t most_items = 1000, most_list_bytes = 512 * std::size_t{1024};
+constexpr std::size_t max_items = 1000, max_list_bytes = 512 * std::size_t{1024};
 constexpr double tick_s = 0.02;
-constexpr std::size_t most_body = 16 * std::size_t{65536};
+constexpr std::size_t max_body_bytes = 16 * std::size_t{65536};
 
 /// Parameters of a query, decoded.
 class Query {
@@ -47,41 +47,41 @@
       requests_(limits.rps, limits.rps),
       changes_(limits.write_rps, limits.write_rps),
       timer_(base, [this] { tick(); }),
-      server_(base, bind, most_body, [this](net::Request&& r) { serve(std::move(r)); }) {
-  state_.txn_ops = limits.txn_ops;
-  state_.value_bytes = static_cast<std::size_t>(limits.value_kb * 1024);
-  timer_.after(tick_s);
+      server_(base, bind, max_body_bytes, [this](net::Request&& request) { serve(std::move(request)); }) {
+  store_.txn_ops = limits.txn_ops;
+  store_.value_bytes = static_cast<std::size_t>(limits.value_kb * 1024);
+  timer_.schedule(tick_s);
 }
 
-void StateServer::answer(const net::ResponderPtr& to, int status, const Json& body) {
+void StateServer::answer(const net::ResponderPtr& responder, int status, const Json& body) {
   std::string bytes = wire::encode(body);
   counts_.bytes_out += bytes.size();
-  to->reply(status, bytes);
+  responder->reply(status, bytes);
 }
 
 void StateServer::serve(net::Request&& request) {
   ++counts_.requests;
   counts_.bytes_in += request.body.size();
   double now = now_();
-  state_.expire(now);
+  store_.expire_leases(now);
   publish();
   if (!requests_.take(1, now)) {
     ++counts_.refused;
     return answer(request.responder, 429, Json::object());
   }
   if (request.path == "/watch") return open_watch(request);
-  if (state_.outage()) return answer(request.responder, 503, Json::object());
+  if (store_.outage()) return answer(request.responder, 503, Json::object());
   Json body = request.body.empty() ? Json::object() : Json::from_cbor(request.body, true, false);
   if (!body.is_object()) return answer(request.responder, 400, Json::object());
   if (request.path == "/txn") return serve_transaction(request, body);
   if (has_prefix(request.path, "/holds")) return serve_lease(request, body);
   if (request.path == "/store") return serve_list(request);
   std::string key = request.path.substr(std::min(request.path.size(), std::string("/store/").size()));
-  auto entry = state_.keys().find(key);
-  if (entry == state_.keys().end())
-    return answer(request.responder, 404, {{"ledger_rev", state_.revision()}});
+  auto entry = store_.keys().find(key);
+  if (entry == store_.keys().end())
+    return answer(request.responder, 404, {{"ledger_rev", store_.revision()}});
   answer(request.responder, 200,
-         {{"k", key}, {"value", entry->second.value}, {"stamp", entry->second.stamp}});
+         {{"k", key}, {"value", entry->second.value}, {"stamp", entry->second.revision}});
 }
 
 void StateServer::serve_transaction(const net::Request& request, const Json& body) {
@@ -92,7 +92,7 @@
     ++counts_.refused;
     return answer(request.responder, 429, Json::object());
   }
-  State::Result result = state_.txn(body);
+  StateStore::Result result = store_.txn(body);
   ++counts_.transactions;
   counts_.failed += result.status == 409 ? 1 : 0;
   if (result.status == 200) counts_.changes += body["apply"].size();
@@ -105,34 +105,34 @@
   double now = now_();
   if (request.path == root) {
     double life_s = body.value("life_ms", 0.0) / 1000;
-    return answer(request.responder, 200, {{"grant", state_.open_hold(life_s, now)}});
+    return answer(request.responder, 200, {{"grant", store_.grant_lease(life_s, now)}});
   }
   std::uint64_t id = std::strtoull(request.path.c_str() + root.size() + 1, nullptr, 10);
   if (request.method == EVHTTP_REQ_DELETE) {
-    state_.end_hold(id);
+    store_.revoke_lease(id);
     publish();
     return answer(request.responder, 200, Json::object());
   }
-  answer(request.responder, state_.renew(id, now) ? 200 : 404, Json::object());
+  answer(request.responder, store_.renew_lease(id, now) ? 200 : 404, Json::object());
 }
 
 void StateServer::serve_list(const net::Request& request) {
   Query query(request.query);
   std::string prefix = query.text("prefix"), from = query.text("from");
-  std::size_t most = std::min<std::size_t>(query.number("most", most_items), most_items), bytes = 0;
+  std::size_t most = std::min<std::size_t>(query.number("most", max_items), max_items), bytes = 0;
   Json items = Json::array();
   bool truncated = false;
-  auto entry = from.empty() ? state_.keys().lower_bound(prefix) : state_.keys().upper_bound(from);
-  for (; entry != state_.keys().end() && has_prefix(entry->first, prefix); ++entry) {
-    if (items.size() >= most || bytes >= most_list_bytes) {
+  auto entry = from.empty() ? store_.keys().lower_bound(prefix) : store_.keys().upper_bound(from);
+  for (; entry != store_.keys().end() && has_prefix(entry->first, prefix); ++entry) {
+    if (items.size() >= most || bytes >= max_list_bytes) {
       truncated = true;
       break;
     }
-    items.push_back({{"k", entry->first}, {"value", entry->second.value}, {"stamp", entry->second.stamp}});
+    items.push_back({{"k", entry->first}, {"value", entry->second.value}, {"stamp", entry->second.revision}});
     bytes += wire::encode(items.back()).size();
   }
   answer(request.responder, 200,
-         {{"items", items}, {"truncated", truncated}, {"ledger_rev", state_.revision()}});
+         {{"items", items}, {"truncated", truncated}, {"ledger_rev", store_.revision()}});
 }
 
 void StateServer::open_watch(const net::Request& request) {
@@ -140,21 +140,21 @@
   std::uint64_t from = query.number("from", 0);
   bool too_old = !log_.empty() && log_.size() >= log_length && from + 1 < log_.front().revision;
   if (too_old) return answer(request.responder, 410, Json::object());
-  double hold_s = static_cast<double>(query.number("hold_ms", 0)) / 1000;
-  Watch watch{request.responder, query.text("prefix"), from, now_() + hold_s};
-  if (!answer_watch(watch, hold_s <= 0)) watches_.push_back(std::move(watch));
+  double wait_s = static_cast<double>(query.number("hold_ms", 0)) / 1000;
+  Watch watch{request.responder, query.text("prefix"), from, now_() + wait_s};
+  if (!answer_watch(watch, wait_s <= 0)) watches_.push_back(std::move(watch));
 }
 
 bool StateServer::answer_watch(const Watch& watch, bool over) {
-  if (state_.outage()) return false;  // open watches wait
-  Json news = Json::array();
+  if (store_.outage()) return false;  // open watches wait
+  Json update = Json::array();
   auto first = std::upper_bound(log_.begin(), log_.end(), watch.from,
-                                [](std::uint64_t from, const Logged& l) { return from < l.revision; });
+                                [](std::uint64_t from, const LogEntry& l) { return from < l.revision; });
   for (; first != log_.end(); ++first) {
-    if (has_prefix(first->key, watch.prefix)) news.push_back(first->news);
+    if (has_prefix(first->key, watch.prefix)) update.push_back(first->update);
   }
-  if (news.empty() && !over) return false;
-  std::string bytes = wire::encode({{"ledger_rev", state_.revision()}, {"news", std::move(news)}});
+  if (update.empty() && !over) return false;
+  std::string bytes = wire::encode({{"ledger_rev", store_.revision()}, {"news", std::move(update)}});
   counts_.watch_bytes += bytes.size();
   counts_.bytes_out += bytes.size();
   watch.responder->reply(200, bytes);
@@ -162,13 +162,13 @@
 }
 
 void StateServer::publish() {
-  auto events = state_.take_events();
+  auto events = store_.take_events();
   if (events.empty()) return;
-  for (State::Event& event : events) {
-    Json news = {{"stamp", event.revision}};
-    news[event.value ? "put" : "delete"] = event.key;
-    if (event.value) news["value"] = std::move(*event.value);
-    log_.push_back({event.revision, event.key, std::move(news)});
+  for (StateStore::Event& event : events) {
+    Json update = {{"stamp", event.revision}};
+    update[event.value ? "put" : "delete"] = event.key;
+    if (event.value) update["value"] = std::move(*event.value);
+    log_.push_back({event.revision, event.key, std::move(update)});
   }
   while (log_.size() > log_length) log_.pop_front();
   auto waits = [this](const Watch& watch) { return answer_watch(watch, false); };
@@ -177,11 +177,11 @@
 
 void StateServer::tick() {
   double now = now_();
-  state_.expire(now);
+  store_.expire_leases(now);
   publish();
   auto over = [this, now](const Watch& watch) { return now >= watch.until && answer_watch(watch, true); };
   watches_.erase(std::remove_if(watches_.begin(), watches_.end(), over), watches_.end());
-  timer_.after(tick_s);
+  timer_.schedule(tick_s);
 }
 
 }  // namespace oxbowmill::lab
--- a/src/lab/worker.cpp
+++ b/src/lab/worker.cpp
@@ -4,80 +4,82 @@
 
 void RunLog::start(const std::string& task, const std::string& machine) {
   ++starts[task];
-  on[task].insert(machine);
-  if (on[task].size() > 1) twice.push_back(task);
-  if (watcher) watcher(task, machine, true);
+  machines_by_task[task].insert(machine);
+  if (machines_by_task[task].size() > 1) duplicated_tasks.push_back(task);
+  if (on_change) on_change(task, machine, true);
 }
 
 void RunLog::end(const std::string& task, const std::string& machine) {
-  if (on[task].erase(machine) != 0 && watcher) watcher(task, machine, false);
+  if (machines_by_task[task].erase(machine) != 0 && on_change) on_change(task, machine, false);
 }
 
 Worker::Worker(std::string name, std::string zone, RunLog& log, bool spot)
     : name_(std::move(name)), zone_(std::move(zone)), spot_(spot), log_(&log) {}
 
 WorkerReport Worker::report(double now) {
-  if (renewed_ < 0) renewed_ = now;
+  if (renewed_at_ < 0) renewed_at_ = now;
   tick(now);
-  WorkerReport r;
-  r.machine = name_;
-  r.address = address;
-  r.type = "std";
-  r.zone = zone_;
-  r.spot = spot_;
-  r.tenure = tenure_;
-  r.serial = ++serial_;
-  r.token = token_;
-  r.recall_s = recall_s;
-  for (const auto& [id, t] : tasks_) r.tasks.push_back(t);
+  WorkerReport report;
+  report.machine = name_;
+  report.address = address;
+  report.type = "std";
+  report.zone = zone_;
+  report.spot = spot_;
+  report.agent_epoch = agent_epoch_;
+  report.report_sequence = ++report_sequence_;
+  report.fencing_token = fencing_token_;
+  report.preemption_notice_s = preemption_notice_s;
+  for (const auto& [id, t] : tasks_) report.tasks.push_back(t);
   sent_at_ = now;
-  asked_tenure_ = tenure_;
-  return r;
+  reported_agent_epoch_ = agent_epoch_;
+  return report;
 }
 
-void Worker::answer(const ReportAnswer& a, double now) {
+void Worker::answer(const ReportAnswer& answer, double now) {
   tick(now);
-  if (a.kind != ReportAnswer::Kind::ok || a.token < token_ || asked_tenure_ != tenure_) return;
-  token_ = a.token;
-  renewed_ = sent_at_;
-  execute(a.orders);
+  if (answer.kind != ReportAnswer::Kind::ok || answer.fencing_token < fencing_token_ ||
+      reported_agent_epoch_ != agent_epoch_)
+    return;
+  fencing_token_ = answer.fencing_token;
+  renewed_at_ = sent_at_;
+  execute(answer.commands);
 }
 
-bool Worker::command(const DirectOrders& d) {
-  ++serial_;
-  if (d.token < token_ || d.tenure != tenure_) return false;
-  token_ = d.token;
-  execute(d.orders);
+bool Worker::command(const DirectCommands& commands) {
+  ++report_sequence_;
+  if (commands.fencing_token < fencing_token_ || commands.agent_epoch != agent_epoch_) return false;
+  fencing_token_ = commands.fencing_token;
+  execute(commands.commands);
   return true;
 }
 
-void Worker::execute(const std::vector<Order>& orders) {
-  for (const Order& o : orders) {
-    std::string id = o.job + "/" + std::to_string(o.task);
+void Worker::execute(const std::vector<AgentCommand>& orders) {
+  for (const AgentCommand& command : orders) {
+    std::string id = command.job + "/" + std::to_string(command.task);
     auto it = tasks_.find(id);
-    bool same = it != tasks_.end() && it->second.attempt == o.attempt;
-    if (o.verb == OrderVerb::start && it == tasks_.end()) {
-      TaskReport t;
-      t.job = o.job;
-      t.task = o.task;
-      t.attempt = o.attempt;
-      t.phase = first_phase;
-      tasks_[id] = t;
+    bool same = it != tasks_.end() && it->second.attempt == command.attempt;
+    if (command.kind == CommandKind::start && it == tasks_.end()) {
+      TaskReport task_report;
+      task_report.job = command.job;
+      task_report.task = command.task;
+      task_report.attempt = command.attempt;
+      task_report.phase = first_phase;
+      tasks_[id] = task_report;
       log_->start(id, name_);
-    } else if (o.verb == OrderVerb::kill && same && it->second.phase != TaskPhase::ended) {
-      finish(id, EndCause::stopped, saves && o.wind_down_s > 0);
-    } else if (o.verb == OrderVerb::clear && same && it->second.phase == TaskPhase::ended) {
+    } else if (command.kind == CommandKind::kill && same && it->second.phase != TaskPhase::ended) {
+      finish(id, EndCause::stopped, saves_checkpoints && command.termination_timeout_s > 0);
+    } else if (command.kind == CommandKind::clear && same && it->second.phase == TaskPhase::ended) {
       tasks_.erase(it);
     }
   }
 }
 
 void Worker::tick(double now) {
-  if (renewed_ < 0 || now - renewed_ <= lease_s) return;
+  if (renewed_at_ < 0 || now - renewed_at_ <= lease_s) return;
   for (const auto& [id, t] : tasks_) log_->end(id, name_);
   tasks_.clear();
-  ++tenure_;
-  renewed_ = now;
+  ++agent_epoch_;
+  renewed_at_ = now;
 }
 
 void Worker::power_off() {
@@ -89,7 +91,7 @@
   TaskReport& t = tasks_.at(task);
   t.phase = TaskPhase::ended;
   t.cause = cause;
-  t.saved = saved;
+  t.checkpoint_saved = saved;
   log_->end(task, name_);
 }
 
--- a/src/lab/worker_wire.cpp
+++ b/src/lab/worker_wire.cpp
@@ -8,17 +8,19 @@
 
 constexpr const char* phase_names[] = {"fetching", "gathering", "running", "saving", "ended"};
 
-std::vector<Order> read_orders(const Json& list) {
-  std::vector<Order> orders;
+std::vector<AgentCommand> read_commands(const Json& list) {
+  std::vector<AgentCommand> orders;
   for (const Json& entry : list) {
     auto shard = entry.at("shard").get<std::string>(), verb = entry.at("verb").get<std::string>();
     std::size_t slash = shard.rfind('/');
-    Order order;
-    order.verb = verb == "start" ? OrderVerb::start : verb == "kill" ? OrderVerb::kill : OrderVerb::clear;
+    AgentCommand order;
+    order.kind = verb == "start"  ? CommandKind::start
+                 : verb == "kill" ? CommandKind::kill
+                                  : CommandKind::clear;
     order.job = shard.substr(0, slash);
-    order.task = static_cast<TaskNo>(std::stoul(shard.substr(slash + 1)));
+    order.task = static_cast<TaskNumber>(std::stoul(shard.substr(slash + 1)));
     order.attempt = entry.at("try").get<Attempt>();
-    order.wind_down_s = entry.value("wind_down_s", 0.0);
+    order.termination_timeout_s = entry.value("wind_down_s", 0.0);
     orders.push_back(std::move(order));
   }
   return orders;
@@ -33,12 +35,18 @@
                   {"try", task.attempt},
                   {"phase", phase_names[static_cast<int>(task.phase)]}};
     if (task.phase == TaskPhase::ended) entry["cause"] = name_of(task.cause);
-    if (task.saved) entry["stored"] = true;
+    if (task.checkpoint_saved) entry["stored"] = true;
     tasks.push_back(std::move(entry));
   }
-  return {{"host", report.machine},    {"address", report.address}, {"rig", report.type},
-          {"yard", report.zone},       {"loaners", report.spot},    {"tenure", report.tenure},
-          {"serial", report.serial},   {"warrant", report.token},   {"recall_s", nullptr},
+  return {{"host", report.machine},
+          {"address", report.address},
+          {"rig", report.type},
+          {"yard", report.zone},
+          {"loaners", report.spot},
+          {"tenure", report.agent_epoch},
+          {"serial", report.report_sequence},
+          {"warrant", report.fencing_token},
+          {"recall_s", nullptr},
           {"shards", std::move(tasks)}};
 }
 
@@ -46,20 +54,20 @@
   try {
     ReportAnswer answer;
     answer.kind = ReportAnswer::Kind::ok;
-    answer.token = body.at("warrant").get<Stamp>();
-    answer.orders = read_orders(body.at("orders"));
+    answer.fencing_token = body.at("warrant").get<Revision>();
+    answer.commands = read_commands(body.at("orders"));
     return answer;
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
-std::optional<DirectOrders> read_command(const Json& body) {
+std::optional<DirectCommands> read_command(const Json& body) {
   try {
-    DirectOrders command;
-    command.token = body.at("warrant").get<Stamp>();
-    command.tenure = body.at("tenure").get<std::uint64_t>();
-    command.orders = read_orders(body.at("orders"));
+    DirectCommands command;
+    command.fencing_token = body.at("warrant").get<Revision>();
+    command.agent_epoch = body.at("tenure").get<std::uint64_t>();
+    command.commands = read_commands(body.at("orders"));
     return command;
   } catch (const std::exception&) {
     return std::nullopt;
--- a/src/market/bid.cpp
+++ b/src/market/bid.cpp
@@ -9,47 +9,48 @@
 
 namespace {
 using S = BidState;
-constexpr std::size_t states = static_cast<std::size_t>(S::closed) + 1;
+constexpr std::size_t state_count = static_cast<std::size_t>(S::closed) + 1;
 
-constexpr std::uint32_t bit(S s) {
+constexpr std::uint32_t state_bit(S s) {
   return 1U << static_cast<unsigned>(s);
 }
 
 /// By state: those that may follow it.
-constexpr std::array<std::uint32_t, states> following = {
-    /* committing  */ bit(S::committed) | bit(S::closed),
-    /* committed   */ bit(S::asked) | bit(S::settling),
-    /* asked       */ bit(S::open) | bit(S::raised) | bit(S::won) | bit(S::running) | bit(S::withdrawing) |
-        bit(S::settling),
-    /* in_doubt    */ bit(S::open) | bit(S::raised) | bit(S::won) | bit(S::running) | bit(S::withdrawing) |
-        bit(S::settling),
-    /* open        */ bit(S::raised) | bit(S::won) | bit(S::running) | bit(S::withdrawing) | bit(S::settling),
-    /* raised      */ bit(S::confirming) | bit(S::open) | bit(S::won) | bit(S::running) |
-        bit(S::withdrawing) | bit(S::settling),
-    /* confirming  */ bit(S::raised) | bit(S::open) | bit(S::won) | bit(S::running) | bit(S::withdrawing) |
-        bit(S::settling),
-    /* won         */ bit(S::running) | bit(S::withdrawing) | bit(S::settling),
-    /* running     */ bit(S::settling),
-    /* withdrawing */ bit(S::running) | bit(S::settling),
-    /* settling    */ bit(S::closed),
+constexpr std::array<std::uint32_t, state_count> allowed_transitions = {
+    /* committing  */ state_bit(S::committed) | state_bit(S::closed),
+    /* committed   */ state_bit(S::submitted) | state_bit(S::settling),
+    /* asked       */ state_bit(S::open) | state_bit(S::raised) | state_bit(S::won) | state_bit(S::running) |
+        state_bit(S::withdrawing) | state_bit(S::settling),
+    /* in_doubt    */ state_bit(S::open) | state_bit(S::raised) | state_bit(S::won) | state_bit(S::running) |
+        state_bit(S::withdrawing) | state_bit(S::settling),
+    /* open        */ state_bit(S::raised) | state_bit(S::won) | state_bit(S::running) |
+        state_bit(S::withdrawing) | state_bit(S::settling),
+    /* raised      */ state_bit(S::confirming) | state_bit(S::open) | state_bit(S::won) |
+        state_bit(S::running) | state_bit(S::withdrawing) | state_bit(S::settling),
+    /* confirming  */ state_bit(S::raised) | state_bit(S::open) | state_bit(S::won) | state_bit(S::running) |
+        state_bit(S::withdrawing) | state_bit(S::settling),
+    /* won         */ state_bit(S::running) | state_bit(S::withdrawing) | state_bit(S::settling),
+    /* running     */ state_bit(S::settling),
+    /* withdrawing */ state_bit(S::running) | state_bit(S::settling),
+    /* settling    */ state_bit(S::closed),
     /* closed      */ 0,
 };
 }  // namespace
 
-const char* name_of(BidState s) {
+const char* name_of(BidState state) {
   static constexpr const char* names[] = {"committing", "committed",   "asked",      "in_doubt",
                                           "open",       "raised",      "confirming", "won",
                                           "running",    "withdrawing", "settling",   "closed"};
-  return names[static_cast<int>(s)];
+  return names[static_cast<int>(state)];
 }
 
-const char* name_of(Claim c) {
+const char* name_of(BidPriority demand_class) {
   static constexpr const char* names[] = {"guaranteed", "starved", "high", "standard", "best_effort"};
-  return names[static_cast<int>(c)];
+  return names[static_cast<int>(demand_class)];
 }
 
 bool may_follow(BidState from, BidState to) {
-  return (following[static_cast<std::size_t>(from)] & bit(to)) != 0;
+  return (allowed_transitions[static_cast<std::size_t>(from)] & state_bit(to)) != 0;
 }
 
 bool set_state(Bid& bid, BidState to, const std::string& why) {
@@ -63,13 +64,13 @@
   return true;
 }
 
-Money worst_case(Money limit, double term_s, std::uint32_t machines) {
-  double one = std::ceil(static_cast<double>(limit) * term_s / 3600);
-  return static_cast<Money>(one) * static_cast<Money>(machines);
+MoneyAmount worst_case(MoneyAmount limit, double max_paid_s, std::uint32_t machines) {
+  double one = std::ceil(static_cast<double>(limit) * max_paid_s / 3600);
+  return static_cast<MoneyAmount>(one) * static_cast<MoneyAmount>(machines);
 }
 
-Money worst_case(const BidRecord& r) {
-  return worst_case(r.limit, r.term_s, r.count());
+MoneyAmount worst_case(const BidRecord& record) {
+  return worst_case(record.price_limit, record.max_paid_s, record.count());
 }
 
 }  // namespace oxbowmill::market
