--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -21,25 +21,26 @@
   return tv;
 }
 
-std::string drain(evbuffer* in) {
+std::string read_all(evbuffer* in) {
   std::string body(evbuffer_get_length(in), '\0');
   if (!body.empty()) evbuffer_remove(in, body.data(), body.size());
   return body;
 }
 }  // namespace
 
-EventBasePtr make_base() {
+EventBasePtr make_event_base() {
   EventBasePtr base(event_base_new());
   if (!base) throw std::runtime_error("no event base");
   return base;
 }
 
 Timer::Timer(event_base* base, std::function<void()> fn)
-    : fn_(std::move(fn)),
+    : on_expiry_(std::move(fn)),
       event_(event_new(
-          base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->fn_(); }, this)) {}
+          base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->on_expiry_(); },
+          this)) {}
 
-void Timer::after(double seconds) {
+void Timer::schedule(double seconds) {
   timeval tv = to_timeval(std::max(0.0, seconds));
   event_add(event_.get(), &tv);
 }
@@ -54,42 +55,43 @@
   return a.host + ":" + std::to_string(a.port);
 }
 
-Address parse_bind_address(const std::string& s) {
-  std::size_t colon = s.rfind(':');
-  if (colon == std::string::npos || colon == 0) throw std::invalid_argument("'" + s + "' is not HOST:PORT");
+Address parse_bind_address(const std::string& text) {
+  std::size_t colon = text.rfind(':');
+  if (colon == std::string::npos || colon == 0)
+    throw std::invalid_argument("'" + text + "' is not HOST:PORT");
   std::size_t used = 0;
   unsigned long port = 0;
   try {
-    port = std::stoul(s.substr(colon + 1), &used);
+    port = std::stoul(text.substr(colon + 1), &used);
   } catch (const std::exception&) {
-    throw std::invalid_argument("'" + s + "' has no port number");
+    throw std::invalid_argument("'" + text + "' has no port number");
   }
-  if (used + colon + 1 != s.size() || port > 65535) {
-    throw std::invalid_argument("'" + s + "' has no valid port number");
+  if (used + colon + 1 != text.size() || port > 65535) {
+    throw std::invalid_argument("'" + text + "' has no valid port number");
   }
-  return {s.substr(0, colon), static_cast<std::uint16_t>(port)};
+  return {text.substr(0, colon), static_cast<std::uint16_t>(port)};
 }
 
-Address parse_address(const std::string& s) {
-  Address a = parse_bind_address(s);
-  if (a.port == 0) throw std::invalid_argument("'" + s + "' has no valid port number");
+Address parse_address(const std::string& text) {
+  Address a = parse_bind_address(text);
+  if (a.port == 0) throw std::invalid_argument("'" + text + "' has no valid port number");
   return a;
 }
 
 Responder::~Responder() {
   // An answer that nobody gave would leave the client waiting.
-  if (req_ != nullptr) reply(503, "", 1);
+  if (raw_request_ != nullptr) reply(503, "", 1);
 }
 
 void Responder::reply(int status, const std::string& body, int retry_after_s) {
-  if (req_ == nullptr) return;
-  evhttp_request* req = std::exchange(req_, nullptr);
-  evhttp_connection* conn = evhttp_request_get_connection(req);
+  if (raw_request_ == nullptr) return;
+  evhttp_request* raw_request = std::exchange(raw_request_, nullptr);
+  evhttp_connection* conn = evhttp_request_get_connection(raw_request);
   if (conn != nullptr) {
-    server_.open_.erase(conn);
+    server_.pending_responders_.erase(conn);
     evhttp_connection_set_closecb(conn, nullptr, nullptr);
   }
-  evkeyvalq* headers = evhttp_request_get_output_headers(req);
+  evkeyvalq* headers = evhttp_request_get_output_headers(raw_request);
   if (conn != nullptr &&
       bufferevent_getfd(evhttp_connection_get_bufferevent(conn)) >= server_.keep_alive_below_) {
     evhttp_add_header(headers, "Connection", "close");
@@ -98,7 +100,7 @@
   if (retry_after_s > 0) evhttp_add_header(headers, "Retry-After", std::to_string(retry_after_s).c_str());
   std::unique_ptr<evbuffer, decltype(&evbuffer_free)> out(evbuffer_new(), evbuffer_free);
   evbuffer_add(out.get(), body.data(), body.size());
-  evhttp_send_reply(req, status, nullptr, out.get());
+  evhttp_send_reply(raw_request, status, nullptr, out.get());
 }
 
 HttpServer::HttpServer(event_base* base, const Address& bind, std::size_t most_body, Handler handler)
@@ -122,157 +124,159 @@
 }
 
 HttpServer::~HttpServer() {
-  for (auto& [conn, r] : open_) {
+  for (auto& [conn, r] : pending_responders_) {
     evhttp_connection_set_closecb(conn, nullptr, nullptr);
-    r->req_ = nullptr;
+    r->raw_request_ = nullptr;
   }
 }
 
 void HttpServer::on_close(evhttp_connection* conn, void* self) {
   auto* server = static_cast<HttpServer*>(self);
-  auto it = server->open_.find(conn);
-  if (it == server->open_.end()) return;
-  it->second->req_ = nullptr;
-  server->open_.erase(it);
+  auto it = server->pending_responders_.find(conn);
+  if (it == server->pending_responders_.end()) return;
+  it->second->raw_request_ = nullptr;
+  server->pending_responders_.erase(it);
 }
 
-void HttpServer::on_request(evhttp_request* req, void* self) {
+void HttpServer::on_request(evhttp_request* raw_request, void* self) {
   auto* server = static_cast<HttpServer*>(self);
-  Request r;
-  r.method = evhttp_request_get_command(req);
-  const evhttp_uri* uri = evhttp_request_get_evhttp_uri(req);
+  Request request;
+  request.method = evhttp_request_get_command(raw_request);
+  const evhttp_uri* uri = evhttp_request_get_evhttp_uri(raw_request);
   const char* path = uri != nullptr ? evhttp_uri_get_path(uri) : nullptr;
-  r.path = path != nullptr ? path : "/";
+  request.path = path != nullptr ? path : "/";
   const char* query = uri != nullptr ? evhttp_uri_get_query(uri) : nullptr;
-  r.query = query != nullptr ? query : "";
-  r.body = drain(evhttp_request_get_input_buffer(req));
-  r.responder = std::make_shared<Responder>(*server, req);
-  evhttp_connection* conn = evhttp_request_get_connection(req);
-  server->open_[conn] = r.responder.get();
+  request.query = query != nullptr ? query : "";
+  request.body = read_all(evhttp_request_get_input_buffer(raw_request));
+  request.responder = std::make_shared<Responder>(*server, raw_request);
+  evhttp_connection* conn = evhttp_request_get_connection(raw_request);
+  server->pending_responders_[conn] = request.responder.get();
   evhttp_connection_set_closecb(conn, &HttpServer::on_close, server);
-  server->handler_(std::move(r));
+  server->handler_(std::move(request));
 }
 
-struct HttpClient::Job {
+struct HttpClient::QueuedRequest {
   evhttp_cmd_type method;
   std::string path, body;
   double timeout_s;
-  ResponseFn fn;
+  ResponseHandler on_response;
   HttpClient* client = nullptr;
-  Slot* slot = nullptr;
+  Connection* connection = nullptr;
 };
-struct HttpClient::Slot {
-  ConnectionPtr conn;
-  std::unique_ptr<Job> job;
+struct HttpClient::Connection {
+  ConnectionPtr handle;
+  std::unique_ptr<QueuedRequest> request;
 };
 
 HttpClient::HttpClient(event_base* base, Address address, std::size_t connections, std::size_t most_body)
     : base_(base),
       address_(std::move(address)),
-      most_body_(most_body),
-      pump_timer_(base, [this] { pump(); }) {
-  for (std::size_t i = 0; i < connections; ++i) slots_.push_back(std::make_unique<Slot>());
+      max_body_(most_body),
+      dispatch_timer_(base, [this] { dispatch(); }) {
+  for (std::size_t i = 0; i < connections; ++i) connections_.push_back(std::make_unique<Connection>());
 }
 
 HttpClient::~HttpClient() {
-  for (auto& s : slots_) {
-    if (s->job) s->job->fn = nullptr;
+  for (auto& s : connections_) {
+    if (s->request) s->request->on_response = nullptr;
   }
 }
 
-bool HttpClient::full() const {
-  return !queue_.empty() ||
-         std::all_of(slots_.begin(), slots_.end(), [](const auto& s) { return s->job != nullptr; });
+bool HttpClient::all_busy() const {
+  return !queue_.empty() || std::all_of(connections_.begin(), connections_.end(), [](const auto& connection) {
+    return connection->request != nullptr;
+  });
 }
 
 void HttpClient::send(evhttp_cmd_type method, const std::string& path, std::string body, double timeout_s,
-                      ResponseFn fn) {
-  auto job = std::make_unique<Job>();
-  job->method = method;
-  job->path = path;
-  job->body = std::move(body);
-  job->timeout_s = timeout_s;
-  job->fn = std::move(fn);
-  job->client = this;
-  queue_.push_back(std::move(job));
-  pump();
+                      ResponseHandler on_response) {
+  auto queued = std::make_unique<QueuedRequest>();
+  queued->method = method;
+  queued->path = path;
+  queued->body = std::move(body);
+  queued->timeout_s = timeout_s;
+  queued->on_response = std::move(on_response);
+  queued->client = this;
+  queue_.push_back(std::move(queued));
+  dispatch();
 }
 
 namespace {
-evhttp_request* make_request(const Address& to, const std::string& body, void (*done)(evhttp_request*, void*),
-                             void* arg) {
-  evhttp_request* req = evhttp_request_new(done, arg);
-  evkeyvalq* headers = evhttp_request_get_output_headers(req);
-  evhttp_add_header(headers, "Host", to_string(to).c_str());
+evhttp_request* make_request(const Address& destination, const std::string& body,
+                             void (*done)(evhttp_request*, void*), void* arg) {
+  evhttp_request* raw_request = evhttp_request_new(done, arg);
+  evkeyvalq* headers = evhttp_request_get_output_headers(raw_request);
+  evhttp_add_header(headers, "Host", to_string(destination).c_str());
   if (!body.empty()) {
     evhttp_add_header(headers, "Content-Type", "application/cbor");
-    evbuffer_add(evhttp_request_get_output_buffer(req), body.data(), body.size());
+    evbuffer_add(evhttp_request_get_output_buffer(raw_request), body.data(), body.size());
   }
-  return req;
+  return raw_request;
 }
 
-Response read_response(evhttp_request* req) {
-  Response r;
-  if (req == nullptr) return r;
-  r.status = evhttp_request_get_response_code(req);
-  if (r.status != 0) r.body = drain(evhttp_request_get_input_buffer(req));
-  const char* after = evhttp_find_header(evhttp_request_get_input_headers(req), "Retry-After");
-  if (after != nullptr) r.retry_after_s = std::clamp(std::strtod(after, nullptr), 0.0, 3600.0);
-  return r;
+Response read_response(evhttp_request* raw_request) {
+  Response response;
+  if (raw_request == nullptr) return response;
+  response.status = evhttp_request_get_response_code(raw_request);
+  if (response.status != 0) response.body = read_all(evhttp_request_get_input_buffer(raw_request));
+  const char* after = evhttp_find_header(evhttp_request_get_input_headers(raw_request), "Retry-After");
+  if (after != nullptr) response.retry_after_s = std::clamp(std::strtod(after, nullptr), 0.0, 3600.0);
+  return response;
 }
 }  // namespace
 
-void HttpClient::pump() {
-  for (auto& slot : slots_) {
+void HttpClient::dispatch() {
+  for (auto& slot : connections_) {
     if (queue_.empty()) return;
-    if (slot->job) continue;
-    if (!slot->conn) {
-      slot->conn.reset(evhttp_connection_base_new(base_, nullptr, address_.host.c_str(), address_.port));
-      if (most_body_ > 0)
-        evhttp_connection_set_max_body_size(slot->conn.get(), static_cast<ev_ssize_t>(most_body_));
+    if (slot->request) continue;
+    if (!slot->handle) {
+      slot->handle.reset(evhttp_connection_base_new(base_, nullptr, address_.host.c_str(), address_.port));
+      if (max_body_ > 0)
+        evhttp_connection_set_max_body_size(slot->handle.get(), static_cast<ev_ssize_t>(max_body_));
     }
-    slot->job = std::move(queue_.front());
+    slot->request = std::move(queue_.front());
     queue_.pop_front();
-    Job* job = slot->job.get();
-    job->slot = slot.get();
-    timeval tv = to_timeval(job->timeout_s);
-    evhttp_connection_set_timeout_tv(slot->conn.get(), &tv);
-    evhttp_request* req = make_request(address_, job->body, &HttpClient::on_done, job);
-    if (evhttp_make_request(slot->conn.get(), req, job->method, job->path.c_str()) != 0) {
+    QueuedRequest* queued = slot->request.get();
+    queued->connection = slot.get();
+    timeval tv = to_timeval(queued->timeout_s);
+    evhttp_connection_set_timeout_tv(slot->handle.get(), &tv);
+    evhttp_request* req = make_request(address_, queued->body, &HttpClient::on_done, queued);
+    if (evhttp_make_request(slot->handle.get(), req, queued->method, queued->path.c_str()) != 0) {
       // The request is freed by evhttp; its callback does not come.
-      auto failed = std::move(slot->job);
-      failed->fn({});
+      auto failed = std::move(slot->request);
+      failed->on_response({});
     }
   }
 }
 
-void HttpClient::on_done(evhttp_request* req, void* arg) {
-  auto* job = static_cast<Job*>(arg);
-  if (!job->fn) return;  // the client is going away
-  HttpClient* client = job->client;
-  auto own = std::move(job->slot->job);
+void HttpClient::on_done(evhttp_request* raw_request, void* arg) {
+  auto* queued = static_cast<QueuedRequest*>(arg);
+  if (!queued->on_response) return;  // the client is going away
+  HttpClient* client = queued->client;
+  auto own = std::move(queued->connection->request);
   // Not from inside evhttp's callback: the connection is still being tidied up.
-  client->pump_timer_.after(0);
-  own->fn(read_response(req));
+  client->dispatch_timer_.schedule(0);
+  own->on_response(read_response(raw_request));
 }
 
-void send_once(event_base* base, const Address& to, evhttp_cmd_type method, const std::string& path,
-               const std::string& body, double timeout_s, ResponseFn fn) {
-  evhttp_connection* conn = evhttp_connection_base_new(base, nullptr, to.host.c_str(), to.port);
+void send_once(event_base* base, const Address& destination, evhttp_cmd_type method, const std::string& path,
+               const std::string& body, double timeout_s, ResponseHandler on_response) {
+  evhttp_connection* conn =
+      evhttp_connection_base_new(base, nullptr, destination.host.c_str(), destination.port);
   timeval tv = to_timeval(timeout_s);
   evhttp_connection_set_timeout_tv(conn, &tv);
-  auto* keep = new ResponseFn(std::move(fn));
-  evhttp_request* req = make_request(
-      to, body,
-      [](evhttp_request* r, void* arg) {
-        std::unique_ptr<ResponseFn> done(static_cast<ResponseFn*>(arg));
-        if (*done) (*done)(read_response(r));
+  auto* keep = new ResponseHandler(std::move(on_response));
+  evhttp_request* raw_request = make_request(
+      destination, body,
+      [](evhttp_request* response, void* arg) {
+        std::unique_ptr<ResponseHandler> done(static_cast<ResponseHandler*>(arg));
+        if (*done) (*done)(read_response(response));
       },
       keep);
-  evhttp_add_header(evhttp_request_get_output_headers(req), "Connection", "close");
+  evhttp_add_header(evhttp_request_get_output_headers(raw_request), "Connection", "close");
   evhttp_connection_free_on_completion(conn);
-  if (evhttp_make_request(conn, req, method, path.c_str()) != 0) {
-    std::unique_ptr<ResponseFn> done(keep);
+  if (evhttp_make_request(conn, raw_request, method, path.c_str()) != 0) {
+    std::unique_ptr<ResponseHandler> done(keep);
     if (*done) (*done)({});
   }
 }
--- a/src/recovery/difference.cpp
+++ b/src/recovery/difference.cpp
@@ -7,19 +7,19 @@
 
 namespace oxbowmill::recovery {
 
-const char* name_of(Difference d) {
+const char* name_of(Difference difference) {
   static constexpr const char* names[] = {"old token",     "not reported", "not placed", "elsewhere",
                                           "other try",     "ended",        "final",      "gang broken",
                                           "to be cleared", "market"};
-  return names[static_cast<int>(d)];
+  return names[static_cast<int>(difference)];
 }
 
 bool Differences::any() const {
-  for (std::size_t i = 0; i < difference_kinds; ++i) {
+  for (std::size_t i = 0; i < difference_kind_count; ++i) {
     auto kind = static_cast<Difference>(i);
     // A first word never shows the new token: that is waited for (`heard`), and tells nothing by itself.
-    bool settles_itself =
-        kind == Difference::foreign_market || kind == Difference::leftover || kind == Difference::old_token;
+    bool settles_itself = kind == Difference::market_managed || kind == Difference::uncleared_task ||
+                          kind == Difference::stale_token;
     if (!settles_itself && count[i] != 0) return true;
   }
   return false;
@@ -27,71 +27,75 @@
 
 namespace {
 
-const TaskReport* find(const WorkerReport& r, const std::string& ref, TaskNo task) {
-  auto t = std::find_if(r.tasks.begin(), r.tasks.end(),
+const TaskReport* find_task_report(const WorkerReport& report, const std::string& ref, TaskNumber task) {
+  auto t = std::find_if(report.tasks.begin(), report.tasks.end(),
                         [&](const TaskReport& x) { return x.task == task && x.job == ref; });
-  return t == r.tasks.end() ? nullptr : &*t;
+  return t == report.tasks.end() ? nullptr : &*t;
 }
 
 /// Another member of this placement's attempt may still be there.
-bool has_peers(const Job& j, const Placement& p) {
-  return std::any_of(j.placed.begin(), j.placed.end(), [&p](const auto& other) {
+bool has_peers(const Job& job, const Placement& placement) {
+  return std::any_of(job.placements.begin(), job.placements.end(), [&placement](const auto& other) {
     const Placement& o = other.second;
-    return o.task != p.task && o.attempt == p.attempt && !is_off(o.state);
+    return o.task != placement.task && o.attempt == placement.attempt && !is_off_machine(o.state);
   });
 }
 
 }  // namespace
 
-Standing standing(const Model& model, bool owned, MachineIndex mi, const WorkerReport& r) {
-  if (!mi.valid()) return Standing::unrecorded;
-  if (!owned) return Standing::not_ours;
-  const Machine& m = model.machine(mi);
-  if (r.token > model.token(m)) return Standing::higher_token;
-  if (std::tie(r.tenure, r.serial) <= std::tie(m.tenure, m.serial)) return Standing::stale;
-  return Standing::fit;
+ReportValidity check_validity(const ClusterState& model, bool owned, MachineIndex machine_index,
+                              const WorkerReport& report) {
+  if (!machine_index.valid()) return ReportValidity::unregistered;
+  if (!owned) return ReportValidity::not_owned;
+  const Machine& m = model.machine(machine_index);
+  if (report.fencing_token > model.fencing_token(m)) return ReportValidity::higher_token;
+  if (std::tie(report.agent_epoch, report.report_sequence) <= std::tie(m.agent_epoch, m.report_sequence))
+    return ReportValidity::stale;
+  return ReportValidity::valid;
 }
 
-Differences compare(const Model& model, MachineIndex mi, const WorkerReport& r) {
-  Differences d;
-  const Machine& m = model.machine(mi);
-  if (m.rec.market.valid()) d.add(Difference::foreign_market);
-  if (r.token < model.least_token(m)) d.add(Difference::old_token);
-  for (TaskId id : m.on) {
-    const Job* j = model.known_job(id.job);
-    const Placement* p = model.find_placement(id);
+Differences compare(const ClusterState& model, MachineIndex machine_index, const WorkerReport& report) {
+  Differences differences;
+  const Machine& m = model.machine(machine_index);
+  if (m.record.market.valid()) differences.add(Difference::market_managed);
+  if (report.fencing_token < model.lowest_fencing_token(m)) differences.add(Difference::stale_token);
+  for (TaskId id : m.placed_tasks) {
+    const Job* job = model.known_job(id.job);
+    const Placement* placement = model.find_placement(id);
     // What this owner placed itself is no difference but an order under way.
-    if (j == nullptr || p == nullptr || is_off(p->state) || !p->taken_over) continue;
-    const TaskReport* t = find(r, j->spec.ref, id.task);
-    bool gang = j->spec.shape == Shape::gang;
-    if (t == nullptr) {
-      d.add(Difference::not_reported);
-      if (gang && has_peers(*j, *p)) d.add(Difference::gang_broken);
-    } else if (t->attempt != p->attempt) {
-      d.add(Difference::other_attempt);
-    } else if (t->phase == TaskPhase::ended) {
-      d.add(Difference::ended_unheard);
-      if (gang && t->cause != EndCause::done && has_peers(*j, *p)) d.add(Difference::gang_broken);
+    if (job == nullptr || placement == nullptr || is_off_machine(placement->state) || !placement->inherited)
+      continue;
+    const TaskReport* task_report = find_task_report(report, job->spec.ref, id.task);
+    bool gang = job->spec.shape == JobShape::gang;
+    if (task_report == nullptr) {
+      differences.add(Difference::not_reported);
+      if (gang && has_peers(*job, *placement)) differences.add(Difference::gang_broken);
+    } else if (task_report->attempt != placement->attempt) {
+      differences.add(Difference::other_attempt);
+    } else if (task_report->phase == TaskPhase::ended) {
+      differences.add(Difference::ended_unreported);
+      if (gang && task_report->cause != EndCause::done && has_peers(*job, *placement))
+        differences.add(Difference::gang_broken);
     }
   }
-  for (const TaskReport& t : r.tasks) {
-    JobIndex ji = model.find_job(t.job);
-    const Job* j = ji.valid() ? model.known_job(ji) : nullptr;
-    const Placement* p = j == nullptr ? nullptr : model.find_placement({ji, t.task});
-    bool here = p != nullptr && p->machine == mi;
-    if (t.phase == TaskPhase::ended) {
-      if (!here) d.add(Difference::leftover);
+  for (const TaskReport& task_report : report.tasks) {
+    JobIndex ji = model.find_job(task_report.job);
+    const Job* job = ji.valid() ? model.known_job(ji) : nullptr;
+    const Placement* placement = job == nullptr ? nullptr : model.find_placement({ji, task_report.task});
+    bool here = placement != nullptr && placement->machine == machine_index;
+    if (task_report.phase == TaskPhase::ended) {
+      if (!here) differences.add(Difference::uncleared_task);
       continue;
     }
-    if (j == nullptr || j->final_phase()) {
-      d.add(Difference::final_phase);
-    } else if (p == nullptr) {
-      d.add(Difference::not_placed);
+    if (job == nullptr || job->is_final()) {
+      differences.add(Difference::job_finished);
+    } else if (placement == nullptr) {
+      differences.add(Difference::not_placed);
     } else if (!here) {
-      d.add(Difference::elsewhere);
+      differences.add(Difference::placed_elsewhere);
     }
   }
-  return d;
+  return differences;
 }
 
 }  // namespace oxbowmill::recovery
--- a/src/recovery/start.cpp
+++ b/src/recovery/start.cpp
@@ -7,376 +7,422 @@
 namespace oxbowmill::recovery {
 
 namespace {
-constexpr double check_every_s = 0.2;
-constexpr double stalled_s = 1;  // between two passes: what was not heard meanwhile is this node's own fault
-constexpr double told_s = 3;     // a peer's word counts so long
-constexpr std::uint32_t least_speakers = 4;  // machines that can speak for a zone
-constexpr double easing_windows = 2;
+constexpr double cycle_interval_s = 0.2;
+constexpr double max_cycle_gap_s =
+    1;  // between two passes: what was not heard meanwhile is this node's own fault
+constexpr double peer_status_lifetime_s = 3;         // a peer's word counts so long
+constexpr std::uint32_t min_reporting_machines = 4;  // machines that can speak for a zone
+constexpr double ramping_down_windows = 2;
 // A worker without an owner knocks again every second, or after the time-out of a report that hangs.
-constexpr double first_word_s = oxbowmill::Settings::report_timeout_s + 2;
-constexpr double rhythm = 1.6;  // report intervals within which a machine that is there has spoken
+constexpr double first_report_s = oxbowmill::Settings::report_timeout_s + 2;
+constexpr double max_report_intervals =
+    1.6;  // report intervals within which a machine that is there has spoken
 }  // namespace
 
-const char* name_of(PartState s) {
+const char* name_of(PartitionPhase phase) {
   static constexpr const char* names[] = {"absent",   "reading", "listening", "squaring",
                                           "settling", "easing",  "serving"};
-  return names[static_cast<int>(s)];
+  return names[static_cast<int>(phase)];
 }
 
-Start::Start(const Model& model, const Scheduler& scheduler, Settings settings)
-    : model_(model),
+Reconciler::Reconciler(const ClusterState& model, const Scheduler& scheduler, Settings settings)
+    : state_(model),
       scheduler_(scheduler),
       settings_(settings),
-      parts_(model.parts()),
-      orders_(settings.return_share * model.settings.state_write_rps,
-              std::max(1.0, settings.return_share * model.settings.state_write_rps)),
-      told_(model.parts()) {}
+      partitions_(model.partition_count()),
+      return_budget_(settings.return_rate_fraction * model.settings.state_write_rps,
+                     std::max(1.0, settings.return_rate_fraction * model.settings.state_write_rps)),
+      peer_status_(model.partition_count()) {}
 
-WordState& Start::word_of(MachineIndex m) {
-  if (m.v >= words_.size()) words_.resize(m.v + 1);
-  return words_[m.v];
+AgentLiveness& Reconciler::mutable_liveness(MachineIndex machine_index) {
+  if (machine_index.value >= liveness_.size()) liveness_.resize(machine_index.value + 1);
+  return liveness_[machine_index.value];
 }
 
-void Start::set_state(PartIndex p, PartState s, Seconds now) {
-  Part& part = parts_[p.v];
-  if (part.state == s) return;
-  const Counts& c = part.counts;
+void Reconciler::set_state(PartitionIndex partition, PartitionPhase phase, Seconds now) {
+  PartitionState& partition_state = partitions_[partition.value];
+  if (partition_state.phase == phase) return;
+  const Counts& counts = partition_state.counts;
   std::string kinds;
-  for (std::size_t i = 0; i < difference_kinds; ++i) {
-    if (c.first.count[i] != 0)
-      kinds += fmt::format(", {} {}", name_of(static_cast<Difference>(i)), c.first.count[i]);
+  for (std::size_t i = 0; i < difference_kind_count; ++i) {
+    if (counts.first_differences.count[i] != 0)
+      kinds += fmt::format(", {} {}", name_of(static_cast<Difference>(i)), counts.first_differences.count[i]);
   }
   SPDLOG_INFO(
       "start of part {}: {} -> {} after {:.1f} s: {} expected, {} heard, {} matched{}; {} suspected, {} "
       "deleted on suspicion, {} lost; {} strangers, {} stale; held back {} rentals, {} returns",
-      model_.names.parts.name(p), name_of(part.state), name_of(s), now - part.since, c.expected, c.heard,
-      c.matched, kinds, c.suspected, c.condemned, c.lost, c.strangers, c.stale, c.held_rentals.size(),
-      c.held_returns.size());
-  part.state = s;
-  if (s == PartState::settling || s == PartState::serving) {
-    if (part.squared_at < 0) part.squared_at = now;
+      state_.names.partitions.name(partition), name_of(partition_state.phase), name_of(phase),
+      now - partition_state.since, counts.expected, counts.reported, counts.matched, kinds, counts.suspected,
+      counts.marked_for_deletion, counts.lost, counts.unregistered, counts.stale,
+      counts.delayed_scale_outs.size(), counts.delayed_returns.size());
+  partition_state.phase = phase;
+  if (phase == PartitionPhase::observing_demand || phase == PartitionPhase::serving) {
+    if (partition_state.reconciled_at < 0) partition_state.reconciled_at = now;
   }
-  if (on_state) on_state();
+  if (on_phase_change) on_phase_change();
 }
 
-void Start::set_state(MachineIndex m, WordState s) {
-  WordState& w = word_of(m);
-  if (w == s) return;
+void Reconciler::set_state(MachineIndex machine_index, AgentLiveness liveness) {
+  AgentLiveness& current_liveness = mutable_liveness(machine_index);
+  if (current_liveness == liveness) return;
   // No longer ours, perhaps without a record: nothing is counted of it any more.
-  if (s == WordState::none) {
-    w = s;
+  if (liveness == AgentLiveness::none) {
+    current_liveness = liveness;
     return;
   }
-  SPDLOG_DEBUG("word of machine {}: {} -> {}", model_.names.machines.name(m), name_of(w), name_of(s));
-  const Machine& machine = model_.machine(m);
-  Counts& c = parts_[machine.rec.part.v].counts;
-  bool doubted = w == WordState::suspected || w == WordState::condemned;
-  bool speaks = s == WordState::heard || s == WordState::differing || s == WordState::squared;
-  if (s == WordState::suspected && !doubted) {
-    ++c.suspected;
-    SPDLOG_INFO("machine {}: suspected, silent while others of {} speak", model_.names.machines.name(m),
-                model_.names.zones.name(machine.rec.zone));
+  SPDLOG_DEBUG("word of machine {}: {} -> {}", state_.names.machines.name(machine_index),
+               name_of(current_liveness), name_of(liveness));
+  const Machine& machine = state_.machine(machine_index);
+  Counts& counts = partitions_[machine.record.partition.value].counts;
+  bool doubted =
+      current_liveness == AgentLiveness::suspected || current_liveness == AgentLiveness::marked_for_deletion;
+  bool speaks = liveness == AgentLiveness::reported || liveness == AgentLiveness::mismatched ||
+                liveness == AgentLiveness::reconciled;
+  if (liveness == AgentLiveness::suspected && !doubted) {
+    ++counts.suspected;
+    SPDLOG_INFO("machine {}: suspected, silent while others of {} speak",
+                state_.names.machines.name(machine_index), state_.names.zones.name(machine.record.zone));
   }
-  if (s == WordState::condemned) ++c.condemned;
-  if (s == WordState::lost) ++c.lost;
+  if (liveness == AgentLiveness::marked_for_deletion) ++counts.marked_for_deletion;
+  if (liveness == AgentLiveness::lost) ++counts.lost;
   if (doubted && speaks) {
-    experience_.returned();
-    ++c.returned;
-    SPDLOG_INFO("machine {}: speaks again", model_.names.machines.name(m));
+    suspicion_statistics_.record_return();
+    ++counts.returned;
+    SPDLOG_INFO("machine {}: speaks again", state_.names.machines.name(machine_index));
   }
   // What was deleted on suspicion tells nothing about whether the suspicion was right.
-  if (w == WordState::suspected && s == WordState::lost) experience_.lost();
-  w = s;
+  if (current_liveness == AgentLiveness::suspected && liveness == AgentLiveness::lost)
+    suspicion_statistics_.record_loss();
+  current_liveness = liveness;
 }
 
-bool Start::may_be_silent(const Machine& m) const {
-  return (!m.up && m.on.empty()) || m.rec.mark == MachineMark::deleting || m.failed_listed;
+bool Reconciler::may_be_silent(const Machine& machine) const {
+  return (!machine.has_booted && machine.placed_tasks.empty()) ||
+         machine.record.mark == MachineMark::deleting || machine.reported_failed;
 }
 
-void Start::begin(PartIndex p, Seconds now) {
-  Part& part = parts_[p.v];
-  part.claim = model_.claim(p).stamp;
-  part.since = now;
-  part.squared_at = -1;
-  part.counts = {};
-  part.zones.assign(model_.names.zones.size(), {});
-  for (Zone& z : part.zones) z.clear_since = now;
-  for (MachineIndex m : model_.machines_of(p)) {
-    const Machine& machine = model_.machine(m);
+void Reconciler::start_reconciliation(PartitionIndex partition, Seconds now) {
+  PartitionState& partition_state = partitions_[partition.value];
+  partition_state.ownership_revision = state_.ownership(partition).revision;
+  partition_state.since = now;
+  partition_state.reconciled_at = -1;
+  partition_state.counts = {};
+  partition_state.zones.assign(state_.names.zones.size(), {});
+  for (Zone& z : partition_state.zones) z.silence_counted_from = now;
+  for (MachineIndex machine_index : state_.machines_of(partition)) {
+    const Machine& machine = state_.machine(machine_index);
     bool silent = may_be_silent(machine);
-    set_state(m, WordState::none);
-    set_state(m, silent ? WordState::booting : WordState::awaited);
-    part.counts.expected += silent ? 0 : 1;
-    if (!silent) ++part.zones[machine.rec.zone.v].expected;
+    set_state(machine_index, AgentLiveness::none);
+    set_state(machine_index, silent ? AgentLiveness::booting : AgentLiveness::awaited);
+    partition_state.counts.expected += silent ? 0 : 1;
+    if (!silent) ++partition_state.zones[machine.record.zone.value].expected;
   }
-  set_state(p, PartState::listening, now);
+  set_state(partition, PartitionPhase::awaiting_reports, now);
 }
 
-void Start::on_report(const WorkerReport& r, Seconds now) {
-  MachineIndex mi = model_.find_recorded(r.machine);
-  PartIndex p = mi.valid() ? model_.machine(mi).rec.part : pool_part;
-  Part& part = parts_[p.v];
-  bool ours = scheduler_.owns(p) && part.claim == model_.claim(p).stamp;
-  switch (standing(model_, ours, mi, r)) {
-    case Standing::unrecorded:
-      if (ours) ++part.counts.strangers;
+void Reconciler::on_report(const WorkerReport& report, Seconds now) {
+  MachineIndex machine_index = state_.find_recorded(report.machine);
+  PartitionIndex p = machine_index.valid() ? state_.machine(machine_index).record.partition : idle_pool;
+  PartitionState& partition_state = partitions_[p.value];
+  bool ours = scheduler_.owns(p) && partition_state.ownership_revision == state_.ownership(p).revision;
+  switch (check_validity(state_, ours, machine_index, report)) {
+    case ReportValidity::unregistered:
+      if (ours) ++partition_state.counts.unregistered;
       return;
-    case Standing::stale:
-      ++part.counts.stale;
+    case ReportValidity::stale:
+      ++partition_state.counts.stale;
       return;
-    case Standing::not_ours:
-    case Standing::higher_token:
+    case ReportValidity::not_owned:
+    case ReportValidity::higher_token:
       return;
-    case Standing::fit:
+    case ReportValidity::valid:
       break;
   }
-  WordState& w = word_of(mi);
-  if (w == WordState::squared) return;
-  const Machine& m = model_.machine(mi);
-  bool first = w == WordState::awaited;
-  Differences differences = compare(model_, mi, r);
-  bool token_shown = r.token >= model_.least_token(m);
+  AgentLiveness& w = mutable_liveness(machine_index);
+  if (w == AgentLiveness::reconciled) return;
+  const Machine& machine = state_.machine(machine_index);
+  bool first = w == AgentLiveness::awaited;
+  Differences differences = compare(state_, machine_index, report);
+  bool fencing_token_shown = report.fencing_token >= state_.lowest_fencing_token(machine);
   if (first) {
-    ++part.counts.heard;
-    if (m.taken_over) part.zones[m.rec.zone.v].first_words.push_back(now - part.since);
-    part.counts.first += differences;
-    if (!differences.any()) ++part.counts.matched;
+    ++partition_state.counts.reported;
+    if (machine.inherited)
+      partition_state.zones[machine.record.zone.value].first_report_delays_s.push_back(now -
+                                                                                       partition_state.since);
+    partition_state.counts.first_differences += differences;
+    if (!differences.any()) ++partition_state.counts.matched;
   }
-  set_state(mi, !token_shown        ? WordState::heard
-                : differences.any() ? WordState::differing
-                                    : WordState::squared);
+  set_state(machine_index, !fencing_token_shown ? AgentLiveness::reported
+                           : differences.any()  ? AgentLiveness::mismatched
+                                                : AgentLiveness::reconciled);
 }
 
-void Start::count_zones(PartIndex p, Seconds now) {
-  Part& part = parts_[p.v];
-  part.zones.resize(model_.names.zones.size());
-  for (Zone& z : part.zones) z.due = z.heard = 0;
-  const double recent = rhythm * model_.settings.report_s + 0.5;
-  for (MachineIndex m : model_.machines_of(p)) {
-    const Machine& machine = model_.machine(m);
-    if (may_be_silent(machine) || machine.state == MachineState::silent) continue;
-    Zone& z = part.zones[machine.rec.zone.v];
-    ++z.due;
-    z.heard += machine.last_answered >= 0 && now - machine.last_answered < recent ? 1 : 0;
+void Reconciler::count_zones(PartitionIndex partition, Seconds now) {
+  PartitionState& partition_state = partitions_[partition.value];
+  partition_state.zones.resize(state_.names.zones.size());
+  for (Zone& z : partition_state.zones) z.reports_due = z.reported = 0;
+  const double recent = max_report_intervals * state_.settings.report_interval_s + 0.5;
+  for (MachineIndex m : state_.machines_of(partition)) {
+    const Machine& machine = state_.machine(m);
+    if (may_be_silent(machine) || machine.state == MachineState::lease_expired) continue;
+    Zone& z = partition_state.zones[machine.record.zone.value];
+    ++z.reports_due;
+    z.reported +=
+        machine.last_answered_report_at >= 0 && now - machine.last_answered_report_at < recent ? 1 : 0;
   }
-  for (std::uint32_t i = 0; i < part.zones.size(); ++i) {
-    Zone& z = part.zones[i];
-    z.speaks = z.due >= least_speakers && z.heard >= settings_.heard_share * z.due;
+  for (std::uint32_t i = 0; i < partition_state.zones.size(); ++i) {
+    Zone& zone = partition_state.zones[i];
+    zone.has_enough_reports = zone.reports_due >= min_reporting_machines &&
+                              zone.reported >= settings_.reported_fraction * zone.reports_due;
     // Where a zone as a whole is not heard, no single machine of it is to blame. In a start all had the same
     // time to speak, so it counts from there.
-    if ((!z.speaks && part.state != PartState::listening) || scheduler_.dark(ZoneIndex{i}, now))
-      z.clear_since = now;
+    if ((!zone.has_enough_reports && partition_state.phase != PartitionPhase::awaiting_reports) ||
+        scheduler_.is_unreachable(ZoneIndex{i}, now))
+      zone.silence_counted_from = now;
   }
 }
 
-void Start::doubt(PartIndex p, Seconds now) {
-  Part& part = parts_[p.v];
-  Seconds patience = model_.settings.arrival_s();
-  for (MachineIndex mi : model_.machines_of(p)) {
-    const Machine& m = model_.machine(mi);
-    WordState& w = word_of(mi);
+void Reconciler::update_suspicions(PartitionIndex partition, Seconds now) {
+  PartitionState& partition_state = partitions_[partition.value];
+  Seconds patience = state_.settings.first_report_timeout_s();
+  for (MachineIndex machine_index : state_.machines_of(partition)) {
+    const Machine& machine = state_.machine(machine_index);
+    AgentLiveness& current_liveness = mutable_liveness(machine_index);
     // Handed over, taken in or up since: it is one of ours now.
-    if (may_be_silent(m)) {
-      if (w == WordState::none) set_state(mi, WordState::booting);
-      if (w == WordState::suspected && m.rec.mark == MachineMark::deleting)
-        set_state(mi, WordState::condemned);
+    if (may_be_silent(machine)) {
+      if (current_liveness == AgentLiveness::none) set_state(machine_index, AgentLiveness::booting);
+      if (current_liveness == AgentLiveness::suspected && machine.record.mark == MachineMark::deleting)
+        set_state(machine_index, AgentLiveness::marked_for_deletion);
       continue;
     }
-    if (m.state == MachineState::silent) {
-      set_state(mi, WordState::lost);
+    if (machine.state == MachineState::lease_expired) {
+      set_state(machine_index, AgentLiveness::lost);
       continue;
     }
-    bool spoken = m.last_answered >= m.part_since;
-    if (w == WordState::none || w == WordState::booting || w == WordState::lost)
-      set_state(mi, spoken ? WordState::squared : WordState::awaited);
-    Zone& z = part.zones[m.rec.zone.v];
+    bool spoken = machine.last_answered_report_at >= machine.in_partition_since;
+    if (current_liveness == AgentLiveness::none || current_liveness == AgentLiveness::booting ||
+        current_liveness == AgentLiveness::lost)
+      set_state(machine_index, spoken ? AgentLiveness::reconciled : AgentLiveness::awaited);
+    Zone& zone = partition_state.zones[machine.record.zone.value];
     // An earlier owner that lacks only the state service keeps its workers through its grace: they are well,
     // and with it. (Without this a cut of one owner had 268 machines deleted that ran on.)
-    Seconds from = std::max({m.last_answered, m.taken_over ? scheduler_.ours_alone_since(m) : m.part_since,
-                             z.clear_since, clear_since_});
+    Seconds from = std::max(
+        {machine.last_answered_report_at,
+         machine.inherited ? scheduler_.exclusively_owned_since(machine) : machine.in_partition_since,
+         zone.silence_counted_from, silence_counted_from_});
     Seconds after = patience;
-    if (m.taken_over && m.last_answered < 0 && model_.all_anew_since() >= 0) {
-      double t = threshold(z.first_words, z.expected, first_word_s, patience, settings_);
+    if (machine.inherited && machine.last_answered_report_at < 0 && state_.all_reacquired_since() >= 0) {
+      double t =
+          suspicion_threshold(zone.first_report_delays_s, zone.expected, first_report_s, patience, settings_);
       after = t < 0 ? 1e9 : t;
     }
-    if (w != WordState::suspected && w != WordState::condemned) {
-      if (z.speaks && now - from > after) set_state(mi, WordState::suspected);
+    if (current_liveness != AgentLiveness::suspected &&
+        current_liveness != AgentLiveness::marked_for_deletion) {
+      if (zone.has_enough_reports && now - from > after) set_state(machine_index, AgentLiveness::suspected);
     }
-    if (w == WordState::suspected && settings_.delete_suspects && z.speaks && !m.rec.market.valid()) {
-      Seconds proof_at = scheduler_.proved_empty_at(m);
-      Stake s = stake(model_, mi, proof_at, chance_of_word(experience_, now - from, proof_at - now), now);
+    if (current_liveness == AgentLiveness::suspected && settings_.delete_suspects &&
+        zone.has_enough_reports && !machine.record.market.valid()) {
+      Seconds proof_at = scheduler_.proven_empty_at(machine);
+      DeletionTradeoff s =
+          deletion_tradeoff(state_, machine_index, proof_at,
+                            report_probability(suspicion_statistics_, now - from, proof_at - now), now);
       // Each costs changes that others' work waits for too: from the same budget as returns.
-      if (s.pays() && orders_.take(1, now)) set_state(mi, WordState::condemned);
+      if (s.is_worthwhile() && return_budget_.take(1, now))
+        set_state(machine_index, AgentLiveness::marked_for_deletion);
     }
   }
 }
 
-void Start::advance(PartIndex p, Seconds now) {
-  Part& part = parts_[p.v];
+void Reconciler::advance_phase(PartitionIndex partition, Seconds now) {
+  PartitionState& partition_state = partitions_[partition.value];
   std::uint32_t open = 0, waited_for = 0;
-  for (MachineIndex m : model_.machines_of(p)) {
-    WordState s = word(m);
-    const Machine& machine = model_.machine(m);
-    bool at_start = machine.taken_over && !may_be_silent(machine);
-    open += static_cast<unsigned int>(at_start && (s == WordState::awaited || s == WordState::heard ||
-                                                   s == WordState::differing || s == WordState::suspected ||
-                                                   s == WordState::condemned));
-    waited_for += static_cast<unsigned int>(at_start && s == WordState::awaited);
+  for (MachineIndex m : state_.machines_of(partition)) {
+    AgentLiveness liveness = agent_liveness(m);
+    const Machine& machine = state_.machine(m);
+    bool at_start = machine.inherited && !may_be_silent(machine);
+    open += static_cast<unsigned int>(
+        at_start && (liveness == AgentLiveness::awaited || liveness == AgentLiveness::reported ||
+                     liveness == AgentLiveness::mismatched || liveness == AgentLiveness::suspected ||
+                     liveness == AgentLiveness::marked_for_deletion));
+    waited_for += static_cast<unsigned int>(at_start && liveness == AgentLiveness::awaited);
   }
-  if (part.state == PartState::listening) {
+  if (partition_state.phase == PartitionPhase::awaiting_reports) {
     // By what was heard, not by a clock; the clock only ends the wait for machines that nobody hears.
-    bool enough = part.counts.heard >= settings_.enough_share * part.counts.expected;
-    if (enough || waited_for == 0 || now - part.since > model_.settings.arrival_s())
-      set_state(p, PartState::squaring, now);
+    bool enough =
+        partition_state.counts.reported >= settings_.sufficient_fraction * partition_state.counts.expected;
+    if (enough || waited_for == 0 || now - partition_state.since > state_.settings.first_report_timeout_s())
+      set_state(partition, PartitionPhase::reconciling, now);
   }
   // Nothing was running before: there is nothing to square and no demand that was forgotten.
-  bool fresh = part.counts.expected == 0;
-  for (std::uint32_t i = 0; i < parts_.size(); ++i) fresh = fresh && model_.machines_of(PartIndex{i}).empty();
+  bool fresh = partition_state.counts.expected == 0;
+  for (std::uint32_t i = 0; i < partitions_.size(); ++i)
+    fresh = fresh && state_.machines_of(PartitionIndex{i}).empty();
   // What is still open once every silence is proof holds nothing back any more: a machine that a lease says
   // nothing of (empty, and handed over to us) must not keep all others from going back.
-  bool proved = now - part.since > model_.settings.takeover_silence_s() + model_.settings.report_s;
-  if (part.state == PartState::squaring && (open == 0 || proved))
-    set_state(p, p == pool_part && !fresh ? PartState::settling : PartState::serving, now);
-  if (part.state == PartState::settling && now - part.since > settings_.demand_window_s)
-    set_state(p, PartState::easing, now);
-  if (part.state == PartState::easing && now - part.since > (1 + easing_windows) * settings_.demand_window_s)
-    set_state(p, PartState::serving, now);
+  bool proved =
+      now - partition_state.since > state_.settings.failover_silence_s() + state_.settings.report_interval_s;
+  if (partition_state.phase == PartitionPhase::reconciling && (open == 0 || proved))
+    set_state(partition,
+              partition == idle_pool && !fresh ? PartitionPhase::observing_demand : PartitionPhase::serving,
+              now);
+  if (partition_state.phase == PartitionPhase::observing_demand &&
+      now - partition_state.since > settings_.demand_window_s)
+    set_state(partition, PartitionPhase::ramping_down, now);
+  if (partition_state.phase == PartitionPhase::ramping_down &&
+      now - partition_state.since > (1 + ramping_down_windows) * settings_.demand_window_s)
+    set_state(partition, PartitionPhase::serving, now);
 }
 
-void Start::pass(Seconds now) {
-  if (now - passed_at_ < check_every_s) return;
-  if (born_ < 0) born_ = now;
-  if (now - passed_at_ > stalled_s) clear_since_ = now;
-  passed_at_ = now;
-  for (std::uint32_t i = 0; i < parts_.size(); ++i) {
-    PartIndex p{i};
-    Part& part = parts_[i];
-    const Claim& claim = model_.claim(p);
-    if (!scheduler_.owns(p)) {
-      bool ours =
-          claim.stamp != 0 && claim.rec.node == model_.settings.node && part.state == PartState::absent;
-      if (ours) part.since = now;
-      set_state(p, ours ? PartState::reading : PartState::absent, now);
-      if (!ours) part.claim = 0;
+void Reconciler::run_cycle(Seconds now) {
+  if (now - last_cycle_at_ < cycle_interval_s) return;
+  if (first_cycle_at_ < 0) first_cycle_at_ = now;
+  if (now - last_cycle_at_ > max_cycle_gap_s) silence_counted_from_ = now;
+  last_cycle_at_ = now;
+  for (std::uint32_t i = 0; i < partitions_.size(); ++i) {
+    PartitionIndex partition{i};
+    PartitionState& partition_state = partitions_[i];
+    const Ownership& ownership = state_.ownership(partition);
+    if (!scheduler_.owns(partition)) {
+      bool ours = ownership.revision != 0 && ownership.record.controller == state_.settings.controller_name &&
+                  partition_state.phase == PartitionPhase::not_owned;
+      if (ours) partition_state.since = now;
+      set_state(partition, ours ? PartitionPhase::loading_state : PartitionPhase::not_owned, now);
+      if (!ours) partition_state.ownership_revision = 0;
       continue;
     }
-    if (part.claim != claim.stamp) begin(p, now);
-    count_zones(p, now);
-    doubt(p, now);
-    advance(p, now);
+    if (partition_state.ownership_revision != ownership.revision) start_reconciliation(partition, now);
+    count_zones(partition, now);
+    update_suspicions(partition, now);
+    advance_phase(partition, now);
   }
-  forget_others(now);
+  expire_peer_hints(now);
 }
 
-void Start::forget_others(Seconds now) {
-  for (auto it = told_suspects_.begin(); it != told_suspects_.end();) {
-    it = now - it->second > told_s ? told_suspects_.erase(it) : std::next(it);
+void Reconciler::expire_peer_hints(Seconds now) {
+  for (auto it = peer_suspects_.begin(); it != peer_suspects_.end();) {
+    it = now - it->second > peer_status_lifetime_s ? peer_suspects_.erase(it) : std::next(it);
   }
-  for (auto it = replaced_.begin(); it != replaced_.end();) {
-    it = now - it->second > model_.settings.takeover_silence_s() ? replaced_.erase(it) : std::next(it);
+  for (auto it = replacement_requested_at_.begin(); it != replacement_requested_at_.end();) {
+    it = now - it->second > state_.settings.failover_silence_s() ? replacement_requested_at_.erase(it)
+                                                                 : std::next(it);
   }
-  for (std::uint32_t i = 0; i < words_.size(); ++i) {
+  for (std::uint32_t i = 0; i < liveness_.size(); ++i) {
     MachineIndex m{i};
-    const Machine& machine = model_.machine(m);
-    bool ours = machine.stamp != 0 && scheduler_.owns(machine.rec.part);
-    if (!ours && words_[i] != WordState::none) set_state(m, WordState::none);
+    const Machine& machine = state_.machine(m);
+    bool ours = machine.revision != 0 && scheduler_.owns(machine.record.partition);
+    if (!ours && liveness_[i] != AgentLiveness::none) set_state(m, AgentLiveness::none);
   }
 }
 
-std::vector<PartWord> Start::part_words() const {
-  std::vector<PartWord> out;
-  for (std::uint32_t i = 0; i < parts_.size(); ++i) {
-    const Part& p = parts_[i];
-    if (p.claim != 0) out.push_back({PartIndex{i}, p.claim, p.state, p.counts.expected, p.counts.heard});
+std::vector<PartitionStatus> Reconciler::partition_statuses() const {
+  std::vector<PartitionStatus> out;
+  for (std::uint32_t i = 0; i < partitions_.size(); ++i) {
+    const PartitionState& p = partitions_[i];
+    if (p.ownership_revision != 0)
+      out.push_back({PartitionIndex{i}, p.ownership_revision, p.phase, p.counts.expected, p.counts.reported});
   }
   return out;
 }
 
-std::vector<MachineIndex> Start::suspects(std::size_t most) const {
+std::vector<MachineIndex> Reconciler::suspects(std::size_t most) const {
   std::vector<MachineIndex> out;
-  for (std::uint32_t i = 0; i < parts_.size(); ++i) {
-    if (parts_[i].claim == 0) continue;
-    for (MachineIndex m : model_.machines_of(PartIndex{i})) {
-      WordState s = word(m);
-      if (out.size() < most && (s == WordState::suspected || s == WordState::condemned)) out.push_back(m);
+  for (std::uint32_t i = 0; i < partitions_.size(); ++i) {
+    if (partitions_[i].ownership_revision == 0) continue;
+    for (MachineIndex m : state_.machines_of(PartitionIndex{i})) {
+      AgentLiveness s = agent_liveness(m);
+      if (out.size() < most && (s == AgentLiveness::suspected || s == AgentLiveness::marked_for_deletion))
+        out.push_back(m);
     }
   }
   return out;
 }
 
-void Start::heard_of(const PartWord& w, Seconds now) {
+void Reconciler::on_peer_status(const PartitionStatus& w, Seconds now) {
   // Hints of several terms may cross: the later claim speaks.
-  if (w.part.valid() && w.part.v < told_.size() && w.claim >= told_[w.part.v].word.claim)
-    told_[w.part.v] = {w, now};
+  if (w.partition.valid() && w.partition.value < peer_status_.size() &&
+      w.ownership_revision >= peer_status_[w.partition.value].status.ownership_revision)
+    peer_status_[w.partition.value] = {w, now};
 }
 
-void Start::heard_of_suspect(MachineIndex m, Seconds now) {
-  if (m.valid()) told_suspects_[m] = now;
+void Reconciler::on_peer_suspect(MachineIndex machine_index, Seconds now) {
+  if (machine_index.valid()) peer_suspects_[machine_index] = now;
 }
 
-bool Start::suspected(MachineIndex m) const {
-  WordState s = word(m);
-  return s == WordState::suspected || s == WordState::condemned || told_suspects_.count(m) != 0;
+bool Reconciler::suspected(MachineIndex machine_index) const {
+  AgentLiveness s = agent_liveness(machine_index);
+  return s == AgentLiveness::suspected || s == AgentLiveness::marked_for_deletion ||
+         peer_suspects_.count(machine_index) != 0;
 }
 
-bool Start::condemned(MachineIndex m) const {
-  return word(m) == WordState::condemned;
+bool Reconciler::marked_for_deletion(MachineIndex machine_index) const {
+  return agent_liveness(machine_index) == AgentLiveness::marked_for_deletion;
 }
 
-bool Start::still_listening(PartIndex p, Seconds now) const {
-  if (parts_[p.v].claim != 0) return parts_[p.v].state <= PartState::listening;
-  const Claim& claim = model_.claim(p);
-  const Told& told = told_[p.v];
-  if (claim.stamp != 0 && told.word.claim == claim.stamp && now - told.at < told_s)
-    return told.word.state <= PartState::listening;
+bool Reconciler::still_awaiting_reports(PartitionIndex partition, Seconds now) const {
+  if (partitions_[partition.value].ownership_revision != 0)
+    return partitions_[partition.value].phase <= PartitionPhase::awaiting_reports;
+  const Ownership& ownership = state_.ownership(partition);
+  const PeerStatus& peer_status = peer_status_[partition.value];
+  if (ownership.revision != 0 && peer_status.status.ownership_revision == ownership.revision &&
+      now - peer_status.received_at < peer_status_lifetime_s)
+    return peer_status.status.phase <= PartitionPhase::awaiting_reports;
   // Nobody's, or its owner says nothing (it may be of an older version): for as long as a start may listen.
-  return now - std::max(claim.since, parts_[pool_part.v].since) <= model_.settings.arrival_s();
+  return now - std::max(ownership.since, partitions_[idle_pool.value].since) <=
+         state_.settings.first_report_timeout_s();
 }
 
-bool Start::may_rent(PartIndex part, JobIndex job, bool guaranteed, Seconds now) {
-  if (guaranteed || !scheduler_.owns(pool_part)) return true;
+bool Reconciler::may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) {
+  if (guaranteed || !scheduler_.owns(idle_pool)) return true;
   // A leader that was there before knows what is up. (Held for sixteen seconds in the middle of a burst,
   // while an earlier owner kept its workers, rentals came too late on maktaba-monastir-voice.)
-  if (born_ < 0 || now - born_ > 2 * model_.settings.arrival_s()) return true;
-  Part& pool = parts_[pool_part.v];
+  if (first_cycle_at_ < 0 || now - first_cycle_at_ > 2 * state_.settings.first_report_timeout_s())
+    return true;
+  PartitionState& pool = partitions_[idle_pool.value];
   // Without recorded machines there is nothing that could yet turn up and make a rental needless.
-  bool nothing = model_.machines_of(part).empty() && model_.machines_of(pool_part).empty();
-  bool held = pool.claim != 0 && !nothing && (still_listening(part, now) || still_listening(pool_part, now));
-  if (held && job.valid()) pool.counts.held_rentals.insert(job);
-  return !held;
+  bool nothing = state_.machines_of(partition).empty() && state_.machines_of(idle_pool).empty();
+  bool delayed = pool.ownership_revision != 0 && !nothing &&
+                 (still_awaiting_reports(partition, now) || still_awaiting_reports(idle_pool, now));
+  if (delayed && job.valid()) pool.counts.delayed_scale_outs.insert(job);
+  return !delayed;
 }
 
-bool Start::may_return(MachineIndex m, Seconds now) {
-  Part& pool = parts_[pool_part.v];
-  if (pool.state == PartState::serving || pool.state == PartState::absent) return true;
-  bool may = pool.state == PartState::easing && orders_.take(1, now);
-  if (!may) pool.counts.held_returns.insert(m);
+bool Reconciler::may_return(MachineIndex machine_index, Seconds now) {
+  PartitionState& pool = partitions_[idle_pool.value];
+  if (pool.phase == PartitionPhase::serving || pool.phase == PartitionPhase::not_owned) return true;
+  bool may = pool.phase == PartitionPhase::ramping_down && return_budget_.take(1, now);
+  if (!may) pool.counts.delayed_returns.insert(machine_index);
   return may;
 }
 
-std::vector<Replacement> Start::replacements(Seconds now) const {
+std::vector<Replacement> Reconciler::replacements(Seconds now) const {
   std::vector<Replacement> out;
-  std::size_t up = 0;
+  std::size_t running_machines = 0;
   double gone = 0;  // how many are expected not to come back
-  for (std::uint32_t i = 0; i < model_.machine_count(); ++i) {
-    MachineIndex mi{i};
-    const Machine& m = model_.machine(mi);
-    if (m.stamp == 0) continue;
-    up += m.up ? 1 : 0;
-    if (m.on.empty() || !suspected(mi) || scheduler_.dark(m.rec.zone, now)) continue;
-    Seconds from = std::max(m.last_answered, m.part_since);
-    Seconds proof_at = from + model_.settings.lease_over_s();
-    gone += 1 - chance_of_word(experience_, now - from, proof_at - now);
-    if (replaced_.count(mi) == 0) out.push_back({mi, m.rec.part, {m.rec.type, m.rec.zone, m.rec.spot}});
+  for (std::uint32_t i = 0; i < state_.machine_count(); ++i) {
+    MachineIndex machine_index{i};
+    const Machine& machine = state_.machine(machine_index);
+    if (machine.revision == 0) continue;
+    running_machines += machine.has_booted ? 1 : 0;
+    if (machine.placed_tasks.empty() || !suspected(machine_index) ||
+        scheduler_.is_unreachable(machine.record.zone, now))
+      continue;
+    Seconds from = std::max(machine.last_answered_report_at, machine.in_partition_since);
+    Seconds proof_at = from + state_.settings.lease_expiry_s();
+    gone += 1 - report_probability(suspicion_statistics_, now - from, proof_at - now);
+    if (replacement_requested_at_.count(machine_index) == 0)
+      out.push_back({machine_index,
+                     machine.record.partition,
+                     {machine.record.type, machine.record.zone, machine.record.spot}});
   }
-  double wanted = std::min(gone, settings_.replace_share * static_cast<double>(up));
-  auto rest = static_cast<std::size_t>(std::max(0.0, wanted - static_cast<double>(replaced_.size())));
+  double wanted = std::min(gone, settings_.max_replacement_fraction * static_cast<double>(running_machines));
+  auto rest =
+      static_cast<std::size_t>(std::max(0.0, wanted - static_cast<double>(replacement_requested_at_.size())));
   if (out.size() > rest) out.resize(rest);
   return out;
 }
 
-void Start::under_way(MachineIndex suspect) {
-  replaced_.emplace(suspect, passed_at_);
+void Reconciler::replacement_started(MachineIndex suspect) {
+  replacement_requested_at_.emplace(suspect, last_cycle_at_);
 }
 
 }  // namespace oxbowmill::recovery
--- a/src/release/terms.cpp
+++ b/src/release/terms.cpp
@@ -8,21 +8,21 @@
 
 using Json = nlohmann::json;
 
-Json write(const Matcher& m) {
-  if (!m.ref.empty()) return m.ref;
-  return {{"class", m.job_class}, {"image", m.image}, {"count", m.count}};
+Json to_json(const JobMatcher& matcher) {
+  if (!matcher.ref.empty()) return matcher.ref;
+  return {{"class", matcher.job_class}, {"image", matcher.image}, {"count", matcher.count}};
 }
 
-Matcher read_matcher(const Json& j) {
-  Matcher m;
-  if (j.is_string()) {
-    m.ref = j.get<std::string>();
+JobMatcher matcher_from_json(const Json& json) {
+  JobMatcher matcher;
+  if (json.is_string()) {
+    matcher.ref = json.get<std::string>();
   } else {
-    m.job_class = j.at("class").get<std::string>();
-    m.image = j.at("image").get<std::string>();
-    m.count = j.value("count", 1U);
+    matcher.job_class = json.at("class").get<std::string>();
+    matcher.image = json.at("image").get<std::string>();
+    matcher.count = json.value("count", 1U);
   }
-  return m;
+  return matcher;
 }
 
 bool usable(const std::string& name) {
@@ -32,71 +32,74 @@
 
 }  // namespace
 
-std::string to_text(const Terms& t) {
-  Json j = {{"name", t.name}, {"revision", t.revision}, {"editions", Json::array()}};
-  for (const Edition& e : t.editions) {
+std::string to_text(const ReleaseSpec& release_spec) {
+  Json json = {{"name", release_spec.name}, {"revision", release_spec.revision}, {"editions", Json::array()}};
+  for (const Edition& e : release_spec.editions) {
     Json renders = Json::array();
-    for (const Matcher& m : e.renders) renders.push_back(write(m));
-    j["editions"].push_back({{"name", e.name}, {"render", renders}, {"publish", write(e.publish)}});
+    for (const JobMatcher& m : e.render_jobs) renders.push_back(to_json(m));
+    json["editions"].push_back({{"name", e.name}, {"render", renders}, {"publish", to_json(e.publish_job)}});
   }
-  if (t.when) {
-    const Appointed& a = *t.when;
-    j["when"] = {{"zone", a.zone},        {"weekdays", a.weekdays}, {"date", a.date},
-                 {"at", a.second_of_day}, {"window", a.window_s},   {"holidays", a.holidays}};
+  if (release_spec.publish_time) {
+    const ScheduledTime& a = *release_spec.publish_time;
+    json["when"] = {{"zone", a.zone},        {"weekdays", a.weekdays}, {"date", a.date},
+                    {"at", a.second_of_day}, {"window", a.window_s},   {"holidays", a.excluded_dates}};
   }
-  return j.dump();
+  return json.dump();
 }
 
-std::optional<Terms> from_text(const std::string& text) {
-  Json j = Json::parse(text, nullptr, false);
-  if (!j.is_object()) return std::nullopt;
+std::optional<ReleaseSpec> from_text(const std::string& text) {
+  Json json = Json::parse(text, nullptr, false);
+  if (!json.is_object()) return std::nullopt;
   try {
-    Terms t;
-    t.name = j.at("name").get<std::string>();
-    t.revision = j.at("revision").get<std::string>();
-    for (const Json& e : j.at("editions")) {
-      Edition x;
-      x.name = e.at("name").get<std::string>();
-      for (const Json& m : e.at("render")) x.renders.push_back(read_matcher(m));
-      x.publish = read_matcher(e.at("publish"));
-      t.editions.push_back(std::move(x));
+    ReleaseSpec terms;
+    terms.name = json.at("name").get<std::string>();
+    terms.revision = json.at("revision").get<std::string>();
+    for (const Json& edition_json : json.at("editions")) {
+      Edition edition;
+      edition.name = edition_json.at("name").get<std::string>();
+      for (const Json& m : edition_json.at("render")) edition.render_jobs.push_back(matcher_from_json(m));
+      edition.publish_job = matcher_from_json(edition_json.at("publish"));
+      terms.editions.push_back(std::move(edition));
     }
-    if (auto w = j.find("when"); w != j.end()) {
-      Appointed a;
-      a.zone = w->at("zone").get<std::string>();
-      a.weekdays = w->at("weekdays").get<std::vector<unsigned>>();
-      a.date = w->at("date").get<std::string>();
-      a.second_of_day = w->at("at").get<unsigned>();
-      a.window_s = w->at("window").get<double>();
-      a.holidays = w->at("holidays").get<std::set<std::string>>();
-      if (!fault_of(a).empty()) return std::nullopt;
-      t.when = std::move(a);
+    if (auto when_it = json.find("when"); when_it != json.end()) {
+      ScheduledTime scheduled;
+      scheduled.zone = when_it->at("zone").get<std::string>();
+      scheduled.weekdays = when_it->at("weekdays").get<std::vector<unsigned>>();
+      scheduled.date = when_it->at("date").get<std::string>();
+      scheduled.second_of_day = when_it->at("at").get<unsigned>();
+      scheduled.window_s = when_it->at("window").get<double>();
+      scheduled.excluded_dates = when_it->at("holidays").get<std::set<std::string>>();
+      if (!validation_error(scheduled).empty()) return std::nullopt;
+      terms.publish_time = std::move(scheduled);
     }
-    return fault_of(t).empty() ? std::optional<Terms>(std::move(t)) : std::nullopt;
+    return validation_error(terms).empty() ? std::optional<ReleaseSpec>(std::move(terms)) : std::nullopt;
   } catch (const Json::exception&) {
     return std::nullopt;
   }
 }
 
-std::string fault_of(const Terms& t) {
-  if (!usable(t.name)) return "name: not usable as a release's name";
-  if (t.revision.empty()) return "revision: missing";
-  if (t.editions.size() < 2) return "editions: a release pairs two or more";
+std::string validation_error(const ReleaseSpec& release_spec) {
+  if (!usable(release_spec.name)) return "name: not usable as a release's name";
+  if (release_spec.revision.empty()) return "revision: missing";
+  if (release_spec.editions.size() < 2) return "editions: a release pairs two or more";
   std::set<std::string> names, publish;
-  for (const Edition& e : t.editions) {
-    if (!usable(e.name)) return "editions: a name is not usable";
-    if (!names.insert(e.name).second) return "editions: " + e.name + " is named twice";
-    if (e.renders.empty()) return "editions: " + e.name + " renders nothing";
-    if (e.publish.count != 1) return "editions: " + e.name + " has one publishing job";
-    std::vector<const Matcher*> all = {&e.publish};
-    for (const Matcher& m : e.renders) all.push_back(&m);
-    for (const Matcher* m : all) {
-      bool by_rule = !m->job_class.empty() && !m->image.empty();
-      if (m->ref.empty() == !by_rule)
-        return "editions: " + e.name + ": a job is named by its id, or by class and image";
-      if (m->count == 0) return "editions: " + e.name + ": count: must be at least 1";
+  for (const Edition& edition : release_spec.editions) {
+    if (!usable(edition.name)) return "editions: a name is not usable";
+    if (!names.insert(edition.name).second) return "editions: " + edition.name + " is named twice";
+    if (edition.render_jobs.empty()) return "editions: " + edition.name + " renders nothing";
+    if (edition.publish_job.count != 1) return "editions: " + edition.name + " has one publishing job";
+    std::vector<const JobMatcher*> all = {&edition.publish_job};
+    for (const JobMatcher& m : edition.render_jobs) all.push_back(&m);
+    for (const JobMatcher* matcher : all) {
+      bool by_rule = !matcher->job_class.empty() && !matcher->image.empty();
+      if (matcher->ref.empty() == !by_rule)
+        return "editions: " + edition.name + ": a job is named by its id, or by class and image";
+      if (matcher->count == 0) return "editions: " + edition.name + ": count: must be at least 1";
     }
-    if (!publish.insert(e.publish.ref + " " + e.publish.job_class + " " + e.publish.image).second)
+    if (!publish
+             .insert(edition.publish_job.ref + " " + edition.publish_job.job_class + " " +
+                     edition.publish_job.image)
+             .second)
       return "editions: two publish by the same job";
   }
   return "";
--- a/src/release/times.cpp
+++ b/src/release/times.cpp
@@ -11,14 +11,15 @@
 namespace {
 
 constexpr double day_s = 86400;
-constexpr double search_s = 2 * 366 * day_s;
+constexpr double search_horizon_s = 2 * 366 * day_s;
 
 std::optional<date::local_days> parse_date(const std::string& text) {
-  std::tm tm{};
-  const char* end = strptime(text.c_str(), "%Y-%m-%d", &tm);
+  std::tm parsed_time{};
+  const char* end = strptime(text.c_str(), "%Y-%m-%d", &parsed_time);
   if (end == nullptr || *end != 0) return std::nullopt;
-  date::year_month_day d{date::year(tm.tm_year + 1900), date::month(static_cast<unsigned>(tm.tm_mon + 1)),
-                         date::day(static_cast<unsigned>(tm.tm_mday))};
+  date::year_month_day d{date::year(parsed_time.tm_year + 1900),
+                         date::month(static_cast<unsigned>(parsed_time.tm_mon + 1)),
+                         date::day(static_cast<unsigned>(parsed_time.tm_mday))};
   if (!d.ok()) return std::nullopt;
   return date::local_days(d);
 }
@@ -31,16 +32,16 @@
 
 }  // namespace
 
-std::vector<double> instants(const Appointed& a, double from, double to) {
+std::vector<double> occurrences(const ScheduledTime& scheduled, double from, double to) {
   std::vector<double> out;
-  const date::time_zone& zone = *date::locate_zone(a.zone);
+  const date::time_zone& zone = *date::locate_zone(scheduled.zone);
   auto add = [&](date::local_days day) {
-    if (a.holidays.count(date::format("%F", day)) != 0) return;
-    double t = to_seconds(zone, day, a.second_of_day);
+    if (scheduled.excluded_dates.count(date::format("%F", day)) != 0) return;
+    double t = to_seconds(zone, day, scheduled.second_of_day);
     if (t >= from && t < to) out.push_back(t);
   };
-  if (a.weekdays.empty()) {
-    if (auto day = parse_date(a.date)) add(*day);
+  if (scheduled.weekdays.empty()) {
+    if (auto day = parse_date(scheduled.date)) add(*day);
     return out;
   }
   // Local days that may hold instants of the span, whatever the zone's distance from UTC.
@@ -48,45 +49,47 @@
   auto last = date::local_days(date::days(static_cast<int>(std::floor(to / day_s)) + 1));
   for (auto day = first; day <= last; day += date::days(1)) {
     unsigned weekday = date::weekday(day).c_encoding();
-    if (std::find(a.weekdays.begin(), a.weekdays.end(), weekday) != a.weekdays.end()) add(day);
+    if (std::find(scheduled.weekdays.begin(), scheduled.weekdays.end(), weekday) != scheduled.weekdays.end())
+      add(day);
   }
   return out;
 }
 
-bool is_open(const Appointed& a, double since, double now) {
+bool is_open(const ScheduledTime& scheduled, double since, double now) {
   if (now < since) return false;
   // Without a window any instant that has passed since it is known will do; with one, only the last counts.
-  double from = a.window_s > 0 ? std::max(since - a.window_s, now - a.window_s) : since;
-  for (double t : instants(a, from, now + 1)) {
-    if (t <= now && (a.window_s <= 0 || now < t + a.window_s)) return true;
+  double from =
+      scheduled.window_s > 0 ? std::max(since - scheduled.window_s, now - scheduled.window_s) : since;
+  for (double t : occurrences(scheduled, from, now + 1)) {
+    if (t <= now && (scheduled.window_s <= 0 || now < t + scheduled.window_s)) return true;
   }
   return false;
 }
 
-std::optional<double> next_instant(const Appointed& a, double now) {
+std::optional<double> next_occurrence(const ScheduledTime& scheduled, double now) {
   // A fortnight holds the next of a weekly one unless holidays are in the way.
-  for (double span : {14 * day_s, search_s}) {
-    auto all = instants(a, now, now + span);
+  for (double span : {14 * day_s, search_horizon_s}) {
+    auto all = occurrences(scheduled, now, now + span);
     if (!all.empty()) return all.front();
   }
   return std::nullopt;
 }
 
-std::string fault_of(const Appointed& a) {
+std::string validation_error(const ScheduledTime& scheduled) {
   try {
-    date::locate_zone(a.zone);
+    date::locate_zone(scheduled.zone);
   } catch (const std::exception&) {
     return "zone: no such time zone";
   }
-  if (a.weekdays.empty() == a.date.empty()) return "either weekly or date";
-  for (unsigned w : a.weekdays) {
+  if (scheduled.weekdays.empty() == scheduled.date.empty()) return "either weekly or date";
+  for (unsigned w : scheduled.weekdays) {
     if (w > 6) return "weekly: no such day";
   }
-  if (!a.date.empty() && !parse_date(a.date)) return "date: not YYYY-MM-DD";
-  for (const std::string& h : a.holidays) {
+  if (!scheduled.date.empty() && !parse_date(scheduled.date)) return "date: not YYYY-MM-DD";
+  for (const std::string& h : scheduled.excluded_dates) {
     if (!parse_date(h)) return "holidays: not YYYY-MM-DD";
   }
-  if (a.second_of_day >= day_s) return "at: not a time of day";
+  if (scheduled.second_of_day >= day_s) return "at: not a time of day";
   return "";
 }
 
--- a/src/service/admission.cpp
+++ b/src/service/admission.cpp
@@ -5,42 +5,42 @@
 namespace oxbowmill::service {
 
 namespace {
-constexpr int malformed = 400;
-constexpr double tried_for_s = 60;  // PROTOCOL: users repeat a submission for so long
-constexpr std::size_t most_tries_known = 5000;
+constexpr int bad_request_status = 400;
+constexpr double retry_window_s = 60;  // PROTOCOL: users repeat a submission for so long
+constexpr std::size_t max_remembered_attempts = 5000;
 }  // namespace
 
-double FirstTries::tried(const wire::Json& body, double wall) {
+double FirstAttempts::record_attempt(const wire::Json& body, double wall) {
   auto ref = body.find("ref");
   if (ref == body.end() || !ref->is_string() || !wire::valid_id(ref->get_ref<const std::string&>()))
     return wall;
-  forget(wall);
-  auto [it, fresh] = first_.try_emplace(ref->get<std::string>(), wall);
+  expire(wall);
+  auto [it, fresh] = first_attempt_times_.try_emplace(ref->get<std::string>(), wall);
   if (fresh) order_.push_back(it->first);
   return std::min(wall, it->second);
 }
 
-void FirstTries::forget(double wall) {
+void FirstAttempts::expire(double wall) {
   // In the order in which they came; a clock that was set back makes some stay longer.
-  while (!order_.empty() &&
-         (order_.size() >= most_tries_known || first_.at(order_.front()) < wall - tried_for_s)) {
-    first_.erase(order_.front());
+  while (!order_.empty() && (order_.size() >= max_remembered_attempts ||
+                             first_attempt_times_.at(order_.front()) < wall - retry_window_s)) {
+    first_attempt_times_.erase(order_.front());
     order_.pop_front();
   }
 }
 
 Admission admit(const wire::Json& body, Names& names, const Settings& settings,
                 const std::vector<MachineType>& catalog, double submitted_at) {
-  Admission a;
-  a.rejection = wire::read_submission(body, names, a.spec);
-  a.for_good = a.rejection && a.rejection->status == malformed;
-  if (!a.rejection) a.rejection = wire::check_runnable(a.spec, settings, catalog);
-  if (a.rejection) return a;
-  a.spec.submitted_at = submitted_at;
-  a.record = state::job_value(a.spec, JobPhase::open, names);
-  if (static_cast<double>(a.record.dump().size()) > settings.value_kb * 1024)
-    a.rejection = wire::Rejection{malformed, "too large"};
-  return a;
+  Admission admission;
+  admission.rejection = wire::read_submission(body, names, admission.spec);
+  admission.is_permanent = admission.rejection && admission.rejection->status == bad_request_status;
+  if (!admission.rejection) admission.rejection = wire::check_runnable(admission.spec, settings, catalog);
+  if (admission.rejection) return admission;
+  admission.spec.submitted_at = submitted_at;
+  admission.record = state::job_value(admission.spec, JobPhase::open, names);
+  if (static_cast<double>(admission.record.dump().size()) > settings.max_value_kb * 1024)
+    admission.rejection = wire::Rejection{bad_request_status, "too large"};
+  return admission;
 }
 
 wire::Json submission_txn(const std::string& ref, const wire::Json& record) {
@@ -49,9 +49,9 @@
       {"apply", {{{"put", state::job_key(ref)}, {"value", record}}}}};
 }
 
-wire::Json withdrawal_txn(const std::string& ref, const wire::Json& record, Stamp stamp) {
+wire::Json withdrawal_txn(const std::string& ref, const wire::Json& record, Revision revision) {
   return {
-      {"guards", {{{"k", state::job_key(ref)}, {"stamp", stamp}}}},
+      {"guards", {{{"k", state::job_key(ref)}, {"stamp", revision}}}},
       {"apply", {{{"put", state::job_key(ref)}, {"value", state::with_phase(record, JobPhase::cancelled)}}}}};
 }
 
--- a/src/service/agreements.cpp
+++ b/src/service/agreements.cpp
@@ -5,41 +5,41 @@
 namespace oxbowmill::service {
 
 namespace {
-constexpr double decisions_share = 0.05;  // of the changes a second, for all decisions together
+constexpr double decision_rate_fraction = 0.05;  // of the changes a second, for all decisions together
 }
 
-Agreements::Agreements(Model& model, Scheduler& scheduler, state::Store& store, const config::Config& config,
-                       const std::function<double()>& now)
-    : model_(model),
-      desk_(model, scheduler, decisions_share),
-      planner_(model, desk_, scheduler, config.skew_s),
-      keeper_(model, desk_, scheduler, config.models) {
+DecisionService::DecisionService(ClusterState& model, Scheduler& scheduler, state::Store& store,
+                                 const config::Config& config, const std::function<double()>& now)
+    : state_(model),
+      decision_log_(model, scheduler, decision_rate_fraction),
+      planner_(model, decision_log_, scheduler, config.clock_skew_s),
+      model_autoscaler_(model, decision_log_, scheduler, config.models) {
   planner_.load(config.calendar);
   // A controller without a file of its own still holds what the shared state says is paired.
-  council_.add(&planner_);
-  if (!config.models.empty()) council_.add(&keeper_);
-  planner_.ask = [this, &store, now](const std::string& ref) {
-    store.get(state::final_key(ref), Urgency::rest, [this, ref, now](const state::StoreAnswer& a) {
-      if (a.status == 404) return planner_.on_final(ref, std::nullopt, now());
+  constraints_.add(&planner_);
+  if (!config.models.empty()) constraints_.add(&model_autoscaler_);
+  planner_.query_final_phase = [this, &store, now](const std::string& ref) {
+    store.get(state::final_key(ref), Urgency::other, [this, ref, now](const state::StoreResponse& a) {
+      if (a.status == 404) return planner_.on_final_phase(ref, std::nullopt, now());
       auto phase =
           a.status == 200 && a.body.contains("value") ? state::read_phase(a.body["value"]) : std::nullopt;
-      if (!phase) return planner_.on_no_answer(ref);
-      planner_.on_final(ref, *phase, now());
+      if (!phase) return planner_.on_query_failed(ref);
+      planner_.on_final_phase(ref, *phase, now());
     });
   };
-  model_.counsel = &council_;
+  state_.constraints = &constraints_;
 }
 
-Agreements::~Agreements() {
-  model_.counsel = nullptr;
+DecisionService::~DecisionService() {
+  state_.constraints = nullptr;
 }
 
-void Agreements::pass(Clock clock, Effects& out) {
-  planner_.pass(clock, out);
-  keeper_.pass(clock, out);
+void DecisionService::run_cycle(Clock clock, Effects& out) {
+  planner_.run_cycle(clock, out);
+  model_autoscaler_.run_cycle(clock, out);
 }
 
-void Agreements::load(release::Calendar calendar) {
+void DecisionService::load(release::ReleaseCalendar calendar) {
   std::uint64_t version = calendar.version;
   if (planner_.load(std::move(calendar))) {
     SPDLOG_INFO("calendar of version {} read", version);
--- a/src/service/enquiry.cpp
+++ b/src/service/enquiry.cpp
@@ -2,48 +2,48 @@
 
 namespace oxbowmill::service {
 
-using Kind = KeyRead::Kind;
+using Kind = KeyReadResult::Kind;
 
-EnquiryStep Enquiry::settle(JobPhase phase) {
-  set_state(EnquiryState::answered);
+QueryStep StatusQuery::finish(JobPhase phase) {
+  set_state(QueryState::answered);
   phase_ = phase;
-  return EnquiryStep::answer;
+  return QueryStep::answer;
 }
 
-EnquiryStep Enquiry::poll(std::optional<JobPhase> remembered) {
+QueryStep StatusQuery::poll(std::optional<JobPhase> remembered) {
   // A final phase does not change.
-  return remembered ? settle(*remembered) : EnquiryStep::wait_for_tables;
+  return remembered ? finish(*remembered) : QueryStep::wait_for_replica;
 }
 
-EnquiryStep Enquiry::on_tables(bool current, std::optional<JobPhase> live) {
+QueryStep StatusQuery::on_replica_current(bool current, std::optional<JobPhase> live) {
   if (!current) return look_up();
-  if (live) return settle(*live);
+  if (live) return finish(*live);
   // Its own key is not there, so that only the other needs to be read: two reads one after the other took
   // longer than a user waits while the state service was slow, and a job that was over got no answer
   // anywhere.
-  set_state(EnquiryState::not_in_tables);
-  return EnquiryStep::read_final;
+  set_state(QueryState::not_in_replica);
+  return QueryStep::read_final;
 }
 
-EnquiryStep Enquiry::look_up() {
+QueryStep StatusQuery::look_up() {
   // The job's own key first: it goes in the same transaction in which the final key comes, so a job that was
   // ever accepted is found under one of the two.
-  set_state(EnquiryState::begun);
-  return EnquiryStep::read_live;
+  set_state(QueryState::begun);
+  return QueryStep::read_live;
 }
 
-EnquiryStep Enquiry::on_live(const KeyRead& r) {
-  if (r.kind == Kind::found) return settle(r.phase);
-  if (r.kind == Kind::unknown) return EnquiryStep::refuse;
-  set_state(EnquiryState::not_live);
-  return EnquiryStep::read_final;
+QueryStep StatusQuery::on_live_key_read(const KeyReadResult& r) {
+  if (r.kind == Kind::found) return finish(r.phase);
+  if (r.kind == Kind::unknown) return QueryStep::refuse;
+  set_state(QueryState::not_live);
+  return QueryStep::read_final;
 }
 
-EnquiryStep Enquiry::on_final(const KeyRead& r) {
-  if (r.kind == Kind::found) return settle(r.phase);
-  if (r.kind == Kind::unknown) return EnquiryStep::refuse;
+QueryStep StatusQuery::on_final_key_read(const KeyReadResult& r) {
+  if (r.kind == Kind::found) return finish(r.phase);
+  if (r.kind == Kind::unknown) return QueryStep::refuse;
   // The tables may lack a job whose record they cannot read: only the keys themselves say that there is none.
-  return state_ == EnquiryState::not_live ? EnquiryStep::absent : look_up();
+  return state_ == QueryState::not_live ? QueryStep::absent : look_up();
 }
 
 }  // namespace oxbowmill::service
--- a/src/service/intake.cpp
+++ b/src/service/intake.cpp
@@ -4,171 +4,177 @@
 
 namespace oxbowmill::service {
 
-using state::StoreAnswer;
+using state::StoreResponse;
 using wire::Json;
 
 namespace {
-constexpr std::size_t most_finals = 20000;
+constexpr std::size_t max_final_phases = 20000;
 constexpr int retry_after_s = 1;
-constexpr int most_tries = 5;
-constexpr std::size_t most_backlog = 200;
-constexpr double silent_s = 0.8;
+constexpr int max_withdrawal_attempts = 5;
+constexpr std::size_t max_backlog = 200;
+constexpr double unresponsive_after_s = 0.8;
 
-void refuse(const net::ResponderPtr& to) {
-  to->reply(503, "", retry_after_s);
+void reply_unavailable(const net::ResponderPtr& responder) {
+  responder->reply(503, "", retry_after_s);
 }
-void reject(const net::ResponderPtr& to, int status, const std::string& reason) {
-  to->reply(status, wire::encode({{"error", reason}}));
+void reply_error(const net::ResponderPtr& responder, int status, const std::string& reason) {
+  responder->reply(status, wire::encode({{"error", reason}}));
 }
 }  // namespace
 
-void Intake::note_final(const std::string& ref, JobPhase phase) {
-  if (!finals_.emplace(ref, phase).second) return;
-  finals_order_.push_back(ref);
-  if (finals_order_.size() > most_finals) {
-    finals_.erase(finals_order_.front());
-    finals_order_.pop_front();
+void SubmissionService::remember_final_phase(const std::string& ref, JobPhase phase) {
+  if (!final_phases_.emplace(ref, phase).second) return;
+  final_phase_order_.push_back(ref);
+  if (final_phase_order_.size() > max_final_phases) {
+    final_phases_.erase(final_phase_order_.front());
+    final_phase_order_.pop_front();
   }
 }
 
-bool Intake::overloaded() const {
+bool SubmissionService::overloaded() const {
   // While the state service does not answer, or has more to do than it can, a refusal at once is the better
   // answer: nothing is held back in hope.
-  return !ready() || store_.backlog() >= most_backlog || store_.silent_for() >= silent_s;
+  return !ready() || store_.backlog() >= max_backlog || store_.unresponsive_for() >= unresponsive_after_s;
 }
 
-void Intake::go_on(const QuestionPtr& q, EnquiryStep step) {
-  using Kind = KeyRead::Kind;
+void SubmissionService::advance(const PendingQueryPtr& pending, QueryStep step) {
+  using Kind = KeyReadResult::Kind;
   switch (step) {
-    case EnquiryStep::wait_for_tables:
+    case QueryStep::wait_for_replica:
       // A read each would take the state service's whole request limit at a thousand live jobs; the tables
       // serve as well once they are known to be as new as the poll. Only what is not live there is read.
-      return when_current([this, q](bool current) {
-        const Job* j = current ? model_.live_job(model_.find_job(q->ref)) : nullptr;
-        EnquiryStep next =
-            q->enquiry.on_tables(current, j != nullptr ? std::make_optional(j->phase) : std::nullopt);
+      return when_replica_current([this, pending](bool current) {
+        const Job* j = current ? state_.live_job(state_.find_job(pending->ref)) : nullptr;
+        QueryStep next = pending->query.on_replica_current(
+            current, j != nullptr ? std::make_optional(j->phase) : std::nullopt);
         // It has waited: whether there is anything to be read now is another question.
-        go_on(q, next != EnquiryStep::answer && overloaded() ? EnquiryStep::refuse : next);
+        advance(pending, next != QueryStep::answer && overloaded() ? QueryStep::refuse : next);
       });
-    case EnquiryStep::read_live:
-    case EnquiryStep::read_final: {
-      bool live = step == EnquiryStep::read_live;
-      std::string key = live ? state::job_key(q->ref) : state::final_key(q->ref);
-      return store_.get(key, Urgency::user, [this, q, live](const StoreAnswer& a) {
-        KeyRead r;
-        auto phase =
-            a.status == 200 && a.body.contains("value") ? state::read_phase(a.body["value"]) : std::nullopt;
+    case QueryStep::read_live:
+    case QueryStep::read_final: {
+      bool live = step == QueryStep::read_live;
+      std::string key = live ? state::job_key(pending->ref) : state::final_key(pending->ref);
+      return store_.get(key, Urgency::user, [this, pending, live](const StoreResponse& response) {
+        KeyReadResult read_result;
+        auto phase = response.status == 200 && response.body.contains("value")
+                         ? state::read_phase(response.body["value"])
+                         : std::nullopt;
         if (phase) {
-          r = {Kind::found, *phase};
-        } else if (a.status == 404) {
-          r.kind = Kind::absent;
+          read_result = {Kind::found, *phase};
+        } else if (response.status == 404) {
+          read_result.kind = Kind::absent;
         }
         if (phase && live) {
-          q->stamp = a.body.value("stamp", Stamp{0});
-          q->value = a.body["value"];
+          pending->revision = response.body.value("stamp", Revision{0});
+          pending->value = response.body["value"];
         }
-        go_on(q, live ? q->enquiry.on_live(r) : q->enquiry.on_final(r));
+        advance(pending, live ? pending->query.on_live_key_read(read_result)
+                              : pending->query.on_final_key_read(read_result));
       });
     }
-    case EnquiryStep::answer:
-    case EnquiryStep::absent:
-    case EnquiryStep::refuse:
-      return q->done(step);
+    case QueryStep::answer:
+    case QueryStep::absent:
+    case QueryStep::refuse:
+      return pending->on_done(step);
   }
 }
 
-void Intake::answer_status(const std::string& ref, JobPhase phase, const net::ResponderPtr& to) {
+void SubmissionService::reply_status(const std::string& ref, JobPhase phase,
+                                     const net::ResponderPtr& responder) {
   if (phase != JobPhase::open) {
-    note_final(ref, phase);
-    to->reply(200, wire::encode(wire::job_status(ref, name_of(phase), 0, 0)));
+    remember_final_phase(ref, phase);
+    responder->reply(200, wire::encode(wire::job_status(ref, name_of(phase), 0, 0)));
     return;
   }
   std::uint32_t done = 0, running = 0;
-  if (Job* j = model_.live_job(model_.find_job(ref))) {
-    done = j->done;
-    running = static_cast<std::uint32_t>(j->placed.size());
+  if (Job* j = state_.live_job(state_.find_job(ref))) {
+    done = j->done_count;
+    running = static_cast<std::uint32_t>(j->placements.size());
   }
-  to->reply(200, wire::encode(wire::job_status(ref, running > 0 ? "running" : "queued", done, running)));
+  responder->reply(200,
+                   wire::encode(wire::job_status(ref, running > 0 ? "running" : "queued", done, running)));
 }
 
-void Intake::submit(const net::Request& r) {
-  auto body = wire::decode_map(r.body);
-  if (!body) return reject(r.responder, 400, "not a CBOR map within the size limit");
-  double first = tries_.tried(*body, wall_());
-  if (overloaded()) return refuse(r.responder);
-  Admission admission = admit(*body, model_.names, model_.settings, model_.catalog, first);
+void SubmissionService::submit(const net::Request& request) {
+  auto body = wire::decode_map(request.body);
+  if (!body) return reply_error(request.responder, 400, "not a CBOR map within the size limit");
+  double first = first_attempts_.record_attempt(*body, wall_clock_());
+  if (overloaded()) return reply_unavailable(request.responder);
+  Admission admission = admit(*body, state_.names, state_.settings, state_.catalog, first);
   std::string ref = admission.spec.ref;
-  if (admission.rejection && admission.for_good)
-    return reject(r.responder, admission.rejection->status, admission.rejection->reason);
+  if (admission.rejection && admission.is_permanent)
+    return reply_error(request.responder, admission.rejection->status, admission.rejection->reason);
   if (admission.rejection) {
     // A repeat of a job that was accepted is never turned down, whatever this node thinks of it now: judged
     // by a catalog that had changed since, it was told 422.
-    return ask(
-        ref, [this, ref, why = *admission.rejection, to = r.responder](const Question& q, EnquiryStep found) {
-          if (found == EnquiryStep::answer) return answer_status(ref, q.enquiry.phase(), to);
-          found == EnquiryStep::absent ? reject(to, why.status, why.reason) : refuse(to);
-        });
+    return query_keys(ref, [this, ref, why = *admission.rejection, to = request.responder](
+                               const PendingQuery& pending, QueryStep found) {
+      if (found == QueryStep::answer) return reply_status(ref, pending.query.phase(), to);
+      found == QueryStep::absent ? reply_error(to, why.status, why.reason) : reply_unavailable(to);
+    });
   }
-  store_.txn(submission_txn(ref, admission.record), Urgency::user,
-             [this, ref, to = r.responder](const StoreAnswer& a) {
-               if (a.status == 200) {
-                 SPDLOG_DEBUG("job {}: accepted", ref);
-                 on_write(a.body.value("ledger_rev", Stamp{0}));
-                 to->reply(201, wire::encode({{"ref", ref}, {"phase", "queued"}}));
-               } else if (a.status == 409) {
-                 ask(ref, [this, ref, to](const Question& q, EnquiryStep found) {
-                   found == EnquiryStep::answer ? answer_status(ref, q.enquiry.phase(), to) : refuse(to);
-                 });
-               } else {
-                 refuse(to);
-               }
-             });
+  store_.commit(submission_txn(ref, admission.record), Urgency::user,
+                [this, ref, responder = request.responder](const StoreResponse& response) {
+                  if (response.status == 200) {
+                    SPDLOG_DEBUG("job {}: accepted", ref);
+                    on_write(response.body.value("ledger_rev", Revision{0}));
+                    responder->reply(201, wire::encode({{"ref", ref}, {"phase", "queued"}}));
+                  } else if (response.status == 409) {
+                    query_keys(ref, [this, ref, responder](const PendingQuery& pending, QueryStep found) {
+                      found == QueryStep::answer ? reply_status(ref, pending.query.phase(), responder)
+                                                 : reply_unavailable(responder);
+                    });
+                  } else {
+                    reply_unavailable(responder);
+                  }
+                });
 }
 
-void Intake::poll(const std::string& ref, const net::ResponderPtr& to) {
-  if (!wire::valid_id(ref)) return reject(to, 404, "no such job");
-  auto known = finals_.find(ref);
-  bool remembered = known != finals_.end();
-  if (!remembered && overloaded()) return refuse(to);
-  auto q = std::make_shared<Question>();
-  q->ref = ref;
-  q->done = [this, ref, to, e = &q->enquiry](EnquiryStep found) {
-    if (found == EnquiryStep::answer) return answer_status(ref, e->phase(), to);
-    found == EnquiryStep::absent ? reject(to, 404, "no such job") : refuse(to);
+void SubmissionService::poll(const std::string& ref, const net::ResponderPtr& responder) {
+  if (!wire::valid_id(ref)) return reply_error(responder, 404, "no such job");
+  auto known = final_phases_.find(ref);
+  bool remembered = known != final_phases_.end();
+  if (!remembered && overloaded()) return reply_unavailable(responder);
+  auto pending = std::make_shared<PendingQuery>();
+  pending->ref = ref;
+  pending->on_done = [this, ref, responder, e = &pending->query](QueryStep found) {
+    if (found == QueryStep::answer) return reply_status(ref, e->phase(), responder);
+    found == QueryStep::absent ? reply_error(responder, 404, "no such job") : reply_unavailable(responder);
   };
-  go_on(q, q->enquiry.poll(remembered ? std::make_optional(known->second) : std::nullopt));
+  advance(pending, pending->query.poll(remembered ? std::make_optional(known->second) : std::nullopt));
 }
 
-void Intake::ask(const std::string& ref, std::function<void(const Question&, EnquiryStep)> fn) {
-  auto q = std::make_shared<Question>();
+void SubmissionService::query_keys(const std::string& ref,
+                                   std::function<void(const PendingQuery&, QueryStep)> fn) {
+  auto q = std::make_shared<PendingQuery>();
   q->ref = ref;
-  q->done = [fn = std::move(fn), self = q.get()](EnquiryStep found) { fn(*self, found); };
-  go_on(q, q->enquiry.look_up());
+  q->on_done = [fn = std::move(fn), self = q.get()](QueryStep found) { fn(*self, found); };
+  advance(q, q->query.look_up());
 }
 
-void Intake::withdraw(const std::string& ref, const net::ResponderPtr& to, int tries) {
-  if (!wire::valid_id(ref)) return reject(to, 404, "no such job");
-  if (overloaded()) return refuse(to);
-  auto answer = [this, ref, to](JobPhase phase) {
-    note_final(ref, phase);
-    to->reply(200, wire::encode({{"ref", ref}, {"phase", name_of(phase)}}));
+void SubmissionService::withdraw(const std::string& ref, const net::ResponderPtr& responder, int tries) {
+  if (!wire::valid_id(ref)) return reply_error(responder, 404, "no such job");
+  if (overloaded()) return reply_unavailable(responder);
+  auto answer = [this, ref, responder](JobPhase phase) {
+    remember_final_phase(ref, phase);
+    responder->reply(200, wire::encode({{"ref", ref}, {"phase", name_of(phase)}}));
   };
-  ask(ref, [this, ref, to, tries, answer](const Question& q, EnquiryStep found) {
-    if (found == EnquiryStep::absent) return reject(to, 404, "no such job");
-    if (found == EnquiryStep::refuse) return refuse(to);
-    if (q.enquiry.phase() != JobPhase::open) return answer(q.enquiry.phase());
-    store_.txn(withdrawal_txn(ref, q.value, q.stamp), Urgency::user,
-               [this, ref, to, tries, answer](const StoreAnswer& a) {
-                 if (a.status == 200) {
-                   SPDLOG_INFO("job {}: cancelled by its user", ref);
-                   on_write(a.body.value("ledger_rev", Stamp{0}));
-                   answer(JobPhase::cancelled);
-                 } else if (a.status == 409 && tries < most_tries) {
-                   withdraw(ref, to, tries + 1);
-                 } else {
-                   refuse(to);
-                 }
-               });
+  query_keys(ref, [this, ref, responder, tries, answer](const PendingQuery& pending, QueryStep found) {
+    if (found == QueryStep::absent) return reply_error(responder, 404, "no such job");
+    if (found == QueryStep::refuse) return reply_unavailable(responder);
+    if (pending.query.phase() != JobPhase::open) return answer(pending.query.phase());
+    store_.commit(withdrawal_txn(ref, pending.value, pending.revision), Urgency::user,
+                  [this, ref, responder, tries, answer](const StoreResponse& response) {
+                    if (response.status == 200) {
+                      SPDLOG_INFO("job {}: cancelled by its user", ref);
+                      on_write(response.body.value("ledger_rev", Revision{0}));
+                      answer(JobPhase::cancelled);
+                    } else if (response.status == 409 && tries < max_withdrawal_attempts) {
+                      withdraw(ref, responder, tries + 1);
+                    } else {
+                      reply_unavailable(responder);
+                    }
+                  });
   });
 }
 
--- a/src/service/mirror.cpp
+++ b/src/service/mirror.cpp
@@ -6,214 +6,217 @@
 
 namespace oxbowmill::service {
 
-using state::StoreAnswer;
+using state::StoreResponse;
 using wire::Json;
 
 namespace {
-constexpr double watch_hold_s = 1.0;
+constexpr double watch_wait_s = 1.0;
 // A watch that answers at once is not opened again sooner: opening counts against the request limit.
 constexpr double watch_spacing_s = 0.12;
-constexpr double nudged_spacing_s = 0.03;
+constexpr double hinted_spacing_s = 0.03;
 // A node that owns nothing only has to know who does: were each to follow every change at once, watching
 // would take the room of placements as controllers are added, and most of a small node's processor.
 constexpr double idle_spacing_s = 0.6;
 // Readers wait for the tables no longer than for a call of their own.
-constexpr double reader_wait_s = 0.8;
-constexpr double read_memory_s = 2;
-constexpr double often = 8;  // reads remembered from which on watches answer at once and carry them
-constexpr double reading_spacing_s = 0.3;
+constexpr double reader_timeout_s = 0.8;
+constexpr double read_rate_decay_s = 2;
+constexpr double frequent_reads = 8;  // reads remembered from which on watches answer at once and carry them
+constexpr double frequent_reads_spacing_s = 0.3;
 }  // namespace
 
-Mirror::Mirror(event_base* base, state::Store& store, Model& model, Scheduler& scheduler, Hold& hold,
-               std::function<double()> now)
+StateReplica::StateReplica(event_base* base, state::Store& store, ClusterState& model, Scheduler& scheduler,
+                           ControllerLease& lease, std::function<double()> now)
     : store_(store),
-      model_(model),
+      state_(model),
       scheduler_(scheduler),
-      hold_(hold),
-      now_(std::move(now)),
-      retry_(base,
-             [this] {
-               if (view_.live()) {
-                 watch();
-               } else {
-                 start();
-               }
-             }),
-      reader_timer_(base, [this] { give_up_readers(); }) {}
-
-void Mirror::start() {
-  view_.list();
-  listed_.clear();
+      lease_(lease),
+      clock_(std::move(now)),
+      retry_timer_(base,
+                   [this] {
+                     if (freshness_.is_live()) {
+                       watch();
+                     } else {
+                       start();
+                     }
+                   }),
+      reader_timer_(base, [this] { time_out_readers(); }) {}
+
+void StateReplica::start() {
+  freshness_.on_listing_started();
+  listed_keys_.clear();
   list_from("");
 }
 
-void Mirror::list_from(const std::string& from) {
-  store_.list(state::live_prefix, from, [this](const StoreAnswer& a) {
-    auto items = a.body.find("items");
-    if (a.status != 200 || items == a.body.end() || !items->is_array()) {
-      retry_.after(0.3);
+void StateReplica::list_from(const std::string& from) {
+  store_.list(state::live_prefix, from, [this](const StoreResponse& response) {
+    auto items = response.body.find("items");
+    if (response.status != 200 || items == response.body.end() || !items->is_array()) {
+      retry_timer_.schedule(0.3);
       return;
     }
-    view_.page(a.body.value("ledger_rev", Stamp{0}), a.sent_at);
+    freshness_.on_page(response.body.value("ledger_rev", Revision{0}), response.sent_at);
     std::string last;
     for (const Json& item : *items) {
       last = item.value("k", std::string());
-      listed_.insert(last);
+      listed_keys_.insert(last);
       auto value = item.find("value");
-      if (value != item.end()) take(last, &*value, item.value("stamp", Stamp{0}));
+      if (value != item.end()) apply_key(last, &*value, item.value("stamp", Revision{0}));
     }
-    if (a.body.value("truncated", false) && !last.empty()) {
+    if (response.body.value("truncated", false) && !last.empty()) {
       list_from(last);
       return;
     }
     // Keys that were known before and are not listed went away while nobody watched.
     std::vector<std::string> gone;
-    for (const auto& [key, stamp] : stamps_) {
-      if (stamp <= view_.revision() && listed_.count(key) == 0) gone.push_back(key);
+    for (const auto& [key, revision] : revisions_) {
+      if (revision <= freshness_.revision() && listed_keys_.count(key) == 0) gone.push_back(key);
     }
-    for (const std::string& key : gone) take(key, nullptr, view_.revision());
-    listed_.clear();
-    view_.listed();
-    scheduler_.seen_revision(view_.revision());
-    hold_.watch_answered(view_.as_of());
-    SPDLOG_INFO("state read up to revision {}: {} keys", view_.revision(), stamps_.size());
+    for (const std::string& key : gone) apply_key(key, nullptr, freshness_.revision());
+    listed_keys_.clear();
+    freshness_.on_listing_finished();
+    scheduler_.applied_revision(freshness_.revision());
+    lease_.on_watch_answered(freshness_.as_of());
+    SPDLOG_INFO("state read up to revision {}: {} keys", freshness_.revision(), revisions_.size());
     watch();
   });
 }
 
-void Mirror::nudge(Stamp revision) {
-  if (!view_.live() || revision <= view_.revision() || !retry_.pending()) return;
-  if (!scheduler_.owns_any() || now_() - last_watch_ < nudged_spacing_s) return;
-  retry_.cancel();
+void StateReplica::on_revision_hint(Revision revision) {
+  if (!freshness_.is_live() || revision <= freshness_.revision() || !retry_timer_.pending()) return;
+  if (!scheduler_.owns_any() || clock_() - last_watch_at_ < hinted_spacing_s) return;
+  retry_timer_.cancel();
   watch();
 }
 
-bool Mirror::read_often() const {
-  return reads_ * std::exp((reads_at_ - now_()) / read_memory_s) >= often;
+bool StateReplica::is_read_often() const {
+  return read_rate_ * std::exp((read_rate_at_ - clock_()) / read_rate_decay_s) >= frequent_reads;
 }
 
-void Mirror::when_current(std::function<void(bool)> fn) {
-  double now = now_();
-  reads_ = reads_ * std::exp((reads_at_ - now) / read_memory_s) + 1;
-  reads_at_ = now;
+void StateReplica::when_current(std::function<void(bool)> on_done) {
+  double now = clock_();
+  read_rate_ = read_rate_ * std::exp((read_rate_at_ - now) / read_rate_decay_s) + 1;
+  read_rate_at_ = now;
   // A watch that was open before the reader came speaks for an earlier moment, and one that is held open may
   // say so only much later.
-  bool stuck = !riding_.empty() && now - last_watch_ > reader_wait_s / 2;
-  if (!view_.live() || held_open_ || stuck || !read_often()) return fn(false);
-  waiting_.push_back({std::move(fn), now});
-  if (!reader_timer_.pending()) reader_timer_.after(reader_wait_s);
+  bool stuck = !watching_readers_.empty() && now - last_watch_at_ > reader_timeout_s / 2;
+  if (!freshness_.is_live() || long_polling_ || stuck || !is_read_often()) return on_done(false);
+  waiting_readers_.push_back({std::move(on_done), now});
+  if (!reader_timer_.pending()) reader_timer_.schedule(reader_timeout_s);
 }
 
-void Mirror::give_up_readers() {
-  double now = now_();
+void StateReplica::time_out_readers() {
+  double now = clock_();
   std::vector<std::function<void(bool)>> late;
-  for (auto* q : {&riding_, &waiting_}) {
-    while (!q->empty() && now - q->front().since >= reader_wait_s) {
-      late.push_back(std::move(q->front().fn));
+  for (auto* q : {&watching_readers_, &waiting_readers_}) {
+    while (!q->empty() && now - q->front().since >= reader_timeout_s) {
+      late.push_back(std::move(q->front().on_done));
       q->pop_front();
     }
   }
-  if (!riding_.empty() || !waiting_.empty()) {
-    double since = riding_.empty() ? waiting_.front().since : riding_.front().since;
-    reader_timer_.after(std::max(0.001, since + reader_wait_s - now));
+  if (!watching_readers_.empty() || !waiting_readers_.empty()) {
+    double since =
+        watching_readers_.empty() ? waiting_readers_.front().since : watching_readers_.front().since;
+    reader_timer_.schedule(std::max(0.001, since + reader_timeout_s - now));
   }
   for (auto& fn : late) fn(false);
 }
 
-void Mirror::watch() {
-  last_watch_ = now_();
-  held_open_ = !read_often();
-  for (Reader& r : waiting_) riding_.push_back(std::move(r));
-  waiting_.clear();
-  Stamp from = view_.revision();
-  store_.watch(state::live_prefix, from, held_open_ ? watch_hold_s : 0, [this](const StoreAnswer& a) {
-    held_open_ = false;
-    std::deque<Reader> readers = std::move(riding_);
-    riding_.clear();
-    auto answer = [&readers](bool current) {
-      for (Reader& r : readers) r.fn(current);
-    };
-    if (a.status != 200) answer(false);
-    if (a.status == 410) {
-      start();
-      return;
-    }
-    if (a.status != 200) {
-      retry_.after(0.2);
-      return;
-    }
-    auto news = a.body.find("news");
-    Stamp revision = a.body.value("ledger_rev", Stamp{0});
-    bool any = false;
-    if (news != a.body.end() && news->is_array()) {
-      for (const Json& n : *news) {
-        auto put = n.find("put");
-        auto del = n.find("delete");
-        Stamp stamp = n.value("stamp", Stamp{0});
-        any = true;
-        if (put != n.end() && put->is_string()) {
-          auto value = n.find("value");
-          if (value != n.end()) take(put->get<std::string>(), &*value, stamp);
-        } else if (del != n.end() && del->is_string()) {
-          take(del->get<std::string>(), nullptr, stamp);
-        }
-      }
-    }
-    view_.watched(revision, a.sent_at);
-    scheduler_.seen_revision(view_.revision());
-    hold_.watch_answered(view_.as_of());
-    for (auto it = removed_.begin(); it != removed_.end();) {
-      it = it->second <= view_.revision() ? removed_.erase(it) : std::next(it);
-    }
-    answer(true);
-    if (any && on_change) on_change();
-    double since = now_() - last_watch_;
-    double spacing = scheduler_.owns_any() ? watch_spacing_s
-                     : read_often()        ? reading_spacing_s
-                                           : idle_spacing_s;
-    if (since >= spacing) {
-      watch();
-    } else {
-      retry_.after(spacing - since);
-    }
-  });
+void StateReplica::watch() {
+  last_watch_at_ = clock_();
+  long_polling_ = !is_read_often();
+  for (Reader& r : waiting_readers_) watching_readers_.push_back(std::move(r));
+  waiting_readers_.clear();
+  Revision from = freshness_.revision();
+  store_.watch(state::live_prefix, from, long_polling_ ? watch_wait_s : 0,
+               [this](const StoreResponse& response) {
+                 long_polling_ = false;
+                 std::deque<Reader> readers = std::move(watching_readers_);
+                 watching_readers_.clear();
+                 auto answer = [&readers](bool current) {
+                   for (Reader& r : readers) r.on_done(current);
+                 };
+                 if (response.status != 200) answer(false);
+                 if (response.status == 410) {
+                   start();
+                   return;
+                 }
+                 if (response.status != 200) {
+                   retry_timer_.schedule(0.2);
+                   return;
+                 }
+                 auto watch_events = response.body.find("news");
+                 Revision revision = response.body.value("ledger_rev", Revision{0});
+                 bool any = false;
+                 if (watch_events != response.body.end() && watch_events->is_array()) {
+                   for (const Json& watch_event : *watch_events) {
+                     auto put = watch_event.find("put");
+                     auto removed_key = watch_event.find("delete");
+                     Revision stamp = watch_event.value("stamp", Revision{0});
+                     any = true;
+                     if (put != watch_event.end() && put->is_string()) {
+                       auto value = watch_event.find("value");
+                       if (value != watch_event.end()) apply_key(put->get<std::string>(), &*value, stamp);
+                     } else if (removed_key != watch_event.end() && removed_key->is_string()) {
+                       apply_key(removed_key->get<std::string>(), nullptr, stamp);
+                     }
+                   }
+                 }
+                 freshness_.on_watch_response(revision, response.sent_at);
+                 scheduler_.applied_revision(freshness_.revision());
+                 lease_.on_watch_answered(freshness_.as_of());
+                 for (auto it = unconfirmed_removals_.begin(); it != unconfirmed_removals_.end();) {
+                   it = it->second <= freshness_.revision() ? unconfirmed_removals_.erase(it) : std::next(it);
+                 }
+                 answer(true);
+                 if (any && on_change) on_change();
+                 double since = clock_() - last_watch_at_;
+                 double spacing = scheduler_.owns_any() ? watch_spacing_s
+                                  : is_read_often()     ? frequent_reads_spacing_s
+                                                        : idle_spacing_s;
+                 if (since >= spacing) {
+                   watch();
+                 } else {
+                   retry_timer_.schedule(spacing - since);
+                 }
+               });
 }
 
-bool Mirror::admit(const std::string& key, Stamp stamp, bool removal) {
+bool StateReplica::accept_revision(const std::string& key, Revision revision, bool removal) {
   // A put that is older than a removal already applied must not bring the key back.
-  auto r = removed_.find(key);
-  if (r != removed_.end() && stamp <= r->second) return false;
-  auto it = stamps_.find(key);
-  if (it != stamps_.end() && stamp <= it->second && !(removal && stamp == it->second)) return false;
+  auto r = unconfirmed_removals_.find(key);
+  if (r != unconfirmed_removals_.end() && revision <= r->second) return false;
+  auto it = revisions_.find(key);
+  if (it != revisions_.end() && revision <= it->second && !(removal && revision == it->second)) return false;
   if (removal) {
-    if (it == stamps_.end()) return false;
-    stamps_.erase(it);
-    removed_[key] = stamp;
+    if (it == revisions_.end()) return false;
+    revisions_.erase(it);
+    unconfirmed_removals_[key] = revision;
   } else {
-    stamps_[key] = stamp;
+    revisions_[key] = revision;
   }
   return true;
 }
 
-void Mirror::take(const std::string& key, const Json* value, Stamp stamp) {
-  if (!admit(key, stamp, value == nullptr)) return;
+void StateReplica::apply_key(const std::string& key, const Json* value, Revision revision) {
+  if (!accept_revision(key, revision, value == nullptr)) return;
   if (key == state::catalog_key) {
     if (value != nullptr && on_catalog) on_catalog(*value);
     return;
   }
-  auto change = state::decode(key, value, model_);
+  auto change = state::decode(key, value, state_);
   if (!change) {
     if (value != nullptr) SPDLOG_ERROR("state service: unreadable value of {}", key);
     return;
   }
-  model_.apply(*change, stamp, now_());
+  state_.apply(*change, revision, clock_());
 }
 
-void Mirror::applied(const std::vector<std::pair<std::string, Change>>& changes, Stamp revision) {
-  if (revision <= view_.revision()) return;  // the watch has brought it already
+void StateReplica::apply_own_write(const std::vector<std::pair<std::string, Change>>& changes,
+                                   Revision revision) {
+  if (revision <= freshness_.revision()) return;  // the watch has brought it already
   for (const auto& [key, change] : changes) {
-    if (std::holds_alternative<FinalKey>(change.key)) continue;
-    if (admit(key, revision, change.removal())) model_.apply(change, revision, now_());
+    if (std::holds_alternative<FinalPhaseKey>(change.key)) continue;
+    if (accept_revision(key, revision, change.is_removal())) state_.apply(change, revision, clock_());
   }
 }
 
--- a/src/service/outbox.cpp
+++ b/src/service/outbox.cpp
@@ -6,32 +6,32 @@
 
 using wire::Json;
 
-Outbox::Sent& Outbox::keep(const Write& w, Model& model) {
-  auto [it, fresh] = sent_.try_emplace(w.id);
-  Sent& s = it->second;
-  if (!fresh) return s;
-  s.body = {{"guards", Json::array()}, {"apply", Json::array()}};
-  for (const Guard& g : w.txn.guards)
-    s.body["guards"].push_back({{"k", state::encode_key(g.key, model)}, {"stamp", g.stamp}});
-  for (const Change& c : w.txn.changes) {
-    std::string key = state::encode_key(c.key, model);
-    Json op;
-    if (c.removal()) {
-      op["delete"] = key;
+WriteQueue::SentTransaction& WriteQueue::get_or_create(const Write& write, ClusterState& model) {
+  auto [it, fresh] = transactions_.try_emplace(write.id);
+  SentTransaction& transaction = it->second;
+  if (!fresh) return transaction;
+  transaction.body = {{"guards", Json::array()}, {"apply", Json::array()}};
+  for (const Guard& g : write.txn.guards)
+    transaction.body["guards"].push_back({{"k", state::encode_key(g.key, model)}, {"stamp", g.revision}});
+  for (const Change& change : write.txn.changes) {
+    std::string key = state::encode_key(change.key, model);
+    Json operation;
+    if (change.is_removal()) {
+      operation["delete"] = key;
     } else {
-      op["put"] = key;
-      op["value"] = state::encode_value(c, model);
+      operation["put"] = key;
+      operation["value"] = state::encode_value(change, model);
     }
-    s.body["apply"].push_back(std::move(op));
-    s.changes.emplace_back(std::move(key), c);
+    transaction.body["apply"].push_back(std::move(operation));
+    transaction.changes.emplace_back(std::move(key), change);
   }
-  SPDLOG_DEBUG("transaction {}: {}", w.id, s.body["apply"].dump());
-  return s;
+  SPDLOG_DEBUG("transaction {}: {}", write.id, transaction.body["apply"].dump());
+  return transaction;
 }
 
-Outbox::Sent* Outbox::find(std::uint64_t id) {
-  auto it = sent_.find(id);
-  return it == sent_.end() ? nullptr : &it->second;
+WriteQueue::SentTransaction* WriteQueue::find(std::uint64_t id) {
+  auto it = transactions_.find(id);
+  return it == transactions_.end() ? nullptr : &it->second;
 }
 
 }  // namespace oxbowmill::service
--- a/src/service/view.cpp
+++ b/src/service/view.cpp
@@ -4,12 +4,12 @@
 
 namespace oxbowmill::service {
 
-void View::list() {
+void ReplicaFreshness::on_listing_started() {
   set_state(SyncState::listing);
   first_page_ = true;
 }
 
-void View::page(Stamp revision, Seconds asked) {
+void ReplicaFreshness::on_page(Revision revision, Seconds asked) {
   // A key of the first page may have changed while the last was read. Credited with the time of the last one,
   // a node whose pages came seconds apart acted, and kept cancelled work alive, for so much longer than its
   // news allowed.
@@ -19,7 +19,7 @@
   as_of_ = std::max(as_of_, asked);
 }
 
-void View::watched(Stamp revision, Seconds asked) {
+void ReplicaFreshness::on_watch_response(Revision revision, Seconds asked) {
   revision_ = std::max(revision_, revision);
   as_of_ = std::max(as_of_, asked);
 }
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr double call_timeout_s = 2.0;
-constexpr double user_wait_s = 0.8;  // longer than this no user's request waits here for its turn
+constexpr double user_queue_timeout_s = 0.8;  // longer than this no user's request waits here for its turn
 // A call that gets no answer holds its connection until it times out. With six of them a share of unanswered
 // transactions, or a slow service, held up everything else: polls, placements and the transactions' own
 // repeats.
@@ -17,153 +17,158 @@
 
 Store::Store(event_base* base, const net::Address& address, const Settings& settings,
              std::function<double()> now)
-    : now_(std::move(now)),
+    : clock_(std::move(now)),
       settings_(settings),
-      calls_(base, address, connections),
-      holds_(base, address, 1),
-      watch_(base, address, 1),
-      requests_(1, 1),
-      changes_(1, 1),
-      timer_(base, [this] { pump(); }) {
-  set_live_nodes(settings.nodes);
+      client_(base, address, connections),
+      lease_client_(base, address, 1),
+      watch_client_(base, address, 1),
+      request_limit_(1, 1),
+      change_limit_(1, 1),
+      dispatch_timer_(base, [this] { dispatch(); }) {
+  set_live_controllers(settings.controller_count);
 }
 
-void Store::set_live_nodes(std::size_t n) {
+void Store::set_live_controllers(std::size_t n) {
   // The work is uneven over the nodes, so each may use more than an even share; 429 settles the rest.
   double share = n <= 1 ? 0.9 : 0.7;
   double rps = settings_.state_rps * share, writes = settings_.state_write_rps * share;
-  requests_.set_rate(rps, rps / 2);
-  changes_.set_rate(writes, std::max(writes / 2, static_cast<double>(settings_.txn_ops)));
+  request_limit_.set_rate(rps, rps / 2);
+  change_limit_.set_rate(writes, std::max(writes / 2, static_cast<double>(settings_.max_transaction_ops)));
 }
 
 std::size_t Store::backlog() const {
-  std::size_t n = calls_.waiting();
+  std::size_t n = client_.queued();
   for (const auto& q : queues_) n += q.size();
   return n;
 }
 
-double Store::silent_for() const {
-  return out_ == 0 ? 0 : now_() - last_heard_;
+double Store::unresponsive_for() const {
+  return unanswered_ == 0 ? 0 : clock_() - last_response_at_;
 }
 
-void Store::drop_stale(double now) {
+void Store::drop_stale_user_calls(double now) {
   // Its user would wait in vain and hold a connection: the answer is "come back", at once.
-  auto& q = queues_[static_cast<std::size_t>(Urgency::user)];
-  while (!q.empty() && now - q.front().queued_at > user_wait_s) {
-    AnswerFn fn = std::move(q.front().fn);
-    q.pop_front();
+  auto& queue = queues_[static_cast<std::size_t>(Urgency::user)];
+  while (!queue.empty() && now - queue.front().queued_at > user_queue_timeout_s) {
+    StoreResponseHandler fn = std::move(queue.front().on_response);
+    queue.pop_front();
     fn({});
   }
-  if (!q.empty() && !timer_.pending()) timer_.after(user_wait_s);
+  if (!queue.empty() && !dispatch_timer_.pending()) dispatch_timer_.schedule(user_queue_timeout_s);
 }
 
-void Store::submit(Urgency urgency, Call call) {
-  call.queued_at = now_();
+void Store::enqueue(Urgency urgency, Call call) {
+  call.queued_at = clock_();
   queues_[static_cast<std::size_t>(urgency)].push_back(std::move(call));
-  pump();
+  dispatch();
 }
 
-void Store::pump() {
-  double now = now_();
-  drop_stale(now);
+void Store::dispatch() {
+  double now = clock_();
+  drop_stale_user_calls(now);
   if (now < paused_until_) {
-    if (!timer_.pending()) timer_.after(paused_until_ - now);
+    if (!dispatch_timer_.pending()) dispatch_timer_.schedule(paused_until_ - now);
     return;
   }
-  for (auto& q : queues_) {
-    while (!q.empty()) {
+  for (auto& queue : queues_) {
+    while (!queue.empty()) {
       // What waits here goes in order of urgency; what waits for a connection does not.
-      if (calls_.full()) return;
+      if (client_.all_busy()) return;
       // What changes nothing does not wait for changes: behind a burst of submissions, polls of jobs that
       // were over waited until they were refused, while others were answered from the tables.
-      auto next = q.begin();
-      double wait = requests_.wait_for(1, now);
-      double for_changes = next->changes > 0 ? changes_.wait_for(next->changes, now) : 0;
+      auto next = queue.begin();
+      double wait = request_limit_.wait_for(1, now);
+      double for_changes = next->changes > 0 ? change_limit_.wait_for(next->changes, now) : 0;
       if (wait <= 0 && for_changes > 0) {
-        next = std::find_if(q.begin(), q.end(), [](const Call& c) { return c.changes == 0; });
-        if (next == q.end()) wait = for_changes;
+        next = std::find_if(queue.begin(), queue.end(), [](const Call& c) { return c.changes == 0; });
+        if (next == queue.end()) wait = for_changes;
       }
       if (wait > 0) {
-        if (!timer_.pending()) timer_.after(wait + 0.002);
+        if (!dispatch_timer_.pending()) dispatch_timer_.schedule(wait + 0.002);
         // Less urgent calls must not overtake by being smaller.
         return;
       }
       Call call = std::move(*next);
-      q.erase(next);
-      requests_.take(1, now);
-      if (call.changes > 0) changes_.take(call.changes, now);
-      send(calls_, std::move(call));
+      queue.erase(next);
+      request_limit_.take(1, now);
+      if (call.changes > 0) change_limit_.take(call.changes, now);
+      send(client_, std::move(call));
     }
   }
 }
 
 void Store::send(net::HttpClient& client, Call call) {
-  double sent_at = now_();
-  bool counts = &client == &calls_;
-  if (counts && out_++ == 0) last_heard_ = sent_at;
+  double sent_at = clock_();
+  bool counts = &client == &client_;
+  if (counts && unanswered_++ == 0) last_response_at_ = sent_at;
   client.send(call.method, call.path, std::move(call.body), call.timeout_s,
-              [this, sent_at, counts, fn = std::move(call.fn), path = call.path](const net::Response& r) {
-                if (counts) --out_;
-                if (counts && r.status != 0) last_heard_ = now_();
-                StoreAnswer a;
-                a.status = r.status;
-                a.sent_at = sent_at;
-                if (!r.body.empty()) {
-                  a.body = Json::from_cbor(r.body, true, false);
-                  if (a.body.is_discarded() || !a.body.is_object()) {
+              [this, sent_at, counts, on_response = std::move(call.on_response),
+               path = call.path](const net::Response& http_response) {
+                if (counts) --unanswered_;
+                if (counts && http_response.status != 0) last_response_at_ = clock_();
+                StoreResponse response;
+                response.status = http_response.status;
+                response.sent_at = sent_at;
+                if (!http_response.body.empty()) {
+                  response.body = Json::from_cbor(http_response.body, true, false);
+                  if (response.body.is_discarded() || !response.body.is_object()) {
                     SPDLOG_ERROR("state service: unreadable answer to {}", path);
-                    a.status = 0;
-                    a.body = Json::object();
+                    response.status = 0;
+                    response.body = Json::object();
                   }
                 }
-                if (r.status == 429 || r.status == 503) {
-                  paused_until_ = std::max(paused_until_, now_() + (r.status == 429 ? 0.1 : 0.25));
-                } else if (a.status != 0) {
-                  last_good_ = now_();
+                if (http_response.status == 429 || http_response.status == 503) {
+                  paused_until_ =
+                      std::max(paused_until_, clock_() + (http_response.status == 429 ? 0.1 : 0.25));
+                } else if (response.status != 0) {
+                  last_success_at_ = clock_();
                 }
-                fn(a);
-                if (counts) pump();
+                on_response(response);
+                if (counts) dispatch();
               });
 }
 
-void Store::get(const std::string& key, Urgency urgency, AnswerFn fn) {
-  submit(urgency, {EVHTTP_REQ_GET, "/store/" + key, "", 0, call_timeout_s, std::move(fn)});
+void Store::get(const std::string& key, Urgency urgency, StoreResponseHandler on_response) {
+  enqueue(urgency, {EVHTTP_REQ_GET, "/store/" + key, "", 0, call_timeout_s, std::move(on_response)});
 }
 
-void Store::list(const std::string& prefix, const std::string& from, AnswerFn fn) {
+void Store::list(const std::string& prefix, const std::string& from, StoreResponseHandler on_response) {
   std::string path = "/store?prefix=" + prefix + "&most=500";
   if (!from.empty()) path += "&from=" + from;
-  submit(Urgency::claim, {EVHTTP_REQ_GET, path, "", 0, 5, std::move(fn)});
+  enqueue(Urgency::ownership, {EVHTTP_REQ_GET, path, "", 0, 5, std::move(on_response)});
 }
 
-void Store::txn(const Json& body, Urgency urgency, AnswerFn fn) {
+void Store::commit(const Json& body, Urgency urgency, StoreResponseHandler on_response) {
   auto changes = static_cast<double>(body.at("apply").size());
-  submit(urgency, {EVHTTP_REQ_POST, "/txn", wire::encode(body), changes, call_timeout_s, std::move(fn)});
+  enqueue(urgency,
+          {EVHTTP_REQ_POST, "/txn", wire::encode(body), changes, call_timeout_s, std::move(on_response)});
 }
 
-void Store::open_hold(double life_s, AnswerFn fn) {
-  requests_.take(1, now_());
-  send(holds_, {EVHTTP_REQ_POST, "/holds", wire::encode({{"life_ms", static_cast<int>(life_s * 1000)}}), 0,
-                1.5, std::move(fn)});
+void Store::acquire_lease(double life_s, StoreResponseHandler on_response) {
+  request_limit_.take(1, clock_());
+  send(lease_client_,
+       {EVHTTP_REQ_POST, "/holds", wire::encode({{"life_ms", static_cast<int>(life_s * 1000)}}), 0, 1.5,
+        std::move(on_response)});
 }
 
-void Store::renew_hold(std::uint64_t id, AnswerFn fn) {
-  requests_.take(1, now_());
-  send(holds_, {EVHTTP_REQ_POST, "/holds/" + std::to_string(id) + "/renew", wire::encode(Json::object()), 0,
-                1.5, std::move(fn)});
+void Store::renew_lease(std::uint64_t id, StoreResponseHandler on_response) {
+  request_limit_.take(1, clock_());
+  send(lease_client_, {EVHTTP_REQ_POST, "/holds/" + std::to_string(id) + "/renew",
+                       wire::encode(Json::object()), 0, 1.5, std::move(on_response)});
 }
 
-void Store::end_hold(std::uint64_t id, AnswerFn fn) {
-  requests_.take(1, now_());
-  send(holds_, {EVHTTP_REQ_DELETE, "/holds/" + std::to_string(id), "", 0, 1.5, std::move(fn)});
+void Store::end_lease(std::uint64_t id, StoreResponseHandler on_response) {
+  request_limit_.take(1, clock_());
+  send(lease_client_,
+       {EVHTTP_REQ_DELETE, "/holds/" + std::to_string(id), "", 0, 1.5, std::move(on_response)});
 }
 
-void Store::watch(const std::string& prefix, Stamp from, double hold_s, AnswerFn fn) {
-  requests_.take(1, now_());
-  send(watch_, {EVHTTP_REQ_GET,
-                "/watch?prefix=" + prefix + "&from=" + std::to_string(from) +
-                    "&hold_ms=" + std::to_string(static_cast<int>(hold_s * 1000)),
-                "", 0, hold_s + 60, std::move(fn)});
+void Store::watch(const std::string& prefix, Revision from, double wait_s, StoreResponseHandler on_response) {
+  request_limit_.take(1, clock_());
+  send(watch_client_, {EVHTTP_REQ_GET,
+                       "/watch?prefix=" + prefix + "&from=" + std::to_string(from) +
+                           "&hold_ms=" + std::to_string(static_cast<int>(wait_s * 1000)),
+                       "", 0, wait_s + 60, std::move(on_response)});
 }
 
 }  // namespace oxbowmill::state
--- a/src/yaml/map.cpp
+++ b/src/yaml/map.cpp
@@ -12,9 +12,11 @@
   }
 }
 
-Map::Map(std::string file, std::string at, const YAML::Node& n) : file_(std::move(file)), at_(std::move(at)) {
-  if (!n.IsMap()) throw Error(file_ + ": " + (at_.empty() ? "" : at_ + ": ") + "not a map of settings");
-  for (const auto& e : n) left_[e.first.as<std::string>()] = e.second;
+Map::Map(std::string file, std::string machine_name, const YAML::Node& yaml_node)
+    : file_(std::move(file)), path_(std::move(machine_name)) {
+  if (!yaml_node.IsMap())
+    throw Error(file_ + ": " + (path_.empty() ? "" : path_ + ": ") + "not a map of settings");
+  for (const auto& e : yaml_node) unread_[e.first.as<std::string>()] = e.second;
 }
 
 void Map::fail(const std::string& key, const std::string& why) const {
@@ -22,21 +24,21 @@
 }
 
 std::optional<YAML::Node> Map::take(const std::string& key) {
-  auto it = left_.find(key);
-  if (it == left_.end()) return std::nullopt;
+  auto it = unread_.find(key);
+  if (it == unread_.end()) return std::nullopt;
   YAML::Node n = it->second;
-  left_.erase(it);
+  unread_.erase(it);
   return n;
 }
 
 void Map::number(const std::string& key, double& out, double least, double most) {
-  if (left_.count(key) == 0) return;
-  double v = 0;
-  get(key, v, "not a number");
-  if (!std::isfinite(v) || v < least || v > most) {
+  if (unread_.count(key) == 0) return;
+  double value = 0;
+  get(key, value, "not a number");
+  if (!std::isfinite(value) || value < least || value > most) {
     fail(key, "must be from " + YAML::Dump(YAML::Node(least)) + " to " + YAML::Dump(YAML::Node(most)));
   }
-  out = v;
+  out = value;
 }
 
 std::string Map::text(const std::string& key) {
@@ -47,12 +49,12 @@
 
 std::vector<std::string> Map::keys() const {
   std::vector<std::string> out;
-  for (const auto& [k, n] : left_) out.push_back(k);
+  for (const auto& [k, n] : unread_) out.push_back(k);
   return out;
 }
 
-void Map::done() const {
-  if (!left_.empty()) fail(left_.begin()->first, "unknown setting");
+void Map::reject_unknown_keys() const {
+  if (!unread_.empty()) fail(unread_.begin()->first, "unknown setting");
 }
 
 }  // namespace oxbowmill::yaml
--- a/tests/accord_test.cpp
+++ b/tests/accord_test.cpp
@@ -7,192 +7,204 @@
 namespace oxbowmill {
 namespace {
 
-using accord::Asked;
-using accord::Desk;
-using accord::Kind;
-using lab::Cluster;
-using lab::Fate;
+using accord::ChangeResult;
+using accord::DecisionKind;
+using accord::DecisionLog;
+using lab::SimulatedCluster;
 using lab::test_job;
+using lab::WriteOutcome;
 
-const Kind lamp = {"lamp", {{"", "off"}, {"off", "on"}, {"on", "on"}, {"on", "off"}}};
+const DecisionKind lamp_kind = {"lamp", {{"", "off"}, {"off", "on"}, {"on", "on"}, {"on", "off"}}};
 
 /// One controller's wish, sent as its pass would send it.
-Asked wish(Cluster& c, std::size_t node, Desk& desk, const std::string& state, PartIndex by = pool_part,
-           std::uint64_t epoch = 0) {
-  lab::Controller& n = c.node(node);
+ChangeResult request_change(SimulatedCluster& cluster, std::size_t node, DecisionLog& decision_log,
+                            const std::string& state, PartitionIndex partition = idle_pool,
+                            std::uint64_t epoch = 0) {
+  lab::SimulatedController& controller = cluster.controller(node);
   Effects out;
-  const Agreed* a = desk.find(lamp, "hall");
-  AgreedRecord next = a == nullptr ? AgreedRecord() : a->rec;
+  const Decision* a = decision_log.find(lamp_kind, "hall");
+  DecisionRecord next = a == nullptr ? DecisionRecord() : a->record;
   next.state = state;
   if (epoch != 0) next.epoch = epoch;
-  Asked asked = desk.change(lamp, "hall", next, by, {c.now, c.now}, out, true);
+  ChangeResult asked =
+      decision_log.change(lamp_kind, "hall", next, partition, {cluster.now, cluster.now}, out, true);
   for (const Write& w : out.writes) {
-    auto r = n.send(w);
-    Stamp revision = r ? r->body.value("ledger_rev", std::uint64_t{0}) : 0;
-    n.answered(w, n.fate == Fate::answer_lost ? Outcome::unknown : lab::outcome_of(r), revision, c.now);
+    auto r = controller.send(w);
+    Revision revision = r ? r->body.value("ledger_rev", std::uint64_t{0}) : 0;
+    controller.on_write_result(w,
+                               controller.write_outcome == WriteOutcome::answer_lost
+                                   ? TransactionOutcome::unknown
+                                   : lab::outcome_of(r),
+                               revision, cluster.now);
   }
   return asked;
 }
 
-std::string stored(Cluster& c) {
-  auto it = c.state.keys().find("o/d/lamp/hall");
-  return it == c.state.keys().end() ? "" : it->second.value.at("s").get<std::string>();
+std::string stored_state(SimulatedCluster& cluster) {
+  auto it = cluster.store.keys().find("o/d/lamp/hall");
+  return it == cluster.store.keys().end() ? "" : it->second.value.at("s").get<std::string>();
 }
 
-TEST(Accord, OneOwnerOneStepOneAtATime) {
-  Cluster c;
-  Desk zero(c.node(0).model, c.node(0).scheduler, 1), one(c.node(1).model, c.node(1).scheduler, 1);
-  EXPECT_EQ(wish(c, 1, one, "off"), Asked::not_ours);
-  EXPECT_EQ(wish(c, 0, zero, "on"), Asked::refused);  // no step from nothing to on
-  EXPECT_EQ(wish(c, 0, zero, "off"), Asked::sent);
-  EXPECT_EQ(wish(c, 0, zero, "on", pool_part, 3), Asked::sent);
-  EXPECT_EQ(wish(c, 0, zero, "off", pool_part, 2), Asked::refused);  // epochs do not fall
-  EXPECT_EQ(stored(c), "on");
-  EXPECT_EQ(c.state.keys().at("o/d/lamp/hall").value.at("n").get<int>(), 2);
+TEST(DecisionLog, OwnerOnlyAllowedStepOnlyOneAtATime) {
+  SimulatedCluster cluster;
+  DecisionLog zero(cluster.controller(0).cluster_state, cluster.controller(0).scheduler, 1),
+      one(cluster.controller(1).cluster_state, cluster.controller(1).scheduler, 1);
+  EXPECT_EQ(request_change(cluster, 1, one, "off"), ChangeResult::not_owner);
+  EXPECT_EQ(request_change(cluster, 0, zero, "on"),
+            ChangeResult::invalid_transition);  // no step from nothing to on
+  EXPECT_EQ(request_change(cluster, 0, zero, "off"), ChangeResult::sent);
+  EXPECT_EQ(request_change(cluster, 0, zero, "on", idle_pool, 3), ChangeResult::sent);
+  EXPECT_EQ(request_change(cluster, 0, zero, "off", idle_pool, 2),
+            ChangeResult::invalid_transition);  // epochs do not fall
+  EXPECT_EQ(stored_state(cluster), "on");
+  EXPECT_EQ(cluster.store.keys().at("o/d/lamp/hall").value.at("n").get<int>(), 2);
 }
 
-TEST(Accord, UnansweredChangeStaysInDoubtUntilItIsDefinite) {
+TEST(DecisionLog, UnansweredChangeStaysIndeterminateUntilResolved) {
   // A second change beside one in doubt could be overtaken by the late copy of the first.
-  Cluster c;
-  lab::Controller& n = c.node(0);
-  Desk desk(n.model, n.scheduler, 1);
-  ASSERT_EQ(wish(c, 0, desk, "off"), Asked::sent);
-  n.fate = Fate::not_arrived;
-  ASSERT_EQ(wish(c, 0, desk, "on"), Asked::sent);
-  EXPECT_EQ(wish(c, 0, desk, "on"), Asked::busy);
-  c.state.set_outage(true, c.now);
-  n.fate = Fate::answered;
-  c.now += 0.5;
-  n.pass(c.now);  // the repeat gets 503: that says nothing of the first copy
-  EXPECT_EQ(wish(c, 0, desk, "on"), Asked::busy);
-  c.state.set_outage(false, c.now);
-  c.now += 0.5;
-  n.pass(c.now);
-  EXPECT_EQ(stored(c), "on");
-  EXPECT_FALSE(desk.open(lamp, "hall"));
-  EXPECT_EQ(c.state.txn(n.lost.at(0)).status, 409);  // the late copy
+  SimulatedCluster cluster;
+  lab::SimulatedController& controller = cluster.controller(0);
+  DecisionLog decision_log(controller.cluster_state, controller.scheduler, 1);
+  ASSERT_EQ(request_change(cluster, 0, decision_log, "off"), ChangeResult::sent);
+  controller.write_outcome = WriteOutcome::not_arrived;
+  ASSERT_EQ(request_change(cluster, 0, decision_log, "on"), ChangeResult::sent);
+  EXPECT_EQ(request_change(cluster, 0, decision_log, "on"), ChangeResult::in_flight);
+  cluster.store.set_outage(true, cluster.now);
+  controller.write_outcome = WriteOutcome::answered;
+  cluster.now += 0.5;
+  controller.run_cycle(cluster.now);  // the repeat gets 503: that says nothing of the first copy
+  EXPECT_EQ(request_change(cluster, 0, decision_log, "on"), ChangeResult::in_flight);
+  cluster.store.set_outage(false, cluster.now);
+  cluster.now += 0.5;
+  controller.run_cycle(cluster.now);
+  EXPECT_EQ(stored_state(cluster), "on");
+  EXPECT_FALSE(decision_log.has_pending_change(lamp_kind, "hall"));
+  EXPECT_EQ(cluster.store.txn(controller.lost_writes.at(0)).status, 409);  // the late copy
 }
 
-TEST(Accord, EarlierOwnersLateChangeFailsAndTheNewOneGoesOnFromTheRecord) {
-  Cluster c;
-  Desk zero(c.node(0).model, c.node(0).scheduler, 1), one(c.node(1).model, c.node(1).scheduler, 1);
-  ASSERT_EQ(wish(c, 0, zero, "off"), Asked::sent);
-  c.node(0).fate = Fate::not_arrived;
-  ASSERT_EQ(wish(c, 0, zero, "on"), Asked::sent);
-  c.kill_node(0);
-  c.node(1).claim_all(c.now);
-  ASSERT_NE(one.find(lamp, "hall"), nullptr);
-  EXPECT_EQ(c.state.txn(c.node(0).lost.at(0)).status, 409);  // its claim has gone
-  EXPECT_EQ(stored(c), "off");
-  EXPECT_EQ(wish(c, 1, one, "on"), Asked::sent);
-  EXPECT_EQ(stored(c), "on");
+TEST(DecisionLog, LateChangeOfAnEarlierOwnerFailsAndSuccessorContinues) {
+  SimulatedCluster cluster;
+  DecisionLog zero(cluster.controller(0).cluster_state, cluster.controller(0).scheduler, 1),
+      one(cluster.controller(1).cluster_state, cluster.controller(1).scheduler, 1);
+  ASSERT_EQ(request_change(cluster, 0, zero, "off"), ChangeResult::sent);
+  cluster.controller(0).write_outcome = WriteOutcome::not_arrived;
+  ASSERT_EQ(request_change(cluster, 0, zero, "on"), ChangeResult::sent);
+  cluster.kill_controller(0);
+  cluster.controller(1).acquire_all_partitions(cluster.now);
+  ASSERT_NE(one.find(lamp_kind, "hall"), nullptr);
+  EXPECT_EQ(cluster.store.txn(cluster.controller(0).lost_writes.at(0)).status, 409);  // its claim has gone
+  EXPECT_EQ(stored_state(cluster), "off");
+  EXPECT_EQ(request_change(cluster, 1, one, "on"), ChangeResult::sent);
+  EXPECT_EQ(stored_state(cluster), "on");
 }
 
-TEST(Accord, NothingIsPlacedOnADecisionThatHasChanged) {
-  struct Held : Counsel {
-    Model* m = nullptr;
-    void advise(JobIndex, Advice& a) const override {
-      a.guards.push_back({AgreedKey{"lamp/hall"}, m->agreed.at("lamp/hall").stamp});
+TEST(DecisionLog, PlacementGuardFailsOnAChangedDecision) {
+  struct DecisionGuard : PlacementConstraints {
+    ClusterState* cluster_state = nullptr;
+    void constrain(JobIndex, PlacementLimits& a) const override {
+      a.guards.push_back({DecisionKey{"lamp/hall"}, cluster_state->decisions.at("lamp/hall").revision});
     }
   };
-  Cluster c;
-  lab::Controller& n = c.node(0);
-  Desk desk(n.model, n.scheduler, 1);
-  Held held;
-  held.m = &n.model;
-  ASSERT_EQ(wish(c, 0, desk, "off"), Asked::sent);
-  n.model.counsel = &held;
-  c.add_machine("m1");
-  c.run(2);
-  c.submit(test_job("run-1", 1));
-  n.sync(c.now);
-  n.fate = Fate::not_arrived;
-  n.pass(c.now);
-  ASSERT_EQ(n.lost.size(), 1U);
-  n.fate = Fate::answered;
-  ASSERT_EQ(wish(c, 0, desk, "on"), Asked::sent);
-  EXPECT_EQ(c.state.txn(n.lost[0]).status, 409);
-  c.run(4);
-  EXPECT_EQ(c.placed("run-1", 0).size(), 1U);  // placed on the present one
+  SimulatedCluster cluster;
+  lab::SimulatedController& controller = cluster.controller(0);
+  DecisionLog decision_log(controller.cluster_state, controller.scheduler, 1);
+  DecisionGuard guard;
+  guard.cluster_state = &controller.cluster_state;
+  ASSERT_EQ(request_change(cluster, 0, decision_log, "off"), ChangeResult::sent);
+  controller.cluster_state.constraints = &guard;
+  cluster.add_machine("m1");
+  cluster.run(2);
+  cluster.submit(test_job("run-1", 1));
+  controller.sync(cluster.now);
+  controller.write_outcome = WriteOutcome::not_arrived;
+  controller.run_cycle(cluster.now);
+  ASSERT_EQ(controller.lost_writes.size(), 1U);
+  controller.write_outcome = WriteOutcome::answered;
+  ASSERT_EQ(request_change(cluster, 0, decision_log, "on"), ChangeResult::sent);
+  EXPECT_EQ(cluster.store.txn(controller.lost_writes[0]).status, 409);
+  cluster.run(4);
+  EXPECT_EQ(cluster.machines_of_task("run-1", 0).size(), 1U);  // placed on the present one
 }
 
-TEST(Accord, BudgetHoldsBackWhatIsNotUrgent) {
-  Cluster c;
-  Desk desk(c.node(0).model, c.node(0).scheduler, 0.05);
+TEST(DecisionLog, WriteBudgetDefersNonUrgentChanges) {
+  SimulatedCluster cluster;
+  DecisionLog decision_log(cluster.controller(0).cluster_state, cluster.controller(0).scheduler, 0.05);
   Effects out;
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
-    AgreedRecord r;
+    DecisionRecord r;
     r.state = "off";
-    Asked a = desk.change(lamp, "l" + std::to_string(i), r, pool_part, {c.now, c.now}, out);
-    sent += static_cast<int>(a == Asked::sent);
+    ChangeResult a = decision_log.change(lamp_kind, "l" + std::to_string(i), r, idle_pool,
+                                         {cluster.now, cluster.now}, out);
+    sent += static_cast<int>(a == ChangeResult::sent);
     if (i > 50) {
-      EXPECT_EQ(a, Asked::later);
+      EXPECT_EQ(a, ChangeResult::rate_limited);
     }
   }
   EXPECT_LE(sent, 5);
 }
 
-TEST(Accord, ClockThatJumpsOrIsOffIsNeverEarly) {
-  accord::CarefulClock clock(1);
-  EXPECT_DOUBLE_EQ(clock.earliest({10, 1000}), 999);
-  EXPECT_DOUBLE_EQ(clock.earliest({20, 2010}), 1009);  // jumped ahead: not believed yet
-  EXPECT_DOUBLE_EQ(clock.earliest({30, 990}), 989);    // back: at once
-  EXPECT_DOUBLE_EQ(clock.earliest({85, 2075}), 1044);
-  EXPECT_DOUBLE_EQ(clock.earliest({200, 2190}), 2189);  // believed once it has lasted
+TEST(LowerBoundClock, JumpsAndOffsetsNeverMakeItEarly) {
+  accord::LowerBoundClock clock(1);
+  EXPECT_DOUBLE_EQ(clock.earliest_time({10, 1000}), 999);
+  EXPECT_DOUBLE_EQ(clock.earliest_time({20, 2010}), 1009);  // jumped ahead: not believed yet
+  EXPECT_DOUBLE_EQ(clock.earliest_time({30, 990}), 989);    // back: at once
+  EXPECT_DOUBLE_EQ(clock.earliest_time({85, 2075}), 1044);
+  EXPECT_DOUBLE_EQ(clock.earliest_time({200, 2190}), 2189);  // believed once it has lasted
 }
 
 /// Two controllers that change hands, lose answers and transactions and repeat them: what the state service
 /// saw must be a chain of allowed steps, each written by the holder of the claim at that time.
-RC_GTEST_PROP(AccordProps, RecordIsAChainOfAllowedSteps, ()) {
-  Cluster c;
-  std::vector<std::unique_ptr<Desk>> desks;
+RC_GTEST_PROP(DecisionLogProperties, RecordIsAChainOfAllowedSteps, ()) {
+  SimulatedCluster cluster;
+  std::vector<std::unique_ptr<DecisionLog>> desks;
   for (std::size_t i : {0, 1})
-    desks.push_back(std::make_unique<Desk>(c.node(i).model, c.node(i).scheduler, 1));
+    desks.push_back(std::make_unique<DecisionLog>(cluster.controller(i).cluster_state,
+                                                  cluster.controller(i).scheduler, 1));
   std::vector<lab::Json> late;
   const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 9));
-  for (int s : steps) {
-    auto n = static_cast<std::size_t>(s % 2);
-    lab::Controller& node = c.node(n);
-    c.now += 0.4;
-    c.state.expire(c.now);
-    switch (s) {
+  for (int step : steps) {
+    auto n = static_cast<std::size_t>(step % 2);
+    lab::SimulatedController& node = cluster.controller(n);
+    cluster.now += 0.4;
+    cluster.store.expire_leases(cluster.now);
+    switch (step) {
       case 0:
       case 1:
-        wish(c, n, *desks[n], stored(c) == "off" ? "on" : "off");
+        request_change(cluster, n, *desks[n], stored_state(cluster) == "off" ? "on" : "off");
         break;
       case 2:
       case 3:
-        node.fate = s == 2 ? Fate::answer_lost : Fate::not_arrived;
-        wish(c, n, *desks[n], stored(c) == "off" ? "on" : "off");
-        node.fate = Fate::answered;
+        node.write_outcome = step == 2 ? WriteOutcome::answer_lost : WriteOutcome::not_arrived;
+        request_change(cluster, n, *desks[n], stored_state(cluster) == "off" ? "on" : "off");
+        node.write_outcome = WriteOutcome::answered;
         break;
       case 4:
       case 5:  // changes hands; the other one does not know yet
-        c.kill_node(1 - n);
-        node.hold.lost();
-        node.claim_all(c.now);
+        cluster.kill_controller(1 - n);
+        node.lease.on_lost();
+        node.acquire_all_partitions(cluster.now);
         break;
       case 6:  // late copies of all that was lost
         for (std::size_t i : {0, 1}) {
-          for (const lab::Json& body : c.node(i).lost) c.state.txn(body);
+          for (const lab::Json& body : cluster.controller(i).lost_writes) cluster.store.txn(body);
         }
         break;
       case 7:
-        for (std::size_t i : {0, 1}) c.node(i).sync(c.now);
+        for (std::size_t i : {0, 1}) cluster.controller(i).sync(cluster.now);
         break;
       default:  // restart: what was in its memory is gone
-        desks[n] = std::make_unique<Desk>(node.model, node.scheduler, 1);
-        node.pass(c.now);
+        desks[n] = std::make_unique<DecisionLog>(node.cluster_state, node.scheduler, 1);
+        node.run_cycle(cluster.now);
     }
   }
   std::string before;
   std::uint64_t serial = 0;
-  for (const auto& e : c.state.events()) {
-    if (e.key != "o/d/lamp/hall") continue;
-    std::string now = e.value->at("s").get<std::string>();
-    RC_ASSERT(lamp.allows(before, now));
-    RC_ASSERT(e.value->at("n").get<std::uint64_t>() == serial + 1);
+  for (const auto& event : cluster.store.events()) {
+    if (event.key != "o/d/lamp/hall") continue;
+    std::string now = event.value->at("s").get<std::string>();
+    RC_ASSERT(lamp_kind.allows(before, now));
+    RC_ASSERT(event.value->at("n").get<std::uint64_t>() == serial + 1);
     before = now;
     ++serial;
   }
@@ -204,19 +216,20 @@
 namespace oxbowmill {
 namespace {
 
-TEST(Agreed, ScenariosKeepTheirPromisesThroughOwnersThatEnd) {
+TEST(DecisionScenarios, InvariantsHoldAcrossOwnerCrashes) {
   for (const char* file : {"model-owners-end", "model-flaps", "release-owners-end"}) {
-    lab::AgreedScenario s = lab::load_agreed(std::string(DEPLOY_DIR) + "/lab/agreed/" + file + ".yaml");
-    s.length_s = 3000;
-    for (const lab::AgreedRow& r : lab::play_agreed(s, 2, 2)) {
-      EXPECT_EQ(r.broken, 0) << file << ' ' << r.way << ' ' << r.seed;
-      if (r.way != "as it is") continue;
-      if (s.releases) {
-        EXPECT_LE(r.to_publish_median, 2.5) << file;
-        EXPECT_LE(r.to_publish_max, 14) << file;  // a takeover of 4 s, and 10 s from it
+    lab::DecisionScenario scenario =
+        lab::load_decision_scenario(std::string(DEPLOY_DIR) + "/lab/agreed/" + file + ".yaml");
+    scenario.duration_s = 3000;
+    for (const lab::DecisionRow& row : lab::play_decisions(scenario, 2, 2)) {
+      EXPECT_EQ(row.violations, 0) << file << ' ' << row.variant << ' ' << row.seed;
+      if (row.variant != "as it is") continue;
+      if (scenario.is_release_scenario) {
+        EXPECT_LE(row.to_publish_median, 2.5) << file;
+        EXPECT_LE(row.to_publish_max, 14) << file;  // a takeover of 4 s, and 10 s from it
       } else {
-        EXPECT_EQ(r.first_starts, 1) << file;
-        EXPECT_GE(r.epochs, 1) << file;
+        EXPECT_EQ(row.starts_before_serving, 1) << file;
+        EXPECT_GE(row.rounds, 1) << file;
       }
     }
   }
--- a/tests/bench/market_bench.cpp
+++ b/tests/bench/market_bench.cpp
@@ -8,110 +8,116 @@
 namespace oxbowmill {
 namespace {
 
-constexpr std::uint32_t machines = 1200, jobs = 100, markets = 8;
-constexpr double pass_s = 0.25;
+constexpr std::uint32_t machine_count = 1200, job_count = 100, market_count = 8;
+constexpr double cycle_interval_s = 0.25;
 
-struct Leader {
-  explicit Leader(bool trading, double per_hour)
-      : model(lab::test_settings("node-0"), lab::test_names()),
-        hold(model.settings),
-        scheduler(model, hold),
-        fleet(model, scheduler) {
-    model.settings.teams[1].most = {};
-    model.settings.txn_ops = 48;
-    model.catalog = lab::test_catalog();
-    hold.opened(1, now);
-    Stamp rev = 0;
-    for (std::uint32_t p = 0; p < model.parts(); ++p)
-      model.apply({ClaimKey{PartIndex{p}}, ClaimRecord{"node-0", 1}, 1}, ++rev, now);
+struct LeaderFixture {
+  explicit LeaderFixture(bool trading, double per_hour)
+      : cluster_state(lab::test_settings("node-0"), lab::test_names()),
+        lease(cluster_state.settings),
+        scheduler(cluster_state, lease),
+        autoscaler(cluster_state, scheduler) {
+    cluster_state.settings.teams[1].limit = {};
+    cluster_state.settings.max_transaction_ops = 48;
+    cluster_state.catalog = lab::test_catalog();
+    lease.on_granted(1, now);
+    Revision revision = 0;
+    for (std::uint32_t p = 0; p < cluster_state.partition_count(); ++p)
+      cluster_state.apply({OwnershipKey{PartitionIndex{p}}, OwnershipRecord{"node-0", 1}, 1}, ++revision,
+                          now);
     // Every machine is full with a task that goes on.
-    JobIndex running = model.intern_job("run-0");
-    JobSpec spec = lab::test_job("run-0", machines, 4);
-    model.apply({JobKey{running}, JobRecord{spec, JobPhase::open}}, ++rev, now);
+    JobIndex running = cluster_state.intern_job("run-0");
+    JobSpec spec = lab::test_job("run-0", machine_count, 4);
+    cluster_state.apply({JobKey{running}, JobRecord{spec, JobPhase::open}}, ++revision, now);
     std::map<std::uint32_t, ChunkRecord> chunks;
-    for (std::uint32_t i = 0; i < machines; ++i) {
-      MachineIndex m = model.intern_machine("host-" + std::to_string(i));
-      MachineRecord rec;
-      rec.part = PartIndex{1};
-      rec.type = TypeIndex{0};
-      rec.zone = ZoneIndex{i % 2};
-      rec.up = true;
-      model.apply({MachineKey{m}, rec}, ++rev, now);
-      chunks[i / chunk_tasks].placed.push_back({i, m, i + 1, false});
+    for (std::uint32_t i = 0; i < machine_count; ++i) {
+      MachineIndex machine_index = cluster_state.intern_machine("host-" + std::to_string(i));
+      MachineRecord record;
+      record.partition = PartitionIndex{1};
+      record.type = TypeIndex{0};
+      record.zone = ZoneIndex{i % 2};
+      record.has_booted = true;
+      cluster_state.apply({MachineKey{machine_index}, record}, ++revision, now);
+      chunks[i / tasks_per_chunk].placements.push_back({i, machine_index, i + 1, false});
     }
-    for (auto& [c, rec] : chunks) model.apply({ChunkKey{running, c}, rec}, ++rev, now);
-    for (std::uint32_t i = 1; i <= jobs; ++i) {
+    for (auto& [c, rec] : chunks) cluster_state.apply({ChunkKey{running, c}, rec}, ++revision, now);
+    for (std::uint32_t i = 1; i <= job_count; ++i) {
       std::string ref = "run-" + std::to_string(i);
-      JobSpec s = lab::test_job(ref, 8, 4);
-      s.rank = i % 3 == 0 ? Rank::high : Rank::normal;
-      s.spot = false;
-      s.estimate_s = 60.0 * (1 + i % 7);
-      s.deadline_s = 300 + 40.0 * i;
-      s.submitted_at = now;
-      model.apply({JobKey{model.intern_job(ref)}, JobRecord{s, JobPhase::open}}, ++rev, now);
+      JobSpec job_spec = lab::test_job(ref, 8, 4);
+      job_spec.priority = i % 3 == 0 ? Priority::high : Priority::normal;
+      job_spec.spot = false;
+      job_spec.estimate_s = 60.0 * (1 + i % 7);
+      job_spec.deadline_s = 300 + 40.0 * i;
+      job_spec.submitted_at = now;
+      cluster_state.apply({JobKey{cluster_state.intern_job(ref)}, JobRecord{job_spec, JobPhase::open}},
+                          ++revision, now);
     }
-    scheduler.seen_revision(rev);
+    scheduler.applied_revision(revision);
     if (!trading) return;
-    settings.all = {market::to_money(per_hour), 0};
-    for (std::uint32_t i = 0; i < markets; ++i) {
-      lab::Character c;
-      c.name = "m" + std::to_string(i);
-      c.price = 7 + 0.5 * i;
-      c.capacity = 100;
-      settings.markets.push_back({c.name, model.names.markets.intern(c.name), "127.0.0.1:1", 1000});
-      stands.emplace_back(c, i, std::vector<std::string>{"std"}, std::vector<std::string>{"a", "b"});
+    market_settings.total_limit = {market::to_money_amount(per_hour), 0};
+    for (std::uint32_t i = 0; i < market_count; ++i) {
+      lab::MarketBehavior profile;
+      profile.name = "m" + std::to_string(i);
+      profile.price = 7 + 0.5 * i;
+      profile.capacity = 100;
+      market_settings.markets.push_back(
+          {profile.name, cluster_state.names.markets.intern(profile.name), "127.0.0.1:1", 1000});
+      market_simulators.emplace_back(profile, i, std::vector<std::string>{"std"},
+                                     std::vector<std::string>{"a", "b"});
     }
-    desk = std::make_unique<market::Desk>(model, scheduler, settings);
-    fleet.set_source(desk.get());
+    bidding_service = std::make_unique<market::BiddingService>(cluster_state, scheduler, market_settings);
+    autoscaler.set_source(bidding_service.get());
   }
-  void pass() {
-    now += pass_s;
-    hold.renewed(now);
-    hold.watch_answered(now);
+  void run_cycle() {
+    now += cycle_interval_s;
+    lease.on_renewed(now);
+    lease.on_watch_answered(now);
     Effects out;
-    scheduler.pass({now, now}, out);
-    fleet.pass({now, now}, out);
-    if (desk) {
+    scheduler.run_cycle({now, now}, out);
+    autoscaler.run_cycle({now, now}, out);
+    if (bidding_service) {
       std::vector<market::Call> calls;
-      desk->pass({now, now}, out, calls);
+      bidding_service->run_cycle({now, now}, out, calls);
       for (const market::Call& call : calls)
-        desk->on_answer(call, stands[call.market.v].ask(call, model.names, now), {now, now});
+        bidding_service->on_answer(
+            call, market_simulators[call.market.value].call(call, cluster_state.names, now), {now, now});
     }
     // Nothing is written and nothing rented, so that every pass has the same to do.
-    for (const Write& w : out.writes) scheduler.on_outcome(w.id, Outcome::not_executed, 0, now);
-    for (const RentOrder& r : out.rents) fleet.on_rented(r.request, true, {}, now);
+    for (const Write& w : out.writes) scheduler.on_outcome(w.id, TransactionOutcome::not_executed, 0, now);
+    for (const ScaleOutRequest& r : out.scale_outs)
+      autoscaler.on_scale_out_result(r.request_id, true, {}, now);
   }
   double now = 1000;
-  Model model;
-  Hold hold;
+  ClusterState cluster_state;
+  ControllerLease lease;
   Scheduler scheduler;
-  Fleet fleet;
-  market::Settings settings;
-  std::vector<lab::Market> stands;
-  std::unique_ptr<market::Desk> desk;
+  Autoscaler autoscaler;
+  market::Settings market_settings;
+  std::vector<lab::SimulatedMarket> market_simulators;
+  std::unique_ptr<market::BiddingService> bidding_service;
 };
 
-void passes(benchmark::State& state, bool trading, double per_hour) {
+void measure_cycles(benchmark::State& state, bool trading, double per_hour) {
   spdlog::set_level(spdlog::level::off);
   auto before = mallinfo2().uordblks;
-  Leader leader(trading, per_hour);
-  for (int i = 0; i < 20; ++i) leader.pass();
+  LeaderFixture leader(trading, per_hour);
+  for (int i = 0; i < 20; ++i) leader.run_cycle();
   state.counters["bytes"] = static_cast<double>(mallinfo2().uordblks - before);
-  for (auto _ : state) leader.pass();
+  for (auto _ : state) leader.run_cycle();
 }
 
-void without_markets(benchmark::State& state) {
-  passes(state, false, 0);
+void cycle_without_markets(benchmark::State& state) {
+  measure_cycles(state, false, 0);
 }
-void eight_markets(benchmark::State& state) {
-  passes(state, true, 1e6);
+void cycle_with_eight_markets(benchmark::State& state) {
+  measure_cycles(state, true, 1e6);
 }
-void eight_markets_at_the_ceiling(benchmark::State& state) {
-  passes(state, true, 1500);
+void cycle_with_eight_markets_at_the_ceiling(benchmark::State& state) {
+  measure_cycles(state, true, 1500);
 }
-BENCHMARK(without_markets)->Unit(benchmark::kMicrosecond);
-BENCHMARK(eight_markets)->Unit(benchmark::kMicrosecond);
-BENCHMARK(eight_markets_at_the_ceiling)->Unit(benchmark::kMicrosecond);
+BENCHMARK(cycle_without_markets)->Unit(benchmark::kMicrosecond);
+BENCHMARK(cycle_with_eight_markets)->Unit(benchmark::kMicrosecond);
+BENCHMARK(cycle_with_eight_markets_at_the_ceiling)->Unit(benchmark::kMicrosecond);
 
 }  // namespace
 }  // namespace oxbowmill
--- a/tests/bench/placement_bench.cpp
+++ b/tests/bench/placement_bench.cpp
@@ -10,59 +10,60 @@
 using namespace oxbowmill;
 
 /// A fleet of which one machine in twenty has room, and jobs of 18 tasks that want it.
-class Fleet {
+class PartlyFreeCluster {
  public:
-  explicit Fleet(std::uint32_t machines)
-      : model_(lab::test_settings("n"), lab::test_names()), index_(model_) {
-    model_.catalog = lab::test_catalog();
-    model_.catalog[0].room = {64, 20, 256};
+  explicit PartlyFreeCluster(std::uint32_t machines)
+      : state_(lab::test_settings("n"), lab::test_names()), index_(state_) {
+    state_.catalog = lab::test_catalog();
+    state_.catalog[0].capacity = {64, 20, 256};
     for (std::uint32_t i = 0; i < machines; ++i) {
       MachineCapacity capacity;
-      MachineIndex machine = model_.intern_machine("m" + std::to_string(i));
+      MachineIndex machine = state_.intern_machine("m" + std::to_string(i));
       double used = i % 20 == 0 ? 2 : 20;
-      capacity.node = {
+      capacity.candidate = {
           machine, TypeIndex{0}, ZoneIndex{i % 2}, false, 0, {64 - 2 * used, 20 - used, 256 - 8 * used}};
-      nodes_.push_back(capacity.node);
+      candidates_.push_back(capacity.candidate);
       index_.update(machine, std::move(capacity));
     }
     spec_ = lab::test_job("run", 18);
     query_.spec = &spec_;
-    for (TaskNo t = 0; t < spec_.tasks; ++t) tasks_.push_back(t);
+    for (TaskNumber t = 0; t < spec_.tasks; ++t) tasks_.push_back(t);
   }
-  std::size_t by_index() {
+  std::size_t place_by_index() {
     Selection selection = index_.select(query_, tasks_, {0, 0});
-    return selection.choices.size();
+    return selection.assignments.size();
   }
-  std::size_t by_full_scan() {
-    auto nodes = nodes_;
-    return full_scan::select(query_, model_, tasks_, {0, 0}, nodes).size();
+  std::size_t place_by_full_scan() {
+    auto nodes = candidates_;
+    return full_scan::select(query_, state_, tasks_, {0, 0}, nodes).size();
   }
-  std::uint64_t visits() const { return index_.visits(); }
+  std::uint64_t visited_machines() const { return index_.visits(); }
 
  private:
-  Model model_;
+  ClusterState state_;
   FreeCapacity index_;
-  std::vector<CandidateNode> nodes_;
+  std::vector<CandidateMachine> candidates_;
   JobSpec spec_;
   SelectionQuery query_;
-  std::vector<TaskNo> tasks_;
+  std::vector<TaskNumber> tasks_;
 };
 
 void jobs_by_index(benchmark::State& state) {
-  Fleet fleet(static_cast<std::uint32_t>(state.range(0)));
-  std::uint64_t before = fleet.visits();
+  PartlyFreeCluster fleet(static_cast<std::uint32_t>(state.range(0)));
+  std::uint64_t before = fleet.visited_machines();
   std::size_t placed = 0;
   for (auto _ : state) {
-    for (std::int64_t job = 0; job < state.range(1); ++job) placed += fleet.by_index();
+    for (std::int64_t job = 0; job < state.range(1); ++job) placed += fleet.place_by_index();
   }
   state.counters["visits_a_task"] =
-      static_cast<double>(fleet.visits() - before) / static_cast<double>(placed);
+      static_cast<double>(fleet.visited_machines() - before) / static_cast<double>(placed);
 }
 
 void jobs_by_full_scan(benchmark::State& state) {
-  Fleet fleet(static_cast<std::uint32_t>(state.range(0)));
+  PartlyFreeCluster fleet(static_cast<std::uint32_t>(state.range(0)));
   for (auto _ : state) {
-    for (std::int64_t job = 0; job < state.range(1); ++job) benchmark::DoNotOptimize(fleet.by_full_scan());
+    for (std::int64_t job = 0; job < state.range(1); ++job)
+      benchmark::DoNotOptimize(fleet.place_by_full_scan());
   }
   state.counters["visits_a_task"] = static_cast<double>(state.range(0)) / 18;
 }
--- a/tests/bench/start_bench.cpp
+++ b/tests/bench/start_bench.cpp
@@ -8,69 +8,78 @@
 namespace oxbowmill {
 namespace {
 
-constexpr int machines = 1213, jobs = 300;
+constexpr int machine_count = 1213, job_count = 300;
 
-struct World {
-  explicit World(bool squared) {
+struct FailoverFixture {
+  explicit FailoverFixture(bool with_reconciler) {
     spdlog::set_level(spdlog::level::off);
     for (std::size_t n : {0, 1}) {
-      c.node(n).model.settings.teams[1].most = {};
-      c.node(n).model.settings.state_write_rps = 60;
+      cluster.controller(n).cluster_state.settings.teams[1].limit = {};
+      cluster.controller(n).cluster_state.settings.state_write_rps = 60;
     }
-    c.state.txn_ops = 12;
-    for (int i = 0; i < machines; ++i) c.add_machine("m" + std::to_string(i), i % 2 == 0 ? "a" : "b");
-    for (int i = 0; i < jobs; ++i) c.submit(lab::test_job("run-" + std::to_string(i), 14));
-    c.run(4);
-    c.kill_node(0);
-    c.now += 4;
-    if (squared) c.node(1).square({});
-    c.node(1).claim_all(c.now);
-    for (int i = 0; i < machines; ++i) reports.push_back(c.worker("m" + std::to_string(i)).report(c.now));
+    cluster.store.txn_ops = 12;
+    for (int i = 0; i < machine_count; ++i)
+      cluster.add_machine("m" + std::to_string(i), i % 2 == 0 ? "a" : "b");
+    for (int i = 0; i < job_count; ++i) cluster.submit(lab::test_job("run-" + std::to_string(i), 14));
+    cluster.run(4);
+    cluster.kill_controller(0);
+    cluster.now += 4;
+    if (with_reconciler) cluster.controller(1).enable_reconciliation({});
+    cluster.controller(1).acquire_all_partitions(cluster.now);
+    for (int i = 0; i < machine_count; ++i)
+      reports.push_back(cluster.worker("m" + std::to_string(i)).report(cluster.now));
   }
-  lab::Cluster c;
+  lab::SimulatedCluster cluster;
   std::vector<WorkerReport> reports;
 };
 
 /// Every worker's first word to its new owner, and the pass that follows.
-void first_words(benchmark::State& state) {
+void first_reports_after_failover(benchmark::State& state) {
   for (auto _ : state) {
     state.PauseTiming();
-    World w(state.range(0) != 0);
+    FailoverFixture w(state.range(0) != 0);
     state.ResumeTiming();
-    for (const WorkerReport& r : w.reports) benchmark::DoNotOptimize(w.c.node(1).hear(r, w.c.now));
-    w.c.node(1).pass(w.c.now + 0.5);
+    for (const WorkerReport& r : w.reports)
+      benchmark::DoNotOptimize(w.cluster.controller(1).handle_report(r, w.cluster.now));
+    w.cluster.controller(1).run_cycle(w.cluster.now + 0.5);
   }
 }
 
 /// A pass in ordinary service, all machines squared.
-void ordinary_pass(benchmark::State& state) {
-  World w(state.range(0) != 0);
-  w.c.run(3, 1);
+void steady_state_cycle(benchmark::State& state) {
+  FailoverFixture fixture(state.range(0) != 0);
+  fixture.cluster.run(3, 1);
   for (auto _ : state) {
-    w.c.now += 0.25;
-    w.c.node(1).renew(w.c.now);
-    w.c.node(1).sync(w.c.now);
-    for (MachineIndex m : w.c.node(1).model.machines_of(PartIndex{1}))
-      w.c.node(1).model.edit_machine(m).last_answered = w.c.now;
-    Effects out = w.c.node(1).decide(w.c.now);
+    fixture.cluster.now += 0.25;
+    fixture.cluster.controller(1).renew(fixture.cluster.now);
+    fixture.cluster.controller(1).sync(fixture.cluster.now);
+    for (MachineIndex m : fixture.cluster.controller(1).cluster_state.machines_of(PartitionIndex{1}))
+      fixture.cluster.controller(1).cluster_state.edit_machine(m).last_answered_report_at =
+          fixture.cluster.now;
+    Effects out = fixture.cluster.controller(1).decide(fixture.cluster.now);
     benchmark::DoNotOptimize(out);
   }
 }
 
 /// One report in ordinary service.
-void ordinary_report(benchmark::State& state) {
-  World w(state.range(0) != 0);
-  w.c.run(3, 1);
-  WorkerReport r = w.c.worker("m7").report(w.c.now);
+void steady_state_report(benchmark::State& state) {
+  FailoverFixture fixture(state.range(0) != 0);
+  fixture.cluster.run(3, 1);
+  WorkerReport r = fixture.cluster.worker("m7").report(fixture.cluster.now);
   for (auto _ : state) {
-    ++r.serial;
-    benchmark::DoNotOptimize(w.c.node(1).hear(r, w.c.now));
+    ++r.report_sequence;
+    benchmark::DoNotOptimize(fixture.cluster.controller(1).handle_report(r, fixture.cluster.now));
   }
 }
 
-BENCHMARK(first_words)->ArgName("squared")->Arg(0)->Arg(1)->Unit(benchmark::kMillisecond)->Iterations(10);
-BENCHMARK(ordinary_pass)->ArgName("squared")->Arg(0)->Arg(1)->Unit(benchmark::kMicrosecond);
-BENCHMARK(ordinary_report)->ArgName("squared")->Arg(0)->Arg(1)->Unit(benchmark::kMicrosecond);
+BENCHMARK(first_reports_after_failover)
+    ->ArgName("squared")
+    ->Arg(0)
+    ->Arg(1)
+    ->Unit(benchmark::kMillisecond)
+    ->Iterations(10);
+BENCHMARK(steady_state_cycle)->ArgName("squared")->Arg(0)->Arg(1)->Unit(benchmark::kMicrosecond);
+BENCHMARK(steady_state_report)->ArgName("squared")->Arg(0)->Arg(1)->Unit(benchmark::kMicrosecond);
 
 }  // namespace
 }  // namespace oxbowmill
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -24,7 +24,7 @@
   std::vector<std::string> files_;
 };
 
-const char* good = R"(
+const char* valid_toml = R"(
 node_name = "n0"
 area = "a"
 bind = "127.0.0.1:8080"
@@ -72,17 +72,17 @@
 within_s = 5.0
 )";
 
-std::string with(const std::string& from, const std::string& to) {
-  std::string s = good;
+std::string valid_toml_with(const std::string& from, const std::string& replacement) {
+  std::string s = valid_toml;
   std::size_t at = s.find(from);
   EXPECT_NE(at, std::string::npos) << from;
-  return s.replace(at, from.size(), to);
+  return s.replace(at, from.size(), replacement);
 }
 
 OperatorSettings operators(const std::string& yaml) {
   config::Config c;
   config::load_operator(yaml, c);
-  return c.settings.op;
+  return c.settings.operator_settings;
 }
 
 std::string error_of(const std::string& toml, const std::string& yaml) {
@@ -94,37 +94,39 @@
   return "";
 }
 
-TEST_F(Config, RecoveryIsSwitchedOnByItsFile) {
-  EXPECT_FALSE(config::load(write("good.toml", good), {}).recovery.enabled);
-  auto c = config::load(write("good.toml", good), {DEPLOY_DIR "/operator.yaml", DEPLOY_DIR "/recovery.yaml"});
+TEST_F(Config, RecoveryIsEnabledByItsFile) {
+  EXPECT_FALSE(config::load(write("good.toml", valid_toml), {}).recovery.enabled);
+  auto c = config::load(write("good.toml", valid_toml),
+                        {DEPLOY_DIR "/operator.yaml", DEPLOY_DIR "/recovery.yaml"});
   EXPECT_TRUE(c.recovery.enabled);
   // The file states the defaults.
-  recovery::Settings d;
-  EXPECT_EQ(c.recovery.heard_share, d.heard_share);
-  EXPECT_EQ(c.recovery.enough_share, d.enough_share);
-  EXPECT_EQ(c.recovery.multiplier, d.multiplier);
-  EXPECT_EQ(c.recovery.demand_window_s, d.demand_window_s);
-  EXPECT_EQ(c.recovery.return_share, d.return_share);
-  EXPECT_EQ(c.recovery.replace_share, d.replace_share);
-  EXPECT_EQ(c.recovery.delete_suspects, d.delete_suspects);
-  auto wrong = error_of(write("good.toml", good), write("wrong.yaml", "recovery: {heard_shares: 0.5}\n"));
+  recovery::Settings defaults;
+  EXPECT_EQ(c.recovery.reported_fraction, defaults.reported_fraction);
+  EXPECT_EQ(c.recovery.sufficient_fraction, defaults.sufficient_fraction);
+  EXPECT_EQ(c.recovery.threshold_multiplier, defaults.threshold_multiplier);
+  EXPECT_EQ(c.recovery.demand_window_s, defaults.demand_window_s);
+  EXPECT_EQ(c.recovery.return_rate_fraction, defaults.return_rate_fraction);
+  EXPECT_EQ(c.recovery.max_replacement_fraction, defaults.max_replacement_fraction);
+  EXPECT_EQ(c.recovery.delete_suspects, defaults.delete_suspects);
+  auto wrong =
+      error_of(write("good.toml", valid_toml), write("wrong.yaml", "recovery: {heard_shares: 0.5}\n"));
   EXPECT_NE(wrong.find("heard_shares"), std::string::npos) << wrong;
 }
 
-TEST_F(Config, ReadsThePlatformsFile) {
-  auto c = config::load(write("good.toml", good), {});
-  EXPECT_EQ(c.settings.node, "n0");
-  EXPECT_EQ(c.settings.nodes, 2U);
-  EXPECT_EQ(c.names.parts.size(), 2U);  // the pool and one part per team
-  EXPECT_DOUBLE_EQ(c.settings.teams[1].most.gpus, 8);
-  EXPECT_EQ(c.settings.txn_ops, 48U);
+TEST_F(Config, ReadsDeployFile) {
+  auto c = config::load(write("good.toml", valid_toml), {});
+  EXPECT_EQ(c.settings.controller_name, "n0");
+  EXPECT_EQ(c.settings.controller_count, 2U);
+  EXPECT_EQ(c.names.partitions.size(), 2U);  // the pool and one part per team
+  EXPECT_DOUBLE_EQ(c.settings.teams[1].limit.gpus, 8);
+  EXPECT_EQ(c.settings.max_transaction_ops, 48U);
   EXPECT_EQ(c.settings.socket_limit, 900);
   EXPECT_EQ(c.settings.deadline_multiples, (std::vector<double>{1, 1.5}));
 }
 
-TEST_F(Config, RefusesWithFileKeyAndReason) {
+TEST_F(Config, ErrorsNameFileKeyAndReason) {
   struct Case {
-    std::string from, to, key;
+    std::string original, replacement, key;
   };
   const Case cases[] = {
       {"node_name = \"n0\"", "", "node_name"},
@@ -140,7 +142,7 @@
       {"txn_ops = 48", "", "settings.state.txn_ops"},
   };
   for (const Case& c : cases) {
-    std::string file = write("bad.toml", with(c.from, c.to));
+    std::string file = write("bad.toml", valid_toml_with(c.original, c.replacement));
     std::string e = error_of(file, "");
     EXPECT_EQ(e.rfind(file + ": " + c.key + ": ", 0), 0U) << c.key << " <- " << e;
     EXPECT_EQ(e.find('\n'), std::string::npos) << e;
@@ -149,14 +151,14 @@
   EXPECT_NE(error_of("/no/such/file", ""), "");
 }
 
-TEST_F(Config, ShortCancellationTimeShortensTheHold) {
-  auto c = config::load(write("short.toml", with("cancel_s = 40.0", "cancel_s = 15.0")), {});
+TEST_F(Config, ShortCancellationTimeShortensTheControllerLease) {
+  auto c = config::load(write("short.toml", valid_toml_with("cancel_s = 40.0", "cancel_s = 15.0")), {});
   const Settings& s = c.settings;
-  EXPECT_LT(s.op.hold_life_s, 4);
-  EXPECT_LT(s.op.hold_life_s + s.grace_s() + s.lease_over_s(), 15);
+  EXPECT_LT(s.operator_settings.controller_lease_s, 4);
+  EXPECT_LT(s.operator_settings.controller_lease_s + s.read_only_period_s() + s.lease_expiry_s(), 15);
 }
 
-TEST_F(Config, OperatorsFileIsStrict) {
+TEST_F(Config, OperatorFileIsParsedStrictly) {
   struct Case {
     const char* text;
     const char* error;  // empty: taken
@@ -172,13 +174,13 @@
       {"- 1\n", "not a map"},
       {"a: [\n", "cannot be read as YAML"},
   };
-  std::string toml = write("good.toml", good);
-  for (const Case& c : cases) {
-    std::string e = error_of(toml, write("op.yaml", c.text));
-    if (*c.error == 0) {
-      EXPECT_EQ(e, "") << c.text;
+  std::string toml = write("good.toml", valid_toml);
+  for (const Case& test_case : cases) {
+    std::string error = error_of(toml, write("op.yaml", test_case.text));
+    if (*test_case.error == 0) {
+      EXPECT_EQ(error, "") << test_case.text;
     } else {
-      EXPECT_NE(e.find(c.error), std::string::npos) << c.text << " <- " << e;
+      EXPECT_NE(error.find(test_case.error), std::string::npos) << test_case.text << " <- " << error;
     }
   }
   auto op = operators(write("op2.yaml", "finished_ratio: 0.5\nbaseline_floor_s: 7\n"));
@@ -186,28 +188,28 @@
   EXPECT_DOUBLE_EQ(op.baseline_floor_s, 7);
 }
 
-TEST_F(Config, MarketsAreReadStrictly) {
+TEST_F(Config, MarketsFileIsParsedStrictly) {
   const std::string good_markets =
       "markets:\n  ceiling: {per_hour: 500, per_window: 2000}\n  teams: {red: {per_hour: 100}}\n  term_s: "
       "900\n"
       "  list:\n    - {name: north, address: \"127.0.0.1:9001\"}\n    - {name: south, address: "
       "\"127.0.0.1:9002\", rps: 2}\n";
-  auto changed = [&](const std::string& from, const std::string& to) {
+  auto changed = [&](const std::string& from, const std::string& replacement) {
     std::string s = good_markets;
     std::size_t at = s.find(from);
     EXPECT_NE(at, std::string::npos) << from;
-    return s.replace(at, from.size(), to);
+    return s.replace(at, from.size(), replacement);
   };
-  std::string toml = write("good.toml", good);
+  std::string toml = write("good.toml", valid_toml);
   auto c =
       config::load(toml, {std::string(DEPLOY_DIR) + "/operator.yaml", write("markets.yaml", good_markets)});
   ASSERT_EQ(c.markets.markets.size(), 2U);
   EXPECT_EQ(c.names.markets.name(c.markets.markets[1].index), "south");
-  EXPECT_EQ(c.markets.all.per_window, market::to_money(2000));
-  EXPECT_EQ(c.markets.teams.at(PartIndex{1}).per_hour, market::to_money(100));
-  EXPECT_DOUBLE_EQ(c.markets.term_s, 900);
+  EXPECT_EQ(c.markets.total_limit.per_window, market::to_money_amount(2000));
+  EXPECT_EQ(c.markets.team_limits.at(PartitionIndex{1}).per_hour, market::to_money_amount(100));
+  EXPECT_DOUBLE_EQ(c.markets.max_paid_s, 900);
   struct Case {
-    const char *from, *to, *error;
+    const char *original, *replacement, *error;
   };
   const Case cases[] = {
       {"term_s: 900", "trem_s: 900", "markets.trem_s: unknown setting"},
@@ -227,9 +229,9 @@
       {"rps: 2", "rps: fast", "markets.list[1].rps: not a number"},
   };
   for (const Case& x : cases) {
-    std::string file = write("bad.yaml", changed(x.from, x.to));
+    std::string file = write("bad.yaml", changed(x.original, x.replacement));
     std::string e = error_of(toml, file);
-    EXPECT_EQ(e.rfind(file + ": " + x.error, 0), 0U) << x.to << " <- " << e;
+    EXPECT_EQ(e.rfind(file + ": " + x.error, 0), 0U) << x.replacement << " <- " << e;
     EXPECT_EQ(e.find('\n'), std::string::npos) << e;
   }
   EXPECT_NE(
@@ -239,28 +241,28 @@
 }
 
 TEST_F(Config, ShippedMarketsFileIsValid) {
-  auto c = config::load(write("good.toml", good), {std::string(DEPLOY_DIR) + "/markets.yaml"});
+  auto c = config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/markets.yaml"});
   EXPECT_TRUE(c.markets.enabled());
-  EXPECT_FALSE(config::load(write("good.toml", good), {}).markets.enabled());
+  EXPECT_FALSE(config::load(write("good.toml", valid_toml), {}).markets.enabled());
 }
 
-TEST_F(Config, CalendarAndModelsAreReadStrictly) {
+TEST_F(Config, CalendarAndModelsAreParsedStrictly) {
   const std::string calendar =
       "calendar:\n  version: 3\n  releases:\n    - name: manual\n      revision: r1\n      editions:\n"
       "        ar: {render: [{class: c, image: i, count: 2}, run-7], publish: run-1}\n"
       "        fr: {render: [run-8], publish: run-2}\n"
       "      when: {zone: Africa/Tunis, weekly: [mon], at: \"06:30\", window_s: 600}\n";
   const std::string models = "models:\n  list:\n    - {name: chat, class: serve, calls: [call], most: 4}\n";
-  std::string toml = write("good.toml", good);
+  std::string toml = write("good.toml", valid_toml);
   auto c = config::load(toml, {write("calendar.yaml", calendar), write("models.yaml", models)});
   ASSERT_EQ(c.calendar.releases.size(), 1U);
-  EXPECT_EQ(c.calendar.releases[0].editions[0].renders[0].count, 2U);
-  EXPECT_EQ(c.calendar.releases[0].when->second_of_day, 6 * 3600U + 30 * 60);
-  EXPECT_EQ(c.models.models.at(0).most, 4U);
-  EXPECT_DOUBLE_EQ(c.skew_s, 0.1);
+  EXPECT_EQ(c.calendar.releases[0].editions[0].render_jobs[0].count, 2U);
+  EXPECT_EQ(c.calendar.releases[0].publish_time->second_of_day, 6 * 3600U + 30 * 60);
+  EXPECT_EQ(c.models.models.at(0).max_replicas, 4U);
+  EXPECT_DOUBLE_EQ(c.clock_skew_s, 0.1);
   struct Case {
-    const std::string& of;
-    const char *from, *to, *error;
+    const std::string& document;
+    const char *original, *replacement, *error;
   };
   const Case cases[] = {
       {calendar, "version: 3", "versoin: 3", "calendar.version: missing"},
@@ -278,35 +280,36 @@
       {models, "most: 4", "least: 5, most: 4", "models.list[0].most: must be at least 1"},
       {models, "class: serve, ", "", "models.list[0].class: missing"},
   };
-  for (const Case& x : cases) {
-    std::string text = x.of;
-    std::size_t at = text.find(x.from);
-    ASSERT_NE(at, std::string::npos) << x.from;
-    std::string file = write("bad.yaml", text.replace(at, std::string(x.from).size(), x.to));
+  for (const Case& test_case : cases) {
+    std::string text = test_case.document;
+    std::size_t at = text.find(test_case.original);
+    ASSERT_NE(at, std::string::npos) << test_case.original;
+    std::string file =
+        write("bad.yaml", text.replace(at, std::string(test_case.original).size(), test_case.replacement));
     std::string e = error_of(toml, file);
-    EXPECT_EQ(e.rfind(file + ": " + x.error, 0), 0U) << x.to << " <- " << e;
+    EXPECT_EQ(e.rfind(file + ": " + test_case.error, 0), 0U) << test_case.replacement << " <- " << e;
   }
 }
 
 TEST_F(Config, ShippedCalendarAndModelsAreValid) {
-  auto c = config::load(write("good.toml", good), {std::string(DEPLOY_DIR) + "/calendar.yaml",
-                                                   std::string(DEPLOY_DIR) + "/models.yaml"});
+  auto c = config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/calendar.yaml",
+                                                         std::string(DEPLOY_DIR) + "/models.yaml"});
   EXPECT_EQ(c.calendar.releases.size(), 1U);
   EXPECT_EQ(c.models.models.size(), 1U);
-  auto none = config::load(write("good.toml", good), {std::string(DEPLOY_DIR) + "/operator.yaml"});
+  auto none = config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/operator.yaml"});
   EXPECT_TRUE(none.calendar.empty() && none.models.empty());
 }
 
-TEST_F(Config, ShippedOperatorsFileIsValidAndNamesTheDefaults) {
-  auto op = operators(std::string(DEPLOY_DIR) + "/operator.yaml");
+TEST_F(Config, ShippedOperatorFileIsValidAndListsTheDefaults) {
+  auto operator_settings = operators(std::string(DEPLOY_DIR) + "/operator.yaml");
   OperatorSettings defaults;
-  EXPECT_DOUBLE_EQ(op.finished_ratio, defaults.finished_ratio);
-  EXPECT_DOUBLE_EQ(op.multiplier, defaults.multiplier);
-  EXPECT_DOUBLE_EQ(op.baseline_floor_s, defaults.baseline_floor_s);
-  EXPECT_DOUBLE_EQ(op.block_s, defaults.block_s);
-  EXPECT_DOUBLE_EQ(op.check_interval_s, defaults.check_interval_s);
-  EXPECT_DOUBLE_EQ(op.idle_keep_s, defaults.idle_keep_s);
-  EXPECT_EQ(op.use_spot, defaults.use_spot);
+  EXPECT_DOUBLE_EQ(operator_settings.finished_ratio, defaults.finished_ratio);
+  EXPECT_DOUBLE_EQ(operator_settings.slow_multiplier, defaults.slow_multiplier);
+  EXPECT_DOUBLE_EQ(operator_settings.baseline_floor_s, defaults.baseline_floor_s);
+  EXPECT_DOUBLE_EQ(operator_settings.slow_block_s, defaults.slow_block_s);
+  EXPECT_DOUBLE_EQ(operator_settings.slow_check_interval_s, defaults.slow_check_interval_s);
+  EXPECT_DOUBLE_EQ(operator_settings.idle_retention_s, defaults.idle_retention_s);
+  EXPECT_EQ(operator_settings.use_spot, defaults.use_spot);
 }
 
 }  // namespace
--- a/tests/detector_test.cpp
+++ b/tests/detector_test.cpp
@@ -7,18 +7,18 @@
 namespace oxbowmill {
 namespace {
 
-using lab::Cluster;
+using lab::SimulatedCluster;
 using lab::test_job;
 
-TEST(Detector, BaselineAtItsEdges) {
-  OperatorSettings op;
-  op.finished_ratio = 0.75;
-  op.multiplier = 1.5;
-  op.baseline_floor_s = 20;
+TEST(Detector, BaselineBoundaryCases) {
+  OperatorSettings operator_settings;
+  operator_settings.finished_ratio = 0.75;
+  operator_settings.slow_multiplier = 1.5;
+  operator_settings.baseline_floor_s = 20;
   struct Case {
-    const char* what;
+    const char* description;
     std::uint32_t tasks;
-    std::vector<double> finished;
+    std::vector<double> finished_durations_s;
     double expected;
   };
   const Case cases[] = {
@@ -34,102 +34,104 @@
       {"74 of 100 are too few", 100, std::vector<double>(74, 100), -1},
   };
   for (const Case& c : cases) {
-    EXPECT_DOUBLE_EQ(slow_baseline(c.finished, c.tasks, op), c.expected) << c.what;
+    EXPECT_DOUBLE_EQ(slow_baseline(c.finished_durations_s, c.tasks, operator_settings), c.expected)
+        << c.description;
   }
 }
 
-TEST(Detector, SlowIsAtOrPastTheBaseline) {
+TEST(Detector, TaskIsSlowAtOrAboveBaseline) {
   EXPECT_FALSE(is_slow(59.9, 60));
   EXPECT_TRUE(is_slow(60, 60));
   EXPECT_TRUE(is_slow(60.1, 60));
   EXPECT_FALSE(is_slow(1e6, -1));
 }
 
-TEST(Detector, FlagsOfOneJobAloneDoNothing) {
-  Cluster c;
-  c.add_machine("m1");
-  c.add_machine("m2");
-  c.run(2);
-  c.submit(test_job("run-1", 4));
-  c.run(3);
+TEST(Detector, SlowTasksOfOneJobAloneDoNotCordonAMachine) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.add_machine("m2");
+  cluster.run(2);
+  cluster.submit(test_job("run-1", 4));
+  cluster.run(3);
   for (const char* t : {"run-1/0", "run-1/1", "run-1/2"}) {
     for (const char* m : {"m1", "m2"}) {
-      if (c.worker(m).has(t)) c.worker(m).finish(t, EndCause::done);
+      if (cluster.worker(m).has(t)) cluster.worker(m).finish(t, EndCause::done);
     }
   }
-  c.run(40);
-  EXPECT_EQ(c.log.starts["run-1/3"], 1);
+  cluster.run(40);
+  EXPECT_EQ(cluster.run_log.starts["run-1/3"], 1);
 }
 
-TEST(Detector, TwoSlowJobsOnAMachineBlockItAndRestartTheirTasksOnceElsewhere) {
-  Cluster c;
-  c.add_machine("m1");
-  c.run(2);
+TEST(Detector, TwoSlowJobsCordonAMachineAndRestartTheirTasksOnceElsewhere) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.run(2);
   JobSpec one = test_job("run-1", 4, 0.5), two = test_job("run-2", 4, 0.5);
-  c.submit(one);
-  c.submit(two);
-  c.run(3);
+  cluster.submit(one);
+  cluster.submit(two);
+  cluster.run(3);
   for (const char* j : {"run-1/", "run-2/"}) {
-    for (int t = 0; t < 3; ++t) c.worker("m1").finish(j + std::to_string(t), EndCause::done);
+    for (int t = 0; t < 3; ++t) cluster.worker("m1").finish(j + std::to_string(t), EndCause::done);
   }
-  c.run(2);
-  c.add_machine("m2", "b");
+  cluster.run(2);
+  cluster.add_machine("m2", "b");
   JobSpec busy = test_job("run-0", 1);  // keeps m2 in the part
   busy.zone = ZoneIndex{1};
-  c.submit(busy);
-  c.run(14);  // still below the floor of 20 s
-  EXPECT_TRUE(c.worker("m1").has("run-1/3"));
-  c.run(6);
-  EXPECT_FALSE(c.worker("m1").has("run-1/3"));
-  EXPECT_FALSE(c.worker("m1").has("run-2/3"));
-  EXPECT_TRUE(c.worker("m2").has("run-1/3"));
-  EXPECT_TRUE(c.worker("m2").has("run-2/3"));
+  cluster.submit(busy);
+  cluster.run(14);  // still below the floor of 20 s
+  EXPECT_TRUE(cluster.worker("m1").has("run-1/3"));
+  cluster.run(6);
+  EXPECT_FALSE(cluster.worker("m1").has("run-1/3"));
+  EXPECT_FALSE(cluster.worker("m1").has("run-2/3"));
+  EXPECT_TRUE(cluster.worker("m2").has("run-1/3"));
+  EXPECT_TRUE(cluster.worker("m2").has("run-2/3"));
   // Blocked: new work goes elsewhere though m1 is empty.
-  c.submit(test_job("run-3", 1));
-  c.run(2);
-  EXPECT_TRUE(c.worker("m2").has("run-3/0"));
+  cluster.submit(test_job("run-3", 1));
+  cluster.run(2);
+  EXPECT_TRUE(cluster.worker("m2").has("run-3/0"));
   // The one restart is used up, also for the next owner.
-  c.kill_node(0);
-  c.node(1).claim_all(c.now);
-  c.run(60, 1);
-  EXPECT_EQ(c.log.starts["run-1/3"], 2);
-  EXPECT_EQ(c.log.starts["run-2/3"], 2);
-  EXPECT_TRUE(c.log.twice.empty());
+  cluster.kill_controller(0);
+  cluster.controller(1).acquire_all_partitions(cluster.now);
+  cluster.run(60, 1);
+  EXPECT_EQ(cluster.run_log.starts["run-1/3"], 2);
+  EXPECT_EQ(cluster.run_log.starts["run-2/3"], 2);
+  EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
-TEST(Detector, WithoutRoomElsewhereSlowTasksRunOn) {
-  Cluster c;
-  c.add_machine("m1");
-  c.run(2);
-  c.submit(test_job("run-1", 4, 0.5));
-  c.submit(test_job("run-2", 4, 0.5));
-  c.run(3);
+TEST(Detector, SlowTasksContinueWithoutCapacityElsewhere) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.run(2);
+  cluster.submit(test_job("run-1", 4, 0.5));
+  cluster.submit(test_job("run-2", 4, 0.5));
+  cluster.run(3);
   for (const char* j : {"run-1/", "run-2/"}) {
-    for (int t = 0; t < 3; ++t) c.worker("m1").finish(j + std::to_string(t), EndCause::done);
+    for (int t = 0; t < 3; ++t) cluster.worker("m1").finish(j + std::to_string(t), EndCause::done);
   }
-  c.run(40);
-  EXPECT_TRUE(c.worker("m1").has("run-1/3"));
-  EXPECT_EQ(c.log.starts["run-1/3"], 1);
+  cluster.run(40);
+  EXPECT_TRUE(cluster.worker("m1").has("run-1/3"));
+  EXPECT_EQ(cluster.run_log.starts["run-1/3"], 1);
 }
 
-TEST(Detector, DoneInsteadOfStoppedIsDone) {
-  Cluster c;
-  c.add_machine("m1");
-  c.run(2);
-  c.submit(test_job("run-1", 1));
-  c.run(2);
-  MachineIndex m = c.node(0).model.names.machines.find("m1");
-  JobIndex j = c.node(0).model.find_job("run-1");
-  Placement& p = *c.node(0).model.edit_placement({j, 0});
-  p.want_restart = true;
-  c.node(0).model.dirty.insert(j);
-  c.node(0).pass(c.now);
-  c.node(0).pass(c.now);
-  ASSERT_EQ(c.node(0).model.find_placement({j, 0})->state, PlacementState::stopping);
-  c.worker("m1").finish("run-1/0", EndCause::done);
-  c.run(2);
-  EXPECT_EQ(c.phase("run-1"), "done");
-  EXPECT_TRUE(c.node(0).model.machine(m).on.empty());
+TEST(Detector, TaskFinishingBeforeItsRestartIsDone) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.run(2);
+  cluster.submit(test_job("run-1", 1));
+  cluster.run(2);
+  MachineIndex machine_index = cluster.controller(0).cluster_state.names.machines.find("m1");
+  JobIndex job_index = cluster.controller(0).cluster_state.find_job("run-1");
+  Placement& p = *cluster.controller(0).cluster_state.edit_placement({job_index, 0});
+  p.restart_requested = true;
+  cluster.controller(0).cluster_state.dirty_jobs.insert(job_index);
+  cluster.controller(0).run_cycle(cluster.now);
+  cluster.controller(0).run_cycle(cluster.now);
+  ASSERT_EQ(cluster.controller(0).cluster_state.find_placement({job_index, 0})->state,
+            PlacementState::stopping);
+  cluster.worker("m1").finish("run-1/0", EndCause::done);
+  cluster.run(2);
+  EXPECT_EQ(cluster.phase("run-1"), "done");
+  EXPECT_TRUE(cluster.controller(0).cluster_state.machine(machine_index).placed_tasks.empty());
 }
 
 }  // namespace
