--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -7,80 +7,138 @@
 namespace oxbowmill {
 namespace {
 
-using lab::Cluster;
+using lab::SimulatedCluster;
 using lab::test_job;
 
-CandidateNode bin(std::uint32_t zone, double gpus, bool image = false, bool spot = false) {
+CandidateMachine make_candidate(std::uint32_t zone, double gpus, bool image = false, bool spot = false) {
   return {MachineIndex{}, TypeIndex{0}, ZoneIndex{zone}, spot, 0, {32, gpus, 128}, 0, image ? 0.0 : 10.0};
 }
 
-TEST(Placement, ChoosesWithinTheJobsLimits) {
+TEST(Placement, RespectsJobConstraints) {
   struct Case {
-    const char* what;
-    Shape shape;
+    const char* description;
+    JobShape shape;
     std::uint32_t tasks;
     double gpus;
     bool one_zone, scatter, spot;
-    std::vector<CandidateNode> bins;
+    std::vector<CandidateMachine> candidates;
     std::size_t placed;
   };
   const Case cases[] = {
-      {"array takes what fits", Shape::array, 6, 1, false, false, false, {bin(0, 4), bin(1, 1)}, 5},
-      {"gang takes all", Shape::gang, 5, 1, false, false, false, {bin(0, 4), bin(1, 1)}, 5},
-      {"gang takes none", Shape::gang, 6, 1, false, false, false, {bin(0, 4), bin(1, 1)}, 0},
-      {"gang in one zone does not fit", Shape::gang, 2, 4, true, false, false, {bin(0, 4), bin(1, 4)}, 0},
-      {"gang in one zone fits", Shape::gang, 2, 4, true, false, false, {bin(0, 4), bin(1, 4), bin(1, 4)}, 2},
+      {"array takes what fits",
+       JobShape::array,
+       6,
+       1,
+       false,
+       false,
+       false,
+       {make_candidate(0, 4), make_candidate(1, 1)},
+       5},
+      {"gang takes all",
+       JobShape::gang,
+       5,
+       1,
+       false,
+       false,
+       false,
+       {make_candidate(0, 4), make_candidate(1, 1)},
+       5},
+      {"gang takes none",
+       JobShape::gang,
+       6,
+       1,
+       false,
+       false,
+       false,
+       {make_candidate(0, 4), make_candidate(1, 1)},
+       0},
+      {"gang in one zone does not fit",
+       JobShape::gang,
+       2,
+       4,
+       true,
+       false,
+       false,
+       {make_candidate(0, 4), make_candidate(1, 4)},
+       0},
+      {"gang in one zone fits",
+       JobShape::gang,
+       2,
+       4,
+       true,
+       false,
+       false,
+       {make_candidate(0, 4), make_candidate(1, 4), make_candidate(1, 4)},
+       2},
       {"half of the tasks per zone, rounded up",
-       Shape::array,
+       JobShape::array,
        5,
        1,
        false,
        true,
        false,
-       {bin(0, 4), bin(0, 4)},
+       {make_candidate(0, 4), make_candidate(0, 4)},
        3},
-      {"one of one", Shape::array, 1, 1, false, true, false, {bin(0, 4)}, 1},
-      {"no spot machine without leave", Shape::array, 1, 1, false, false, false, {bin(0, 4, false, true)}, 0},
-      {"spot machine with leave", Shape::array, 1, 1, false, false, true, {bin(0, 4, false, true)}, 1},
-      {"too large", Shape::array, 1, 5, false, false, false, {bin(0, 4)}, 0},
+      {"one of one", JobShape::array, 1, 1, false, true, false, {make_candidate(0, 4)}, 1},
+      {"no spot machine without leave",
+       JobShape::array,
+       1,
+       1,
+       false,
+       false,
+       false,
+       {make_candidate(0, 4, false, true)},
+       0},
+      {"spot machine with leave",
+       JobShape::array,
+       1,
+       1,
+       false,
+       false,
+       true,
+       {make_candidate(0, 4, false, true)},
+       1},
+      {"too large", JobShape::array, 1, 5, false, false, false, {make_candidate(0, 4)}, 0},
   };
-  for (const Case& c : cases) {
-    JobSpec s = test_job("run-1", c.tasks, c.gpus);
-    s.shape = c.shape;
-    s.one_zone = c.one_zone;
-    s.scatter = c.scatter;
-    s.spot = c.spot;
-    std::vector<TaskNo> tasks;
-    for (TaskNo t = 0; t < c.tasks; ++t) tasks.push_back(t);
-    auto bins = c.bins;
-    EXPECT_EQ(choose(s, tasks, bins, {0, 0}).size(), c.placed) << c.what;
+  for (const Case& test_case : cases) {
+    JobSpec job_spec = test_job("run-1", test_case.tasks, test_case.gpus);
+    job_spec.shape = test_case.shape;
+    job_spec.single_zone = test_case.one_zone;
+    job_spec.spread_zones = test_case.scatter;
+    job_spec.spot = test_case.spot;
+    std::vector<TaskNumber> tasks;
+    for (TaskNumber t = 0; t < test_case.tasks; ++t) tasks.push_back(t);
+    auto bins = test_case.candidates;
+    EXPECT_EQ(choose_machines(job_spec, tasks, bins, {0, 0}).size(), test_case.placed)
+        << test_case.description;
   }
 }
 
-TEST(Placement, OldAttemptsFixTheZone) {
-  JobSpec s = test_job("run-1", 3);
-  s.one_zone = true;
-  std::vector<CandidateNode> bins = {bin(0, 4), bin(1, 1)};
-  auto chosen = choose(s, {1, 2}, bins, {0, 1});
+TEST(Placement, EarlierAttemptsFixTheZone) {
+  JobSpec job_spec = test_job("run-1", 3);
+  job_spec.single_zone = true;
+  std::vector<CandidateMachine> bins = {make_candidate(0, 4), make_candidate(1, 1)};
+  auto chosen = choose_machines(job_spec, {1, 2}, bins, {0, 1});
   ASSERT_EQ(chosen.size(), 1U);
-  EXPECT_EQ(bins[chosen[0].node].zone.v, 1U);
-  EXPECT_TRUE(choose(s, {2}, bins, {1, 1}).empty());
+  EXPECT_EQ(bins[chosen[0].candidate].zone.value, 1U);
+  EXPECT_TRUE(choose_machines(job_spec, {2}, bins, {1, 1}).empty());
 }
 
-TEST(Placement, PrefersTheImageThenTheFullestMachine) {
-  JobSpec s = test_job("run-1", 1);
-  std::vector<CandidateNode> bins = {bin(0, 4), bin(0, 2), bin(0, 3, true)};
-  EXPECT_EQ(choose(s, {0}, bins, {0, 0})[0].node, 2U);
-  bins = {bin(0, 4), bin(0, 2)};
-  EXPECT_EQ(choose(s, {0}, bins, {0, 0})[0].node, 1U);
+TEST(Placement, PrefersCachedImageThenFullestMachine) {
+  JobSpec job_spec = test_job("run-1", 1);
+  std::vector<CandidateMachine> bins = {make_candidate(0, 4), make_candidate(0, 2),
+                                        make_candidate(0, 3, true)};
+  EXPECT_EQ(choose_machines(job_spec, {0}, bins, {0, 0})[0].candidate, 2U);
+  bins = {make_candidate(0, 4), make_candidate(0, 2)};
+  EXPECT_EQ(choose_machines(job_spec, {0}, bins, {0, 0})[0].candidate, 1U);
 }
 
-TEST(Order, GivesUpTheFewestJobs) {
+TEST(DeadlineOrder, AbandonsTheFewestJobs) {
   struct Case {
-    const char* what;
-    std::vector<Due> jobs;
+    const char* description;
+    std::vector<DueJob> jobs;
     double rate;
-    std::vector<bool> given_up;
+    std::vector<bool> abandoned;
   };
   const Case cases[] = {
       {"all in time", {{10, 5}, {20, 5}}, 1, {false, false}},
@@ -91,409 +149,416 @@
       {"at its very time", {{5, 5}}, 1, {false}},
       {"none", {}, 1, {}},
   };
-  for (const Case& c : cases) EXPECT_EQ(give_up_late(c.jobs, c.rate), c.given_up) << c.what;
+  for (const Case& c : cases) EXPECT_EQ(select_late_jobs(c.jobs, c.rate), c.abandoned) << c.description;
 }
 
-TEST(Placement, HowManyFit) {
+TEST(Placement, CountsTasksThatFit) {
   EXPECT_EQ(how_many_fit({6, 1, 36}, {32, 4, 192}), 4);
   EXPECT_EQ(how_many_fit({0.1, 0, 0}, {0.3, 0, 0}), 3);  // sums of decimals
   EXPECT_EQ(how_many_fit({1, 0, 0}, {0, 4, 4}), 0);
 }
 
-JobSpec gang(const std::string& ref, std::uint32_t tasks) {
+JobSpec gang_job(const std::string& ref, std::uint32_t tasks) {
   JobSpec s = test_job(ref, tasks, 4);
-  s.shape = Shape::gang;
+  s.shape = JobShape::gang;
   return s;
 }
 
-TEST(Gangs, StartsWholeWithOneAttemptAndFinishesTogether) {
-  Cluster c;
-  c.add_machine("m1");
-  c.submit(gang("run-1", 2));
-  c.run(4);
-  EXPECT_EQ(c.log.starts["run-1/0"] + c.log.starts["run-1/1"], 0);
-  c.add_machine("m2");
-  c.run(4);
-  std::string first = c.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+TEST(GangScheduling, StartsAllMembersWithOneAttemptAndFinishesTogether) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.submit(gang_job("run-1", 2));
+  cluster.run(4);
+  EXPECT_EQ(cluster.run_log.starts["run-1/0"] + cluster.run_log.starts["run-1/1"], 0);
+  cluster.add_machine("m2");
+  cluster.run(4);
+  std::string first = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
   std::string second = first == "run-1/0" ? "run-1/1" : "run-1/0";
-  ASSERT_TRUE(c.worker("m1").has(first));
-  ASSERT_TRUE(c.worker("m2").has(second));
-  EXPECT_EQ(c.worker("m1").attempt(first), c.worker("m2").attempt(second));
+  ASSERT_TRUE(cluster.worker("m1").has(first));
+  ASSERT_TRUE(cluster.worker("m2").has(second));
+  EXPECT_EQ(cluster.worker("m1").attempt(first), cluster.worker("m2").attempt(second));
   // One says done while the other's machine is silent: they complete together.
-  c.silenced.insert("m2");
-  c.worker("m1").finish(first, EndCause::done);
-  c.run(2);
-  EXPECT_EQ(c.phase("run-1"), "done");
+  cluster.silenced_workers.insert("m2");
+  cluster.worker("m1").finish(first, EndCause::done);
+  cluster.run(2);
+  EXPECT_EQ(cluster.phase("run-1"), "done");
 }
 
-TEST(Gangs, MemberThatGaveUpWaitingIsReplacedUnderTheSameAttempt) {
+TEST(GangScheduling, TimedOutMemberIsReplacedUnderTheSameAttempt) {
   // One member has its image and waits, the other fetches for longer than a gang waits. Stopping both would
   // give the fetch up, and the next attempt would end the same way.
-  Cluster c;
-  c.add_machine("m1");
-  c.add_machine("m2");
-  c.submit(gang("run-1", 2));
-  c.run(3);
-  std::string on1 = c.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  std::string on2 = on1 == "run-1/0" ? "run-1/1" : "run-1/0";
-  c.worker("m1").set_phase(on1, TaskPhase::gathering);
-  c.worker("m2").set_phase(on2, TaskPhase::fetching);
-  c.run(1);
-  Attempt attempt = c.worker("m2").attempt(on2);
-  c.worker("m1").finish(on1, EndCause::incomplete);
-  c.run(3);
-  EXPECT_EQ(c.log.starts[on2], 1);  // still fetching
-  ASSERT_TRUE(c.worker("m1").has(on1));
-  EXPECT_EQ(c.log.starts[on1], 2);
-  EXPECT_EQ(c.worker("m1").attempt(on1), attempt);
-  c.run(5);
-  c.worker("m1").finish(on1, EndCause::done);
-  c.run(2);
-  EXPECT_EQ(c.phase("run-1"), "done");
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.add_machine("m2");
+  cluster.submit(gang_job("run-1", 2));
+  cluster.run(3);
+  std::string task_on_m1 = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  std::string task_on_m2 = task_on_m1 == "run-1/0" ? "run-1/1" : "run-1/0";
+  cluster.worker("m1").set_phase(task_on_m1, TaskPhase::gathering);
+  cluster.worker("m2").set_phase(task_on_m2, TaskPhase::fetching);
+  cluster.run(1);
+  Attempt attempt = cluster.worker("m2").attempt(task_on_m2);
+  cluster.worker("m1").finish(task_on_m1, EndCause::incomplete);
+  cluster.run(3);
+  EXPECT_EQ(cluster.run_log.starts[task_on_m2], 1);  // still fetching
+  ASSERT_TRUE(cluster.worker("m1").has(task_on_m1));
+  EXPECT_EQ(cluster.run_log.starts[task_on_m1], 2);
+  EXPECT_EQ(cluster.worker("m1").attempt(task_on_m1), attempt);
+  cluster.run(5);
+  cluster.worker("m1").finish(task_on_m1, EndCause::done);
+  cluster.run(2);
+  EXPECT_EQ(cluster.phase("run-1"), "done");
 }
 
-TEST(Gangs, MembersFetchWhereTheyCanWhileTheRestOfTheirMachinesComes) {
+TEST(GangScheduling, MembersPrefetchImagesWhileRemainingMachinesArrive) {
   // Waiting for all machines at once, a gang lost each one to smaller jobs as it came up.
-  Cluster c;
-  c.add_machine("m1");
-  c.add_machine("m2");
-  c.silenced.insert("m2");  // boots
-  c.submit(gang("run-1", 2));
-  c.run(1);
-  std::string first = c.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  ASSERT_TRUE(c.worker("m1").has(first));
-  c.worker("m1").set_phase(first, TaskPhase::gathering);
-  c.submit(gang("run-2", 1));
-  c.run(2);
-  EXPECT_EQ(c.log.starts["run-2/0"], 0);
-  c.silenced.clear();
-  c.run(2);
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.add_machine("m2");
+  cluster.silenced_workers.insert("m2");  // boots
+  cluster.submit(gang_job("run-1", 2));
+  cluster.run(1);
+  std::string first = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  ASSERT_TRUE(cluster.worker("m1").has(first));
+  cluster.worker("m1").set_phase(first, TaskPhase::gathering);
+  cluster.submit(gang_job("run-2", 1));
+  cluster.run(2);
+  EXPECT_EQ(cluster.run_log.starts["run-2/0"], 0);
+  cluster.silenced_workers.clear();
+  cluster.run(2);
   std::string second = first == "run-1/0" ? "run-1/1" : "run-1/0";
-  ASSERT_TRUE(c.worker("m2").has(second));
-  EXPECT_EQ(c.worker("m1").attempt(first), c.worker("m2").attempt(second));
-  EXPECT_EQ(c.log.starts[first], 1);
+  ASSERT_TRUE(cluster.worker("m2").has(second));
+  EXPECT_EQ(cluster.worker("m1").attempt(first), cluster.worker("m2").attempt(second));
+  EXPECT_EQ(cluster.run_log.starts[first], 1);
 }
 
-TEST(Gangs, MembersWhoseRestNeverComesLetTheirMachinesGo) {
-  Cluster c;
-  c.add_machine("m1");
-  c.add_machine("m2");
-  c.silenced.insert("m2");  // never comes up
-  c.submit(gang("run-1", 2));
-  c.run(1);
-  std::string first = c.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  ASSERT_TRUE(c.worker("m1").has(first));
-  c.worker("m1").set_phase(first, TaskPhase::gathering);
-  c.submit(gang("run-2", 1));
-  c.run(2 * c.node(0).model.catalog[0].boot_s + c.node(0).model.settings.gang_wait_s + 5);
-  EXPECT_FALSE(c.worker("m1").has(first));
-  EXPECT_TRUE(c.worker("m1").has("run-2/0"));
+TEST(GangScheduling, IncompleteGangReleasesItsMachines) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.add_machine("m2");
+  cluster.silenced_workers.insert("m2");  // never comes up
+  cluster.submit(gang_job("run-1", 2));
+  cluster.run(1);
+  std::string first = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  ASSERT_TRUE(cluster.worker("m1").has(first));
+  cluster.worker("m1").set_phase(first, TaskPhase::gathering);
+  cluster.submit(gang_job("run-2", 1));
+  cluster.run(2 * cluster.controller(0).cluster_state.catalog[0].boot_s +
+              cluster.controller(0).cluster_state.settings.gang_wait_timeout_s + 5);
+  EXPECT_FALSE(cluster.worker("m1").has(first));
+  EXPECT_TRUE(cluster.worker("m1").has("run-2/0"));
 }
 
-TEST(Gangs, RoomGatheredForAGangIsNotFilledAgainByLowerRank) {
+TEST(GangScheduling, CapacityFreedForAGangIsNotTakenByLowerPriority) {
   // Arrays once took each machine that a gang had emptied before the next was empty too.
-  Cluster c;
-  for (const char* m : {"m1", "m2", "m3"}) c.add_machine(m, "a", "blue");
+  SimulatedCluster cluster;
+  for (const char* m : {"m1", "m2", "m3"}) cluster.add_machine(m, "a", "blue");
   JobSpec low = test_job("run-1", 40);
-  low.part = PartIndex{2};
-  low.rank = Rank::low;
-  c.submit(low);
-  c.run(3);
-  std::map<std::string, int> before = c.log.starts;
-  JobSpec high = gang("run-2", 3);
-  high.part = PartIndex{2};
-  high.rank = Rank::high;
-  c.submit(high);
-  c.run(6);
-  for (const char* t : {"run-2/0", "run-2/1", "run-2/2"}) EXPECT_EQ(c.log.starts[t], 1) << t;
+  low.partition = PartitionIndex{2};
+  low.priority = Priority::low;
+  cluster.submit(low);
+  cluster.run(3);
+  std::map<std::string, int> before = cluster.run_log.starts;
+  JobSpec high = gang_job("run-2", 3);
+  high.partition = PartitionIndex{2};
+  high.priority = Priority::high;
+  cluster.submit(high);
+  cluster.run(6);
+  for (const char* t : {"run-2/0", "run-2/1", "run-2/2"}) EXPECT_EQ(cluster.run_log.starts[t], 1) << t;
   int restarted = 0;
-  for (const auto& [task, n] : c.log.starts) {
+  for (const auto& [task, n] : cluster.run_log.starts) {
     if (task.compare(0, 6, "run-1/") == 0) restarted += n - before[task];
   }
   EXPECT_EQ(restarted, 0);
 }
 
-TEST(Gangs, MachineWithTheImageIsWorthStoppingLowerRankWhereTheFetchIsLong) {
+TEST(GangScheduling, PreemptsLowerPriorityOnCachedImageMachineWhenFetchIsLong) {
   // The owner once took its free machine at once and fetched for longer than the other's work needs to save.
-  Cluster c;
-  c.node(0).model.catalog[0].fetch_gb_per_s = 0.5;
-  c.node(0).model.catalog[0].cache_gb = 100;
-  c.add_machine("m1");
-  c.add_machine("m2", "a", "blue");
-  JobSpec low = test_job("run-1", 4);
-  low.part = PartIndex{2};
-  low.rank = Rank::low;
-  low.image_gb = 8;
-  c.submit(low);
-  c.run(4);
-  ASSERT_TRUE(c.worker("m2").has("run-1/0"));
-  JobSpec high = gang("run-2", 1);
-  high.rank = Rank::high;
+  SimulatedCluster cluster;
+  cluster.controller(0).cluster_state.catalog[0].fetch_gb_per_s = 0.5;
+  cluster.controller(0).cluster_state.catalog[0].cache_gb = 100;
+  cluster.add_machine("m1");
+  cluster.add_machine("m2", "a", "blue");
+  JobSpec low_priority_job = test_job("run-1", 4);
+  low_priority_job.partition = PartitionIndex{2};
+  low_priority_job.priority = Priority::low;
+  low_priority_job.image_gb = 8;
+  cluster.submit(low_priority_job);
+  cluster.run(4);
+  ASSERT_TRUE(cluster.worker("m2").has("run-1/0"));
+  JobSpec high = gang_job("run-2", 1);
+  high.priority = Priority::high;
   high.image_gb = 8;  // the same image
-  c.submit(high);
-  c.run(8);
-  EXPECT_TRUE(c.worker("m2").has("run-2/0"));
-  EXPECT_EQ(c.log.starts["run-2/0"], 1);
-  EXPECT_TRUE(c.log.twice.empty());
+  cluster.submit(high);
+  cluster.run(8);
+  EXPECT_TRUE(cluster.worker("m2").has("run-2/0"));
+  EXPECT_EQ(cluster.run_log.starts["run-2/0"], 1);
+  EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
-TEST(Gangs, MachineOfAMemberThatGaveUpWaitingIsKeptForIt) {
+TEST(GangScheduling, MachineOfATimedOutMemberIsReservedForIt) {
   // Its image is there. Between its end and the record of that another gang took the machine.
-  Cluster c;
-  c.add_machine("m1");
-  c.add_machine("m2");
-  for (const char* m : {"m1", "m2"}) c.worker(m).first_phase = TaskPhase::gathering;
-  c.submit(gang("run-1", 2));
-  c.run(3);
-  std::string task = c.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  ASSERT_TRUE(c.worker("m1").has(task));
-  JobSpec other = gang("run-0", 1);
-  other.rank = Rank::high;  // it would go first
-  c.submit(other);
-  c.node(0).sync(c.now);
-  c.worker("m1").finish(task, EndCause::incomplete);
-  c.now += 0.5;
-  c.exchange("m1", 0);
-  c.node(0).fate = lab::Fate::answer_lost;  // the end is written, and its answer is waited for
-  c.node(0).pass(c.now);
-  EXPECT_TRUE(c.placed("run-0", 0).empty());
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.add_machine("m2");
+  for (const char* m : {"m1", "m2"}) cluster.worker(m).first_phase = TaskPhase::gathering;
+  cluster.submit(gang_job("run-1", 2));
+  cluster.run(3);
+  std::string task = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  ASSERT_TRUE(cluster.worker("m1").has(task));
+  JobSpec other = gang_job("run-0", 1);
+  other.priority = Priority::high;  // it would go first
+  cluster.submit(other);
+  cluster.controller(0).sync(cluster.now);
+  cluster.worker("m1").finish(task, EndCause::incomplete);
+  cluster.now += 0.5;
+  cluster.exchange_report("m1", 0);
+  cluster.controller(0).write_outcome =
+      lab::WriteOutcome::answer_lost;  // the end is written, and its answer is waited for
+  cluster.controller(0).run_cycle(cluster.now);
+  EXPECT_TRUE(cluster.machines_of_task("run-0", 0).empty());
 }
 
-TEST(Gangs, LossOfOneStopsTheRestAndWaitsForAll) {
-  Cluster c;
-  c.add_machine("m1");
-  c.add_machine("m2");
-  c.submit(gang("run-1", 2));
-  c.run(4);
-  std::string on1 = c.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  ASSERT_TRUE(c.worker("m1").has(on1));
-  Attempt before = c.worker("m1").attempt(on1);
-  c.silenced.insert("m2");
-  c.worker("m1").finish(on1, EndCause::peers);
-  c.add_machine("m3");
-  c.run(6);
+TEST(GangScheduling, MemberLossStopsTheOthersAndWaitsForAll) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.add_machine("m2");
+  cluster.submit(gang_job("run-1", 2));
+  cluster.run(4);
+  std::string task_on_m1 = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  ASSERT_TRUE(cluster.worker("m1").has(task_on_m1));
+  Attempt before = cluster.worker("m1").attempt(task_on_m1);
+  cluster.silenced_workers.insert("m2");
+  cluster.worker("m1").finish(task_on_m1, EndCause::peers_lost);
+  cluster.add_machine("m3");
+  cluster.run(6);
   // The member on m2 may still be there: nothing is started until its lease is over.
-  EXPECT_EQ(c.log.starts["run-1/0"], 1);
-  EXPECT_EQ(c.log.starts["run-1/1"], 1);
-  c.run(12);
-  ASSERT_EQ(c.log.starts["run-1/0"], 2);
-  EXPECT_TRUE(c.log.twice.empty());
+  EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
+  EXPECT_EQ(cluster.run_log.starts["run-1/1"], 1);
+  cluster.run(12);
+  ASSERT_EQ(cluster.run_log.starts["run-1/0"], 2);
+  EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
   for (const char* m : {"m1", "m3"}) {
     for (const char* t : {"run-1/0", "run-1/1"}) {
-      if (c.worker(m).has(t)) {
-        EXPECT_NE(c.worker(m).attempt(t), before);
+      if (cluster.worker(m).has(t)) {
+        EXPECT_NE(cluster.worker(m).attempt(t), before);
       }
     }
   }
 }
 
-TEST(Gangs, GangLargerThanATransactionIsPlacedInPieces) {
-  Cluster c;
-  for (int i = 0; i < 70; ++i) c.add_machine("m" + std::to_string(i), "a", "blue");
-  JobSpec s = gang("run-1", 70);  // more machines than one transaction can guard, two records
-  s.part = PartIndex{2};
-  c.submit(s);
-  c.run(6);
+TEST(GangScheduling, GangLargerThanATransactionIsPlacedInBatches) {
+  SimulatedCluster cluster;
+  for (int i = 0; i < 70; ++i) cluster.add_machine("m" + std::to_string(i), "a", "blue");
+  JobSpec s = gang_job("run-1", 70);  // more machines than one transaction can guard, two records
+  s.partition = PartitionIndex{2};
+  cluster.submit(s);
+  cluster.run(6);
   std::set<Attempt> attempts;
   for (int i = 0; i < 70; ++i) {
-    for (const TaskReport& t : c.worker("m" + std::to_string(i)).report(c.now).tasks)
+    for (const TaskReport& t : cluster.worker("m" + std::to_string(i)).report(cluster.now).tasks)
       attempts.insert(t.attempt);
   }
-  EXPECT_EQ(c.log.starts.size(), 70U);
+  EXPECT_EQ(cluster.run_log.starts.size(), 70U);
   EXPECT_EQ(attempts.size(), 1U);
 }
 
-TEST(Jobs, HundredThousandTasksStayWithinTheStateServicesLimits) {
-  Cluster c;
+TEST(JobArrays, HundredThousandTasksStayWithinStateServiceLimits) {
+  SimulatedCluster cluster;
   for (int i = 0; i < 40; ++i)
-    c.add_machine("machine-with-a-long-name-" + std::to_string(1000000 + i), "a", "blue");
-  JobSpec s = test_job("run-with-a-long-name-0001", 100000, 0.05);
-  s.part = PartIndex{2};
-  s.need = {0.1, 0.01, 0.1};
-  c.submit(s);
-  c.run(8);
+    cluster.add_machine("machine-with-a-long-name-" + std::to_string(1000000 + i), "a", "blue");
+  JobSpec job_spec = test_job("run-with-a-long-name-0001", 100000, 0.05);
+  job_spec.partition = PartitionIndex{2};
+  job_spec.task_resources = {0.1, 0.01, 0.1};
+  cluster.submit(job_spec);
+  cluster.run(8);
   int running = 0;
-  for (const auto& [task, n] : c.log.starts) running += n;
+  for (const auto& [task, n] : cluster.run_log.starts) running += n;
   EXPECT_GT(running, 2000);
-  EXPECT_TRUE(c.log.twice.empty());
-  EXPECT_EQ(c.node(0).model.job(c.node(0).model.find_job(s.ref)).pending(),
-            100000U - c.node(0).model.job(c.node(0).model.find_job(s.ref)).placed.size());
+  EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
+  EXPECT_EQ(cluster.controller(0)
+                .cluster_state.job(cluster.controller(0).cluster_state.find_job(job_spec.ref))
+                .pending_count(),
+            100000U - cluster.controller(0)
+                          .cluster_state.job(cluster.controller(0).cluster_state.find_job(job_spec.ref))
+                          .placements.size());
 }
 
-TEST(Gangs, SpotNoticeStopsAllMembersInOrderWithTimeToSave) {
-  Cluster c;
-  JobSpec s = gang("run-1", 2);
-  s.spot = true;
-  c.add_machine("m1", "a", "red", true);
-  c.add_machine("m2");
-  c.submit(s);
-  c.run(4);
-  ASSERT_EQ(c.log.starts["run-1/0"], 1);
-  c.worker("m1").recall_s = 10;
-  c.exchange("m1", 0);
-  c.node(0).direct.clear();
-  c.now += 0.5;
-  c.node(0).pass(c.now);
-  c.now += 0.5;
-  c.node(0).pass(c.now);
-  std::set<std::string> told;
-  for (const DirectOrders& d : c.node(0).direct) {
-    told.insert(c.node(0).model.names.machines.name(d.machine));
-    for (const Order& o : d.orders) {
-      EXPECT_EQ(o.verb, OrderVerb::kill);
-      EXPECT_GE(o.wind_down_s, s.flush_s);
+TEST(GangScheduling, SpotPreemptionNoticeStopsAllMembersWithTimeToCheckpoint) {
+  SimulatedCluster cluster;
+  JobSpec job_spec = gang_job("run-1", 2);
+  job_spec.spot = true;
+  cluster.add_machine("m1", "a", "red", true);
+  cluster.add_machine("m2");
+  cluster.submit(job_spec);
+  cluster.run(4);
+  ASSERT_EQ(cluster.run_log.starts["run-1/0"], 1);
+  cluster.worker("m1").preemption_notice_s = 10;
+  cluster.exchange_report("m1", 0);
+  cluster.controller(0).direct_commands.clear();
+  cluster.now += 0.5;
+  cluster.controller(0).run_cycle(cluster.now);
+  cluster.now += 0.5;
+  cluster.controller(0).run_cycle(cluster.now);
+  std::set<std::string> notified_machines;
+  for (const DirectCommands& d : cluster.controller(0).direct_commands) {
+    notified_machines.insert(cluster.controller(0).cluster_state.names.machines.name(d.machine));
+    for (const AgentCommand& o : d.commands) {
+      EXPECT_EQ(o.kind, CommandKind::kill);
+      EXPECT_GE(o.termination_timeout_s, job_spec.flush_s);
     }
   }
-  EXPECT_EQ(told, (std::set<std::string>{"m1", "m2"}));
+  EXPECT_EQ(notified_machines, (std::set<std::string>{"m1", "m2"}));
 }
 
-TEST(Gangs, ServiceReplicasAreReplacedUntilCancelled) {
-  Cluster c;
-  c.add_machine("m1");
+TEST(Services, ReplicasAreReplacedUntilCancelled) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
   JobSpec s = test_job("run-1", 2);
-  s.shape = Shape::service;
+  s.shape = JobShape::service;
   s.estimate_s = 0;
-  c.submit(s);
-  c.run(3);
-  c.worker("m1").finish("run-1/0", EndCause::error);
-  c.run(5);
-  EXPECT_TRUE(c.worker("m1").has("run-1/0"));
-  EXPECT_EQ(c.log.starts["run-1/0"], 2);
-  c.withdraw("run-1");
-  c.run(3);
-  EXPECT_EQ(c.phase("run-1"), "cancelled");
-  EXPECT_FALSE(c.worker("m1").has("run-1/1"));
+  cluster.submit(s);
+  cluster.run(3);
+  cluster.worker("m1").finish("run-1/0", EndCause::error);
+  cluster.run(5);
+  EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
+  EXPECT_EQ(cluster.run_log.starts["run-1/0"], 2);
+  cluster.withdraw("run-1");
+  cluster.run(3);
+  EXPECT_EQ(cluster.phase("run-1"), "cancelled");
+  EXPECT_FALSE(cluster.worker("m1").has("run-1/1"));
 }
 
-TEST(Fleet, LeaderMovesIdleMachinesAndRentsWhatIsMissing) {
-  Cluster c;
-  c.add_machine("m1", "a", ".pool");
-  c.run(2);
-  c.submit(test_job("run-1", 8));
-  c.run(4);
-  EXPECT_EQ(c.state.keys().at("o/m/m1").value.at("part"), "red");
-  EXPECT_TRUE(c.worker("m1").has("run-1/0"));
+TEST(Autoscaler, LeaderMovesIdleMachinesAndScalesOutForTheRest) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1", "a", ".pool");
+  cluster.run(2);
+  cluster.submit(test_job("run-1", 8));
+  cluster.run(4);
+  EXPECT_EQ(cluster.store.keys().at("o/m/m1").value.at("part"), "red");
+  EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
   // Nothing has come free of late, so there is nothing to wait for.
-  ASSERT_EQ(c.node(0).rents.size(), 1U);  // for the other four; asked once
-  EXPECT_EQ(c.node(0).rents[0].count, 1U);
+  ASSERT_EQ(cluster.controller(0).scale_outs.size(), 1U);  // for the other four; asked once
+  EXPECT_EQ(cluster.controller(0).scale_outs[0].count, 1U);
   // In doubt, the same name is asked again; a definite answer ends it.
-  std::string name = c.node(0).rents[0].request;
-  c.node(0).fleet.on_rented(name, false, {}, c.now);
-  c.run(5);
-  ASSERT_EQ(c.node(0).rents.size(), 2U);
-  EXPECT_EQ(c.node(0).rents[1].request, name);
-  c.node(0).fleet.on_rented(name, true, {"m9"}, c.now);
-  c.run(2);
-  EXPECT_EQ(c.state.keys().at("o/m/m9").value.at("part"), "red");
-  EXPECT_EQ(c.node(0).rents.size(), 2U);
+  std::string name = cluster.controller(0).scale_outs[0].request_id;
+  cluster.controller(0).autoscaler.on_scale_out_result(name, false, {}, cluster.now);
+  cluster.run(5);
+  ASSERT_EQ(cluster.controller(0).scale_outs.size(), 2U);
+  EXPECT_EQ(cluster.controller(0).scale_outs[1].request_id, name);
+  cluster.controller(0).autoscaler.on_scale_out_result(name, true, {"m9"}, cluster.now);
+  cluster.run(2);
+  EXPECT_EQ(cluster.store.keys().at("o/m/m9").value.at("part"), "red");
+  EXPECT_EQ(cluster.controller(0).scale_outs.size(), 2U);
 }
 
-TEST(Fleet, MachineThatServedForLongIsNotTakenForOneThatNeverBooted) {
+TEST(Autoscaler, LongRunningMachineIsNotMistakenForOneThatNeverBooted) {
   // The pool's owner has had no report of it yet; it was once returned at once for that.
-  Cluster c;
-  c.add_machine("m1");
-  c.submit(test_job("run-1", 1));
-  OperatorSettings& op = c.node(0).model.settings.op;
-  op.give_back_s = 5;
-  c.run(op.boot_patience * 20 + 20);
-  c.worker("m1").finish("run-1/0", EndCause::done);
-  c.run(1.5);
-  c.silenced.insert("m1");  // its first report to the pool's owner does not come for a while
-  c.run(6.5);
-  EXPECT_EQ(c.state.keys().at("o/m/m1").value.at("part"), ".pool");
-  EXPECT_FALSE(c.state.keys().at("o/m/m1").value.at("del").get<bool>());
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.submit(test_job("run-1", 1));
+  OperatorSettings& op = cluster.controller(0).cluster_state.settings.operator_settings;
+  op.release_to_pool_s = 5;
+  cluster.run(op.boot_timeout_factor * 20 + 20);
+  cluster.worker("m1").finish("run-1/0", EndCause::done);
+  cluster.run(1.5);
+  cluster.silenced_workers.insert("m1");  // its first report to the pool's owner does not come for a while
+  cluster.run(6.5);
+  EXPECT_EQ(cluster.store.keys().at("o/m/m1").value.at("part"), ".pool");
+  EXPECT_FALSE(cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());
 }
 
-TEST(Fleet, LargeStartWritesOneRecordAMachineAndOneAJob) {
+TEST(Autoscaler, LargeScaleOutWritesOneRecordPerMachineAndJob) {
   // The start of a day is what the state service's changes are scarcest for.
   constexpr int size = 300;
-  Cluster c;
-  for (int i = 0; i < size; ++i) c.add_stranger("m" + std::to_string(i), i % 2 == 0 ? "a" : "b");
+  SimulatedCluster cluster;
+  for (int i = 0; i < size; ++i)
+    cluster.add_unregistered_machine("m" + std::to_string(i), i % 2 == 0 ? "a" : "b");
   for (int i = 0; i < size; ++i) {
-    JobSpec s = gang("run-" + std::to_string(i), 1);
-    s.part = PartIndex{2};
-    c.submit(s);
+    JobSpec s = gang_job("run-" + std::to_string(i), 1);
+    s.partition = PartitionIndex{2};
+    cluster.submit(s);
   }
-  c.node(0).sync(c.now);
-  std::size_t before = c.state.events().size();
-  c.run(25);
+  cluster.controller(0).sync(cluster.now);
+  std::size_t before = cluster.store.events().size();
+  cluster.run(25);
   std::map<std::string, int> written;
-  for (std::size_t i = before; i < c.state.events().size(); ++i)
-    ++written[c.state.events()[i].key.substr(0, 4)];
-  EXPECT_EQ(c.log.starts.size(), static_cast<std::size_t>(size));
+  for (std::size_t i = before; i < cluster.store.events().size(); ++i)
+    ++written[cluster.store.events()[i].key.substr(0, 4)];
+  EXPECT_EQ(cluster.run_log.starts.size(), static_cast<std::size_t>(size));
   EXPECT_EQ(written["o/m/"], size);
   EXPECT_EQ(written["o/c/"], size);
-  EXPECT_EQ(c.node(0).refused, 0);
-  EXPECT_TRUE(c.log.twice.empty());
+  EXPECT_EQ(cluster.controller(0).refused_writes, 0);
+  EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
-TEST(Fleet, ZoneOutOfReachIsNeitherRentedInNorCountedOn) {
-  Cluster c;
+TEST(Autoscaler, UnreachableZoneIsNeitherScaledOutNorCounted) {
+  SimulatedCluster cluster;
   for (int i = 0; i < 5; ++i) {
-    c.add_machine("a" + std::to_string(i), "a", "blue");
-    c.add_machine("b" + std::to_string(i), "b", "blue");
+    cluster.add_machine("a" + std::to_string(i), "a", "blue");
+    cluster.add_machine("b" + std::to_string(i), "b", "blue");
   }
-  c.run(3);
-  for (int i = 0; i < 5; ++i) c.silenced.insert("a" + std::to_string(i));
-  c.run(4);
-  EXPECT_TRUE(c.node(0).scheduler.dark(ZoneIndex{0}, c.now));
-  EXPECT_FALSE(c.node(0).scheduler.dark(ZoneIndex{1}, c.now));
+  cluster.run(3);
+  for (int i = 0; i < 5; ++i) cluster.silenced_workers.insert("a" + std::to_string(i));
+  cluster.run(4);
+  EXPECT_TRUE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{0}, cluster.now));
+  EXPECT_FALSE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{1}, cluster.now));
   JobSpec s = test_job("run-1", 40);  // more than zone b has
-  s.part = PartIndex{2};
-  c.submit(s);
-  c.run(6);
-  ASSERT_FALSE(c.node(0).rents.empty());
-  for (const RentOrder& r : c.node(0).rents) EXPECT_EQ(r.zone.v, 1U);
-  EXPECT_EQ(c.log.starts.size(), 20U);
-  c.silenced.clear();
-  c.run(2);
-  EXPECT_FALSE(c.node(0).scheduler.dark(ZoneIndex{0}, c.now));
+  s.partition = PartitionIndex{2};
+  cluster.submit(s);
+  cluster.run(6);
+  ASSERT_FALSE(cluster.controller(0).scale_outs.empty());
+  for (const ScaleOutRequest& r : cluster.controller(0).scale_outs) EXPECT_EQ(r.zone.value, 1U);
+  EXPECT_EQ(cluster.run_log.starts.size(), 20U);
+  cluster.silenced_workers.clear();
+  cluster.run(2);
+  EXPECT_FALSE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{0}, cluster.now));
   // A node that hears nobody has lost the network itself: no zone is to blame.
   for (int i = 0; i < 5; ++i) {
-    c.silenced.insert("a" + std::to_string(i));
-    c.silenced.insert("b" + std::to_string(i));
+    cluster.silenced_workers.insert("a" + std::to_string(i));
+    cluster.silenced_workers.insert("b" + std::to_string(i));
   }
-  c.run(4);
-  EXPECT_TRUE(c.node(0).scheduler.dark_zones(c.now).empty());
+  cluster.run(4);
+  EXPECT_TRUE(cluster.controller(0).scheduler.unreachable_zones(cluster.now).empty());
 }
 
-TEST(Fleet, MachineNobodyAskedForIsTakenIn) {
-  Cluster c;
-  c.add_machine("m1", "a", ".pool");
-  lab::Worker stranger("host-9", "b", c.log);
-  auto a = c.node(0).hear(stranger.report(c.now), c.now);
+TEST(Autoscaler, UnregisteredMachineIsAdopted) {
+  SimulatedCluster cluster;
+  cluster.add_machine("m1", "a", ".pool");
+  lab::Worker unregistered_worker("host-9", "b", cluster.run_log);
+  auto a = cluster.controller(0).handle_report(unregistered_worker.report(cluster.now), cluster.now);
   EXPECT_EQ(a.kind, ReportAnswer::Kind::ok);
-  EXPECT_TRUE(a.orders.empty());
-  c.run(1);
-  EXPECT_EQ(c.state.keys().at("o/m/host-9").value.at("part"), ".pool");
+  EXPECT_TRUE(a.commands.empty());
+  cluster.run(1);
+  EXPECT_EQ(cluster.store.keys().at("o/m/host-9").value.at("part"), ".pool");
 }
 
-TEST(Fleet, NewMachineGoesStraightToThePartThatWaits) {
+TEST(Autoscaler, NewMachineIsAssignedDirectlyToTheWaitingPartition) {
   // Taken into the pool first, each machine cost two changes and the worker a further round of reports.
-  Cluster c;
-  c.submit(test_job("run-1", 1));
-  c.node(0).sync(c.now);
-  lab::Worker stranger("host-9", "b", c.log);
-  c.node(0).hear(stranger.report(c.now), c.now);
-  std::size_t before = c.state.events().size();
-  c.run(0.5);
-  EXPECT_EQ(c.state.keys().at("o/m/host-9").value.at("part"), "red");
+  SimulatedCluster cluster;
+  cluster.submit(test_job("run-1", 1));
+  cluster.controller(0).sync(cluster.now);
+  lab::Worker unregistered_worker("host-9", "b", cluster.run_log);
+  cluster.controller(0).handle_report(unregistered_worker.report(cluster.now), cluster.now);
+  std::size_t before = cluster.store.events().size();
+  cluster.run(0.5);
+  EXPECT_EQ(cluster.store.keys().at("o/m/host-9").value.at("part"), "red");
   std::size_t records = 0;
-  for (std::size_t i = before; i < c.state.events().size(); ++i)
-    records += c.state.events()[i].key == "o/m/host-9" ? 1 : 0;
+  for (std::size_t i = before; i < cluster.store.events().size(); ++i)
+    records += cluster.store.events()[i].key == "o/m/host-9" ? 1 : 0;
   EXPECT_EQ(records, 1U);
 }
 
-TEST(Net, TokenBucketAllowsItsRateAndBurst) {
-  TokenBucket b(10, 5);
+TEST(Net, TokenBucketEnforcesRateAndBurst) {
+  TokenBucket bucket(10, 5);
   int taken = 0;
-  for (int i = 0; i < 20; ++i) taken += b.take(1, 100) ? 1 : 0;
+  for (int i = 0; i < 20; ++i) taken += bucket.take(1, 100) ? 1 : 0;
   EXPECT_EQ(taken, 5);
-  EXPECT_NEAR(b.wait_for(2, 100), 0.2, 1e-9);
-  EXPECT_TRUE(b.take(2, 100.2));
-  EXPECT_FALSE(b.take(1, 100.2));
-  EXPECT_FALSE(b.take(6, 100.3));
-  EXPECT_TRUE(b.take(6, 101));  // larger than the burst: taken on credit once it is full
+  EXPECT_NEAR(bucket.wait_for(2, 100), 0.2, 1e-9);
+  EXPECT_TRUE(bucket.take(2, 100.2));
+  EXPECT_FALSE(bucket.take(1, 100.2));
+  EXPECT_FALSE(bucket.take(6, 100.3));
+  EXPECT_TRUE(bucket.take(6, 101));  // larger than the burst: taken on credit once it is full
 }
 
 }  // namespace
--- a/tests/promise_test.cpp
+++ b/tests/promise_test.cpp
@@ -7,211 +7,214 @@
 namespace oxbowmill {
 namespace {
 
-using lab::Cluster;
+using lab::SimulatedCluster;
 using lab::test_job;
 
-TEST(Promise, GrowsMorePressingWithAgeAndTheImagesFetch) {
+TEST(StartDeadline, UrgencyGrowsWithAgeAndImageFetchTime) {
   struct Case {
-    const char* what;
-    double age, image_gb, within;
-    Promise promise;
+    const char* description;
+    double age_s, image_gb, begin_within_s;
+    StartDeadline start_deadline;
   };
   const Case cases[] = {
-      {"new", 0, 0, 240, Promise::ample},
-      {"two fifths are left", 143, 0, 240, Promise::protected_},
-      {"just not yet", 141, 0, 240, Promise::ample},
-      {"a quarter is left", 179, 0, 240, Promise::pressing},
-      {"an eighth is left", 210, 0, 240, Promise::lifted},
-      {"a long fetch is counted in, slower than the type says, and shared", 110, 30, 240, Promise::pressing},
-      {"too late", 1000, 0, 240, Promise::lifted},
-      {"nothing promised", 1000, 0, 0, Promise::ample},
+      {"new", 0, 0, 240, StartDeadline::relaxed},
+      {"two fifths are left", 143, 0, 240, StartDeadline::not_preemptible},
+      {"just not yet", 141, 0, 240, StartDeadline::relaxed},
+      {"a quarter is left", 179, 0, 240, StartDeadline::urgent},
+      {"an eighth is left", 210, 0, 240, StartDeadline::critical},
+      {"a long fetch is counted in, slower than the type says, and shared", 110, 30, 240,
+       StartDeadline::urgent},
+      {"too late", 1000, 0, 240, StartDeadline::critical},
+      {"nothing promised", 1000, 0, 0, StartDeadline::relaxed},
   };
-  for (const Case& k : cases) {
-    Cluster c;
-    Model& m = c.node(0).model;
-    m.settings.op.begin_within_s = k.within;
-    m.catalog[0].fetch_gb_per_s = 1;
+  for (const Case& test_case : cases) {
+    SimulatedCluster cluster;
+    ClusterState& cluster_state = cluster.controller(0).cluster_state;
+    cluster_state.settings.operator_settings.start_deadline_s = test_case.begin_within_s;
+    cluster_state.catalog[0].fetch_gb_per_s = 1;
     JobSpec s = test_job("run-1", 1);
-    s.image_gb = k.image_gb;
-    s.submitted_at = c.now;
-    EXPECT_EQ(promise_of(m, s, c.now + k.age), k.promise) << k.what;
+    s.image_gb = test_case.image_gb;
+    s.submitted_at = cluster.now;
+    EXPECT_EQ(start_deadline_of(cluster_state, s, cluster.now + test_case.age_s), test_case.start_deadline)
+        << test_case.description;
   }
 }
 
 /// Jobs that wait without any machine, as the owner of the part orders them at `at`.
-std::vector<std::string> order_at(Cluster& c, double at, std::size_t machines = 4) {
+std::vector<std::string> start_order(SimulatedCluster& cluster, double at_s, std::size_t machines = 4) {
   for (std::size_t i = 0; i < machines; ++i) {
     std::string name = "m" + std::to_string(i);
-    c.add_machine(name);
-    c.silenced.insert(name);
+    cluster.add_machine(name);
+    cluster.silenced_workers.insert(name);
   }
-  c.node(0).sync(c.now);
+  cluster.controller(0).sync(cluster.now);
   std::vector<std::string> out;
-  for (const Waiting& w : waiting_order(c.node(0).model, PartIndex{1}, {at, at}))
-    out.push_back(c.node(0).model.job(w.job).spec.ref);
+  for (const WaitingJob& w :
+       waiting_order(cluster.controller(0).cluster_state, PartitionIndex{1}, {at_s, at_s}))
+    out.push_back(cluster.controller(0).cluster_state.job(w.job).spec.ref);
   return out;
 }
 
-TEST(Promise, WhatAJobWaitsForCanBeRead) {
+TEST(StartDeadline, PendingReasonIsReported) {
   struct Case {
-    WaitCause cause;
+    PendingReason reason;
     std::uint32_t tasks;  // that have not begun
     JobSpec job;
-    std::function<void(Cluster&)> history;
+    std::function<void(SimulatedCluster&)> setup;
   };
   JobSpec gang = test_job("run-1", 2, 4);
-  gang.shape = Shape::gang;
-  auto placed = [](Cluster& c) {
-    c.node(0).sync(c.now);
-    c.node(0).pass(c.now);
+  gang.shape = JobShape::gang;
+  auto placed = [](SimulatedCluster& cluster) {
+    cluster.controller(0).sync(cluster.now);
+    cluster.controller(0).run_cycle(cluster.now);
   };
   const Case cases[] = {
-      {WaitCause::none, 0, test_job("run-1", 2), [](Cluster& c) { c.run(3); }},
-      {WaitCause::limit, 3, test_job("run-1", 11), [](Cluster& c) { c.run(3); }},
-      {WaitCause::room, 1, test_job("run-1", 5),
-       [](Cluster& c) {
-         c.silenced.insert("m2");
-         c.run(30);
+      {PendingReason::none, 0, test_job("run-1", 2), [](SimulatedCluster& cluster) { cluster.run(3); }},
+      {PendingReason::quota, 3, test_job("run-1", 11), [](SimulatedCluster& cluster) { cluster.run(3); }},
+      {PendingReason::no_capacity, 1, test_job("run-1", 5),
+       [](SimulatedCluster& cluster) {
+         cluster.silenced_workers.insert("m2");
+         cluster.run(30);
        }},
-      {WaitCause::start, 2, test_job("run-1", 2), placed},
-      {WaitCause::start, 2, test_job("run-1", 2),
-       [&](Cluster& c) {
-         placed(c);
-         for (const char* m : {"m1", "m2"}) c.exchange(m, 0, true);
+      {PendingReason::start_unconfirmed, 2, test_job("run-1", 2), placed},
+      {PendingReason::start_unconfirmed, 2, test_job("run-1", 2),
+       [&](SimulatedCluster& cluster) {
+         placed(cluster);
+         for (const char* m : {"m1", "m2"}) cluster.exchange_report(m, 0, true);
        }},
-      {WaitCause::image, 2, test_job("run-1", 2),
-       [](Cluster& c) {
-         for (const char* m : {"m1", "m2"}) c.worker(m).first_phase = TaskPhase::fetching;
-         c.run(3);
+      {PendingReason::image_fetch, 2, test_job("run-1", 2),
+       [](SimulatedCluster& cluster) {
+         for (const char* m : {"m1", "m2"}) cluster.worker(m).first_phase = TaskPhase::fetching;
+         cluster.run(3);
        }},
-      {WaitCause::gang, 2, gang,
-       [](Cluster& c) {
-         for (const char* m : {"m1", "m2"}) c.worker(m).first_phase = TaskPhase::gathering;
-         c.run(3);
+      {PendingReason::gang_members, 2, gang,
+       [](SimulatedCluster& cluster) {
+         for (const char* m : {"m1", "m2"}) cluster.worker(m).first_phase = TaskPhase::gathering;
+         cluster.run(3);
        }},
-      {WaitCause::word, 2, test_job("run-1", 2),
-       [](Cluster& c) {
-         c.run(3);
-         c.hand_over(0, 1, 4);
-         c.node(1).pass(c.now);
+      {PendingReason::agent_silent, 2, test_job("run-1", 2),
+       [](SimulatedCluster& cluster) {
+         cluster.run(3);
+         cluster.fail_over(0, 1, 4);
+         cluster.controller(1).run_cycle(cluster.now);
        }},
-      {WaitCause::transaction, 2, test_job("run-1", 2),
-       [](Cluster& c) {
-         c.node(0).fate = lab::Fate::not_arrived;
-         c.run(1);
+      {PendingReason::transaction_pending, 2, test_job("run-1", 2),
+       [](SimulatedCluster& cluster) {
+         cluster.controller(0).write_outcome = lab::WriteOutcome::not_arrived;
+         cluster.run(1);
        }},
-      {WaitCause::pause, 1, test_job("run-1", 1),
-       [](Cluster& c) {
-         c.run(2);
+      {PendingReason::error_backoff, 1, test_job("run-1", 1),
+       [](SimulatedCluster& cluster) {
+         cluster.run(2);
          for (int i = 0; i < 4; ++i) {
-           std::string at = c.placed("run-1", 0).at(0);
-           c.worker(at).finish("run-1/0", EndCause::no_such);
-           c.run(i < 3 ? 5 : 2);
+           std::string at = cluster.machines_of_task("run-1", 0).at(0);
+           cluster.worker(at).finish("run-1/0", EndCause::no_such);
+           cluster.run(i < 3 ? 5 : 2);
          }
        }},
   };
-  for (const Case& k : cases) {
-    Cluster c;
-    c.node(0).model.settings.op.give_back_s = 1000;
-    for (const char* m : {"m1", "m2"}) c.add_machine(m);
-    c.run(2);
-    c.submit(k.job);
-    k.history(c);
-    std::size_t owner = k.cause == WaitCause::word ? 1 : 0;
-    Model& m = c.node(owner).model;
-    Wait w = wait_of(m, m.job(m.find_job("run-1")), c.now);
-    EXPECT_STREQ(name_of(w.cause), name_of(k.cause));
-    EXPECT_EQ(w.tasks, k.tasks) << name_of(k.cause);
+  for (const Case& test_case : cases) {
+    SimulatedCluster cluster;
+    cluster.controller(0).cluster_state.settings.operator_settings.release_to_pool_s = 1000;
+    for (const char* m : {"m1", "m2"}) cluster.add_machine(m);
+    cluster.run(2);
+    cluster.submit(test_case.job);
+    test_case.setup(cluster);
+    std::size_t owner = test_case.reason == PendingReason::agent_silent ? 1 : 0;
+    ClusterState& m = cluster.controller(owner).cluster_state;
+    PendingStatus w = pending_status_of(m, m.job(m.find_job("run-1")), cluster.now);
+    EXPECT_STREQ(name_of(w.reason), name_of(test_case.reason));
+    EXPECT_EQ(w.tasks, test_case.tasks) << name_of(test_case.reason);
   }
 }
 
-TEST(Promise, WhatIsGivenUpOrOutrankedDoesNotWaitForEver) {
+TEST(StartDeadline, AbandonedOrOutrankedJobsDoNotStarve) {
   // On a day of the fleet the largest arrays, given up for the sake of the most deadlines, began after 377 s.
-  Cluster c;
+  SimulatedCluster cluster;
   JobSpec large = test_job("run-large", 4);
   large.deadline_s = 10;
   large.estimate_s = 50;
-  c.submit(large);
-  c.now += 100;
+  cluster.submit(large);
+  cluster.now += 100;
   JobSpec small = test_job("run-small", 1), high = test_job("run-high", 4, 4);
   small.deadline_s = 400;
   small.estimate_s = 60;  // both are given up while no room comes, and the longest goes first
-  high.rank = Rank::high;
-  high.shape = Shape::gang;
-  c.submit(small);
-  c.submit(high);
-  double began = c.now - 100;
-  using Order = std::vector<std::string>;
-  EXPECT_EQ(order_at(c, began + 120), (Order{"run-high", "run-small", "run-large"}));
-  EXPECT_EQ(order_at(c, began + 190, 0), (Order{"run-high", "run-large", "run-small"}));
-  EXPECT_EQ(order_at(c, began + 220, 0), (Order{"run-large", "run-high", "run-small"}));
+  high.priority = Priority::high;
+  high.shape = JobShape::gang;
+  cluster.submit(small);
+  cluster.submit(high);
+  double began = cluster.now - 100;
+  using JobOrder = std::vector<std::string>;
+  EXPECT_EQ(start_order(cluster, began + 120), (JobOrder{"run-high", "run-small", "run-large"}));
+  EXPECT_EQ(start_order(cluster, began + 190, 0), (JobOrder{"run-high", "run-large", "run-small"}));
+  EXPECT_EQ(start_order(cluster, began + 220, 0), (JobOrder{"run-large", "run-high", "run-small"}));
 }
 
-TEST(Promise, NoMoreThanItsShareOfTheMachinesGoesBeforeOtherRanks) {
+TEST(StartDeadline, UrgentJobsOvertakeOtherPrioritiesOnlyWithinTheirShare) {
   // Where there is never room enough, the ranks must still mean something: all would be late in the end.
-  Cluster c;
+  SimulatedCluster cluster;
   for (int i = 0; i < 6; ++i) {
-    c.submit(test_job("run-low" + std::to_string(i), 4));  // a machine each
-    c.now += 0.1;
+    cluster.submit(test_job("run-low" + std::to_string(i), 4));  // a machine each
+    cluster.now += 0.1;
   }
-  double began = c.now;
-  c.now += 150;
+  double began = cluster.now;
+  cluster.now += 150;
   JobSpec high = test_job("run-high", 1);
-  high.rank = Rank::high;
-  c.submit(high);
-  auto order = order_at(c, began + 230, 8);
+  high.priority = Priority::high;
+  cluster.submit(high);
+  auto order = start_order(cluster, began + 230, 8);
   auto at = std::find(order.begin(), order.end(), "run-high");
   EXPECT_EQ(at - order.begin(), 2);  // a quarter of eight machines goes first
 }
 
-TEST(Promise, TaskThatHasBegunIsNoJobThatNeverDid) {
+TEST(StartDeadline, PreemptedTaskIsNotTreatedAsNeverStarted) {
   // A task that ran for 30 s and was stopped for others is repeated in its turn; else every stop would put an
   // old job before all ranks.
-  Cluster c;
-  c.add_machine("m1");
-  c.submit(test_job("run-1", 1));
-  c.run(40);
-  ASSERT_TRUE(c.worker("m1").has("run-1/0"));
-  Model& m = c.node(0).model;
-  Job& j = m.job(m.find_job("run-1"));
-  EXPECT_FALSE(waits_to_begin(j));
-  c.worker("m1").finish("run-1/0", EndCause::error);
-  c.run(0.5);
-  EXPECT_TRUE(j.has_begun(0));
-  EXPECT_FALSE(waits_to_begin(j));
-  c.now += 1;
-  c.node(0).pass(c.now);
-  auto order = waiting_order(m, PartIndex{1}, {c.now + 300, c.now + 300});
+  SimulatedCluster cluster;
+  cluster.add_machine("m1");
+  cluster.submit(test_job("run-1", 1));
+  cluster.run(40);
+  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
+  ClusterState& cluster_state = cluster.controller(0).cluster_state;
+  Job& current_job = cluster_state.job(cluster_state.find_job("run-1"));
+  EXPECT_FALSE(awaits_first_start(current_job));
+  cluster.worker("m1").finish("run-1/0", EndCause::error);
+  cluster.run(0.5);
+  EXPECT_TRUE(current_job.has_started(0));
+  EXPECT_FALSE(awaits_first_start(current_job));
+  cluster.now += 1;
+  cluster.controller(0).run_cycle(cluster.now);
+  auto order = waiting_order(cluster_state, PartitionIndex{1}, {cluster.now + 300, cluster.now + 300});
   ASSERT_EQ(order.size(), 1U);
-  EXPECT_EQ(order[0].promise, Promise::ample);
+  EXPECT_EQ(order[0].start_deadline, StartDeadline::relaxed);
 }
 
-TEST(Promise, PressingTasksAreNotStoppedBeforeTheyHaveBegun) {
+TEST(StartDeadline, UrgentTasksAreNotPreemptedBeforeTheyStart) {
   // 573 of 18,886 starts of a day were stopped again within 30 s, some tasks three times over.
   struct Case {
-    const char* what;
-    double waited, ran;
-    bool stopped;
+    const char* description;
+    double waited_s, ran_s;
+    bool preempted;
   };
   const Case cases[] = {{"it has time to begin again", 5, 3, true},
                         {"it has not", 150, 3, false},
                         {"it has begun", 150, 34, true}};
-  for (const Case& k : cases) {
-    Cluster c;
+  for (const Case& test_case : cases) {
+    SimulatedCluster cluster;
     JobSpec low = test_job("run-low", 1, 4);
-    low.rank = Rank::low;
-    c.submit(low);
-    c.run(k.waited);
-    c.add_machine("m1");
-    c.run(2);
-    ASSERT_TRUE(c.worker("m1").has("run-low/0")) << k.what;
-    c.run(k.ran);
+    low.priority = Priority::low;
+    cluster.submit(low);
+    cluster.run(test_case.waited_s);
+    cluster.add_machine("m1");
+    cluster.run(2);
+    ASSERT_TRUE(cluster.worker("m1").has("run-low/0")) << test_case.description;
+    cluster.run(test_case.ran_s);
     JobSpec high = test_job("run-high", 1, 4);
-    high.rank = Rank::high;
-    high.shape = Shape::gang;
-    c.submit(high);
-    c.run(4);
-    EXPECT_EQ(c.worker("m1").has("run-high/0"), k.stopped) << k.what;
+    high.priority = Priority::high;
+    high.shape = JobShape::gang;
+    cluster.submit(high);
+    cluster.run(4);
+    EXPECT_EQ(cluster.worker("m1").has("run-high/0"), test_case.preempted) << test_case.description;
   }
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -11,528 +11,571 @@
 namespace oxbowmill {
 namespace {
 
-using lab::Cluster;
 using lab::Json;
+using lab::SimulatedCluster;
 using lab::test_job;
+using recovery::AgentLiveness;
 using recovery::Difference;
-using recovery::PartState;
-using recovery::WordState;
+using recovery::PartitionPhase;
 
-constexpr PartIndex red{1};
+constexpr PartitionIndex red_partition{1};
 
-std::string name(int i) {
+std::string machine_name(int i) {
   return "m" + std::to_string(i);
 }
 
 /// Machines of zone a, a job on each of them, and node 1 in charge after node 0 has ended.
-struct Started {
-  explicit Started(int machines, double gpus = 4, std::uint32_t tasks = 0) {
-    for (int i = 0; i < machines; ++i) c.add_machine(name(i));
+struct ReconciliationFixture {
+  explicit ReconciliationFixture(int machines, double gpus = 4, std::uint32_t tasks = 0) {
+    for (int i = 0; i < machines; ++i) cluster.add_machine(machine_name(i));
     JobSpec job = test_job("run-1", tasks != 0 ? tasks : static_cast<std::uint32_t>(machines), gpus);
-    c.node(0).model.settings.teams[1].most = c.node(1).model.settings.teams[1].most = {};
-    c.submit(job);
-    c.run(4);
+    cluster.controller(0).cluster_state.settings.teams[1].limit =
+        cluster.controller(1).cluster_state.settings.teams[1].limit = {};
+    cluster.submit(job);
+    cluster.run(4);
   }
   /// `anew`: every controller has ended and begun again, so that no earlier owner can answer anybody.
-  void take_over(recovery::Settings s = {}, bool anew = true) {
-    c.kill_node(0);
-    c.now += 4;
-    c.node(1).square(s);
-    c.node(1).model.settings.op.give_back_s = 1000;
-    c.node(1).claim_all(c.now);
-    if (!anew) return;
-    c.node(1).model.settings.all_nodes = {"node-0", "node-1"};
-    for (std::size_t n : {0, 1}) c.register_node(n);
-    c.node(1).sync(c.now);
+  void fail_over(recovery::Settings s = {}, bool all_restarted = true) {
+    cluster.kill_controller(0);
+    cluster.now += 4;
+    cluster.controller(1).enable_reconciliation(s);
+    cluster.controller(1).cluster_state.settings.operator_settings.release_to_pool_s = 1000;
+    cluster.controller(1).acquire_all_partitions(cluster.now);
+    if (!all_restarted) return;
+    cluster.controller(1).cluster_state.settings.all_controllers = {"node-0", "node-1"};
+    for (std::size_t n : {0, 1}) cluster.register_controller(n);
+    cluster.controller(1).sync(cluster.now);
   }
-  recovery::Start& start() { return *c.node(1).start; }
-  MachineIndex machine(const std::string& m) { return c.node(1).model.names.machines.find(m); }
-  WordState word(int i) { return start().word(machine(name(i))); }
-  bool marked(const std::string& m) const {
-    return c.state.keys().at("o/m/" + m).value.at("del").get<bool>();
+  recovery::Reconciler& reconciler() { return *cluster.controller(1).reconciler; }
+  MachineIndex machine(const std::string& m) {
+    return cluster.controller(1).cluster_state.names.machines.find(m);
   }
-  Cluster c;
+  AgentLiveness liveness(int i) { return reconciler().agent_liveness(machine(machine_name(i))); }
+  bool marked_for_deletion(const std::string& m) const {
+    return cluster.store.keys().at("o/m/" + m).value.at("del").get<bool>();
+  }
+  SimulatedCluster cluster;
 };
 
-TEST(Difference, EachKindIsToldFromTheOthers) {
+TEST(Difference, EachKindIsDetectedExclusively) {
   struct Case {
-    const char* what;
-    std::function<void(Cluster&, WorkerReport&)> change;
+    const char* description;
+    std::function<void(SimulatedCluster&, WorkerReport&)> change;
     Difference kind;
   };
-  auto task = [](const char* job, TaskNo n, Attempt attempt, TaskPhase phase, EndCause cause) {
-    TaskReport t;
-    t.job = job;
-    t.task = n;
-    t.attempt = attempt;
-    t.phase = phase;
-    t.cause = cause;
-    return t;
+  auto task = [](const char* job, TaskNumber n, Attempt attempt, TaskPhase phase, EndCause cause) {
+    TaskReport task_report;
+    task_report.job = job;
+    task_report.task = n;
+    task_report.attempt = attempt;
+    task_report.phase = phase;
+    task_report.cause = cause;
+    return task_report;
   };
   const Case cases[] = {
-      {"an older token", [](Cluster&, WorkerReport& r) { r.token = 1; }, Difference::old_token},
-      {"a task is missing", [](Cluster&, WorkerReport& r) { r.tasks.clear(); }, Difference::not_reported},
-      {"another attempt", [](Cluster&, WorkerReport& r) { r.tasks[0].attempt += 1; },
+      {"an older token", [](SimulatedCluster&, WorkerReport& r) { r.fencing_token = 1; },
+       Difference::stale_token},
+      {"a task is missing", [](SimulatedCluster&, WorkerReport& r) { r.tasks.clear(); },
+       Difference::not_reported},
+      {"another attempt", [](SimulatedCluster&, WorkerReport& r) { r.tasks[0].attempt += 1; },
        Difference::other_attempt},
-      {"it has ended", [](Cluster&, WorkerReport& r) { r.tasks[0].phase = TaskPhase::ended; },
-       Difference::ended_unheard},
+      {"it has ended", [](SimulatedCluster&, WorkerReport& r) { r.tasks[0].phase = TaskPhase::ended; },
+       Difference::ended_unreported},
       {"a task nobody placed",
-       [&](Cluster&, WorkerReport& r) { r.tasks.push_back(task("run-2", 0, 5, TaskPhase::running, {})); },
+       [&](SimulatedCluster&, WorkerReport& r) {
+         r.tasks.push_back(task("run-2", 0, 5, TaskPhase::running, {}));
+       },
        Difference::not_placed},
       {"a task placed elsewhere",
-       [&](Cluster&, WorkerReport& r) { r.tasks.push_back(task("run-1", 1, 5, TaskPhase::running, {})); },
-       Difference::elsewhere},
+       [&](SimulatedCluster&, WorkerReport& r) {
+         r.tasks.push_back(task("run-1", 1, 5, TaskPhase::running, {}));
+       },
+       Difference::placed_elsewhere},
       {"a job nobody knows any more",
-       [&](Cluster&, WorkerReport& r) { r.tasks.push_back(task("run-9", 0, 5, TaskPhase::running, {})); },
-       Difference::final_phase},
+       [&](SimulatedCluster&, WorkerReport& r) {
+         r.tasks.push_back(task("run-9", 0, 5, TaskPhase::running, {}));
+       },
+       Difference::job_finished},
       {"a job cancelled meanwhile",
-       [](Cluster& c, WorkerReport&) {
-         ASSERT_EQ(c.withdraw("run-1"), 200);
-         c.node(1).sync(c.now);
+       [](SimulatedCluster& cluster, WorkerReport&) {
+         ASSERT_EQ(cluster.withdraw("run-1"), 200);
+         cluster.controller(1).sync(cluster.now);
        },
-       Difference::final_phase},
+       Difference::job_finished},
       {"an ended task without a placement",
-       [&](Cluster&, WorkerReport& r) {
+       [&](SimulatedCluster&, WorkerReport& r) {
          r.tasks.push_back(task("run-9", 0, 5, TaskPhase::ended, EndCause::done));
        },
-       Difference::leftover},
+       Difference::uncleared_task},
   };
-  for (const Case& k : cases) {
-    Started s(2);
-    s.c.submit(test_job("run-2", 1, 64));  // known, and placed nowhere
-    s.take_over();
-    s.c.node(1).pass(s.c.now);
-    WorkerReport r = s.c.worker("m0").report(s.c.now);
-    r.token = ~0ULL;
-    ASSERT_EQ(r.tasks.size(), 1U);
+  for (const Case& test_case : cases) {
+    ReconciliationFixture fixture(2);
+    fixture.cluster.submit(test_job("run-2", 1, 64));  // known, and placed nowhere
+    fixture.fail_over();
+    fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
+    WorkerReport report = fixture.cluster.worker("m0").report(fixture.cluster.now);
+    report.fencing_token = ~0ULL;
+    ASSERT_EQ(report.tasks.size(), 1U);
     // Both machines hold a task of run-1; which, is the owner's choice.
-    TaskNo here = r.tasks[0].task;
-    k.change(s.c, r);
-    for (TaskReport& t : r.tasks) {
+    TaskNumber here = report.tasks[0].task;
+    test_case.change(fixture.cluster, report);
+    for (TaskReport& t : report.tasks) {
       if (t.job == "run-1" && t.attempt == 5) t.task = 1 - here;
     }
-    auto d = recovery::compare(s.c.node(1).model, s.machine("m0"), r);
-    EXPECT_EQ(d[k.kind], 1U) << k.what;
-    for (std::size_t i = 0; i < recovery::difference_kinds; ++i) {
-      if (static_cast<Difference>(i) == k.kind) continue;
-      EXPECT_EQ(d.count[i], 0U) << k.what << ": " << i;
+    auto differences =
+        recovery::compare(fixture.cluster.controller(1).cluster_state, fixture.machine("m0"), report);
+    EXPECT_EQ(differences[test_case.kind], 1U) << test_case.description;
+    for (std::size_t i = 0; i < recovery::difference_kind_count; ++i) {
+      if (static_cast<Difference>(i) == test_case.kind) continue;
+      EXPECT_EQ(differences.count[i], 0U) << test_case.description << ": " << i;
     }
   }
 }
 
-TEST(Difference, AGangThatIsPartlyThereIsBroken) {
-  Cluster c;
-  for (int i = 0; i < 3; ++i) c.add_machine(name(i));
-  c.node(0).model.settings.teams[1].most = c.node(1).model.settings.teams[1].most = {};
+TEST(Difference, PartiallyRunningGangIsBroken) {
+  SimulatedCluster cluster;
+  for (int i = 0; i < 3; ++i) cluster.add_machine(machine_name(i));
+  cluster.controller(0).cluster_state.settings.teams[1].limit =
+      cluster.controller(1).cluster_state.settings.teams[1].limit = {};
   JobSpec job = test_job("run-1", 3, 4);
-  job.shape = Shape::gang;
-  job.rank = Rank::high;
-  c.submit(job);
-  c.run(5);
-  c.kill_node(0);
-  c.node(1).claim_all(c.now);
-  c.node(1).pass(c.now);
-  WorkerReport r = c.worker("m0").report(c.now);
-  r.token = ~0ULL;
-  MachineIndex m = c.node(1).model.names.machines.find("m0");
-  ASSERT_EQ(r.tasks.size(), 1U);
-  EXPECT_FALSE(recovery::compare(c.node(1).model, m, r).any());
-  r.tasks[0].phase = TaskPhase::ended;
-  r.tasks[0].cause = EndCause::peers;
-  EXPECT_EQ(recovery::compare(c.node(1).model, m, r)[Difference::gang_broken], 1U);
-  r.tasks.clear();
-  EXPECT_EQ(recovery::compare(c.node(1).model, m, r)[Difference::gang_broken], 1U);
+  job.shape = JobShape::gang;
+  job.priority = Priority::high;
+  cluster.submit(job);
+  cluster.run(5);
+  cluster.kill_controller(0);
+  cluster.controller(1).acquire_all_partitions(cluster.now);
+  cluster.controller(1).run_cycle(cluster.now);
+  WorkerReport report = cluster.worker("m0").report(cluster.now);
+  report.fencing_token = ~0ULL;
+  MachineIndex machine_index = cluster.controller(1).cluster_state.names.machines.find("m0");
+  ASSERT_EQ(report.tasks.size(), 1U);
+  EXPECT_FALSE(recovery::compare(cluster.controller(1).cluster_state, machine_index, report).any());
+  report.tasks[0].phase = TaskPhase::ended;
+  report.tasks[0].cause = EndCause::peers_lost;
+  EXPECT_EQ(
+      recovery::compare(cluster.controller(1).cluster_state, machine_index, report)[Difference::gang_broken],
+      1U);
+  report.tasks.clear();
+  EXPECT_EQ(
+      recovery::compare(cluster.controller(1).cluster_state, machine_index, report)[Difference::gang_broken],
+      1U);
 }
 
-TEST(Words, ThresholdIsFlooredRelativeAndCapped) {
+TEST(SuspicionThreshold, IsRelativeWithFloorAndCap) {
   struct Case {
-    std::vector<double> words;
-    std::uint32_t expected;
-    double result;
+    std::vector<double> report_delays_s;
+    std::uint32_t expected_machines;
+    double threshold_s;
   };
   recovery::Settings s;  // 0.6 of the machines, times 1.5
   for (const Case& k : {Case{{}, 10, -1}, Case{{1, 1, 1, 1, 1}, 10, -1}, Case{{1, 1, 1, 1, 1, 2}, 10, 6},
                         Case{{1, 1, 1, 1, 1, 6}, 10, 9}, Case{{1, 1, 1, 1, 1, 9}, 10, 12}, Case{{1}, 1, 6}}) {
-    EXPECT_DOUBLE_EQ(recovery::threshold(k.words, k.expected, 6, 12, s), k.result) << k.words.size();
+    EXPECT_DOUBLE_EQ(recovery::suspicion_threshold(k.report_delays_s, k.expected_machines, 6, 12, s),
+                     k.threshold_s)
+        << k.report_delays_s.size();
   }
 }
 
-TEST(Words, ExperienceMovesTheChancesAndFades) {
-  recovery::Experience e;
-  EXPECT_DOUBLE_EQ(e.chance_of_return(), 0.75);
-  for (int i = 0; i < 8; ++i) e.lost();
-  EXPECT_DOUBLE_EQ(e.chance_of_return(), 0.25);
-  for (int i = 0; i < 1000; ++i) e.lost();
-  EXPECT_GE(e.chance_of_return(), 0.05);  // never impossible
-  EXPECT_LT(e.chance_of_return(), 0.06);
-  EXPECT_NEAR(e.losses(), 50, 1e-6);
-  for (int i = 0; i < 60; ++i) e.returned();
-  EXPECT_GT(e.chance_of_return(), 0.6);
+TEST(SuspicionStatistics, OutcomesShiftProbabilitiesAndDecay) {
+  recovery::SuspicionStatistics statistics;
+  EXPECT_DOUBLE_EQ(statistics.return_probability(), 0.75);
+  for (int i = 0; i < 8; ++i) statistics.record_loss();
+  EXPECT_DOUBLE_EQ(statistics.return_probability(), 0.25);
+  for (int i = 0; i < 1000; ++i) statistics.record_loss();
+  EXPECT_GE(statistics.return_probability(), 0.05);  // never impossible
+  EXPECT_LT(statistics.return_probability(), 0.06);
+  EXPECT_NEAR(statistics.losses(), 50, 1e-6);
+  for (int i = 0; i < 60; ++i) statistics.record_return();
+  EXPECT_GT(statistics.return_probability(), 0.6);
   // The longer it has lasted the longer it lasts, and what is proved need not be guessed.
-  recovery::Experience none;
-  EXPECT_DOUBLE_EQ(recovery::chance_of_word(none, 0, 10), 0.75);
-  EXPECT_DOUBLE_EQ(recovery::chance_of_word(none, 10, 10), 0.375);
-  EXPECT_DOUBLE_EQ(recovery::chance_of_word(none, 30, 10), 0.1875);
-  EXPECT_DOUBLE_EQ(recovery::chance_of_word(none, 10, 0), 0);
+  recovery::SuspicionStatistics none;
+  EXPECT_DOUBLE_EQ(recovery::report_probability(none, 0, 10), 0.75);
+  EXPECT_DOUBLE_EQ(recovery::report_probability(none, 10, 10), 0.375);
+  EXPECT_DOUBLE_EQ(recovery::report_probability(none, 30, 10), 0.1875);
+  EXPECT_DOUBLE_EQ(recovery::report_probability(none, 10, 0), 0);
 }
 
-TEST(Start, HearsSquaresAndServes) {
-  Started s(8);
-  s.take_over();
-  s.c.node(1).pass(s.c.now);
-  EXPECT_EQ(s.start().state(red), PartState::listening);
-  EXPECT_EQ(s.start().counts(red).expected, 8U);
-  for (int i = 0; i < 7; ++i) s.c.exchange(name(i), 1);
-  s.c.now += 0.3;
-  s.c.node(1).pass(s.c.now);
-  EXPECT_EQ(s.start().state(red), PartState::listening) << "seven of eight are too few";
-  EXPECT_EQ(s.start().counts(red).heard, 7U);
-  s.c.run(2, 1);
-  EXPECT_EQ(s.start().state(red), PartState::serving);
-  EXPECT_EQ(s.start().counts(red).matched, 8U);
-  EXPECT_GE(s.start().squared_at(red), 0);
-  for (int i = 0; i < 8; ++i) EXPECT_EQ(s.word(i), WordState::squared);
-  EXPECT_EQ(s.c.log.starts["run-1/0"], 1);
+TEST(Reconciler, CollectsReportsReconcilesAndServes) {
+  ReconciliationFixture fixture(8);
+  fixture.fail_over();
+  fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
+  EXPECT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::awaiting_reports);
+  EXPECT_EQ(fixture.reconciler().counts(red_partition).expected, 8U);
+  for (int i = 0; i < 7; ++i) fixture.cluster.exchange_report(machine_name(i), 1);
+  fixture.cluster.now += 0.3;
+  fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
+  EXPECT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::awaiting_reports)
+      << "seven of eight are too few";
+  EXPECT_EQ(fixture.reconciler().counts(red_partition).reported, 7U);
+  fixture.cluster.run(2, 1);
+  EXPECT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::serving);
+  EXPECT_EQ(fixture.reconciler().counts(red_partition).matched, 8U);
+  EXPECT_GE(fixture.reconciler().reconciled_at(red_partition), 0);
+  for (int i = 0; i < 8; ++i) EXPECT_EQ(fixture.liveness(i), AgentLiveness::reconciled);
+  EXPECT_EQ(fixture.cluster.run_log.starts["run-1/0"], 1);
 }
 
-TEST(Start, OneOfManyThatIsSilentIsSuspectedAndItsWordRefutesIt) {
-  Started s(8);
-  s.c.silenced.insert("m3");
+TEST(Reconciler, SingleSilentMachineIsSuspectedUntilItReports) {
+  ReconciliationFixture fixture(8);
+  fixture.cluster.silenced_workers.insert("m3");
   recovery::Settings settings;
   settings.delete_suspects = false;
-  s.take_over(settings);
-  s.c.run(5, 1);
-  EXPECT_EQ(s.word(3), WordState::awaited);
-  s.c.run(2, 1);
-  EXPECT_EQ(s.word(3), WordState::suspected);
-  EXPECT_TRUE(s.start().suspected(s.machine("m3")));
-  EXPECT_EQ(s.start().suspects(10).size(), 1U);
-  EXPECT_EQ(s.c.placed("run-1", 3).size(), 1U) << "a suspicion is no proof";
-  s.c.silenced.clear();
-  s.c.run(1, 1);
-  EXPECT_NE(s.word(3), WordState::suspected);
-  EXPECT_FALSE(s.start().suspected(s.machine("m3")));
-  EXPECT_DOUBLE_EQ(s.start().experience().returns(), 1);
+  fixture.fail_over(settings);
+  fixture.cluster.run(5, 1);
+  EXPECT_EQ(fixture.liveness(3), AgentLiveness::awaited);
+  fixture.cluster.run(2, 1);
+  EXPECT_EQ(fixture.liveness(3), AgentLiveness::suspected);
+  EXPECT_TRUE(fixture.reconciler().suspected(fixture.machine("m3")));
+  EXPECT_EQ(fixture.reconciler().suspects(10).size(), 1U);
+  EXPECT_EQ(fixture.cluster.machines_of_task("run-1", 3).size(), 1U) << "a suspicion is no proof";
+  fixture.cluster.silenced_workers.clear();
+  fixture.cluster.run(1, 1);
+  EXPECT_NE(fixture.liveness(3), AgentLiveness::suspected);
+  EXPECT_FALSE(fixture.reconciler().suspected(fixture.machine("m3")));
+  EXPECT_DOUBLE_EQ(fixture.reconciler().suspicion_statistics().returns(), 1);
 }
 
-TEST(Start, WhileAnEarlierOwnerMayStillAnswerNobodyIsSuspected) {
-  Started s(8);
-  s.c.silenced.insert("m3");  // as one that speaks to its earlier owner, who lacks only the state service
-  s.take_over({}, false);
-  double grace = s.c.node(1).model.settings.grace_s(), arrival = s.c.node(1).model.settings.arrival_s();
-  s.c.run(grace + arrival - 1, 1);
-  EXPECT_EQ(s.word(3), WordState::awaited);
-  s.c.run(2, 1);
-  EXPECT_TRUE(s.start().suspected(s.machine("m3")));
+TEST(Reconciler, NoSuspicionWhileAnEarlierOwnerMayRespond) {
+  ReconciliationFixture fixture(8);
+  fixture.cluster.silenced_workers.insert(
+      "m3");  // as one that speaks to its earlier owner, who lacks only the state service
+  fixture.fail_over({}, false);
+  double grace = fixture.cluster.controller(1).cluster_state.settings.read_only_period_s(),
+         arrival = fixture.cluster.controller(1).cluster_state.settings.first_report_timeout_s();
+  fixture.cluster.run(grace + arrival - 1, 1);
+  EXPECT_EQ(fixture.liveness(3), AgentLiveness::awaited);
+  fixture.cluster.run(2, 1);
+  EXPECT_TRUE(fixture.reconciler().suspected(fixture.machine("m3")));
 }
 
-TEST(Start, WhereTooFewSpeakNobodyIsSuspected) {
-  Started s(8);
-  for (int i = 0; i < 4; ++i) s.c.silenced.insert(name(i));
-  s.take_over();
-  s.c.run(9, 1);
-  for (int i = 0; i < 8; ++i) EXPECT_NE(s.word(i), WordState::suspected) << i;
-  EXPECT_EQ(s.start().state(red), PartState::squaring) << "the wait for words is bounded";
+TEST(Reconciler, NoSuspicionWithoutEnoughReports) {
+  ReconciliationFixture fixture(8);
+  for (int i = 0; i < 4; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
+  fixture.fail_over();
+  fixture.cluster.run(9, 1);
+  for (int i = 0; i < 8; ++i) EXPECT_NE(fixture.liveness(i), AgentLiveness::suspected) << i;
+  EXPECT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::reconciling)
+      << "the wait for words is bounded";
 }
 
-TEST(Start, WhereAZoneFallsSilentInOrdinaryServiceNobodyIsSuspected) {
-  Started s(8);
-  s.take_over();
-  s.c.run(3, 1);
-  ASSERT_EQ(s.start().state(red), PartState::serving);
-  for (int i = 0; i < 4; ++i) s.c.silenced.insert(name(i));
-  s.c.run(9, 1);
-  for (int i = 0; i < 8; ++i) EXPECT_NE(s.word(i), WordState::suspected) << i;
+TEST(Reconciler, NoSuspicionWhenAWholeZoneFallsSilent) {
+  ReconciliationFixture fixture(8);
+  fixture.fail_over();
+  fixture.cluster.run(3, 1);
+  ASSERT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::serving);
+  for (int i = 0; i < 4; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
+  fixture.cluster.run(9, 1);
+  for (int i = 0; i < 8; ++i) EXPECT_NE(fixture.liveness(i), AgentLiveness::suspected) << i;
   // And when the zone speaks again, all have the same time to do so.
-  for (int i = 0; i < 3; ++i) s.c.silenced.erase(name(i));
-  s.c.run(1, 1);
-  EXPECT_NE(s.word(3), WordState::suspected);
+  for (int i = 0; i < 3; ++i) fixture.cluster.silenced_workers.erase(machine_name(i));
+  fixture.cluster.run(1, 1);
+  EXPECT_NE(fixture.liveness(3), AgentLiveness::suspected);
 }
 
-TEST(Start, AStallOfItsOwnIsNobodyElsesSilence) {
-  Started s(8);
-  s.take_over();
-  s.c.run(3, 1);
-  ASSERT_EQ(s.start().state(red), PartState::serving);
-  s.c.silenced.insert("m3");
+TEST(Reconciler, OwnStallIsNotCountedAsMachineSilence) {
+  ReconciliationFixture fixture(8);
+  fixture.fail_over();
+  fixture.cluster.run(3, 1);
+  ASSERT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::serving);
+  fixture.cluster.silenced_workers.insert("m3");
   // Eight seconds in which it neither passes nor hears, though its hold is renewed.
   for (int i = 0; i < 16; ++i) {
-    s.c.now += 0.5;
-    s.c.node(1).renew(s.c.now);
-    s.c.node(1).sync(s.c.now);
+    fixture.cluster.now += 0.5;
+    fixture.cluster.controller(1).renew(fixture.cluster.now);
+    fixture.cluster.controller(1).sync(fixture.cluster.now);
   }
   // What the others have said meanwhile is read before its first pass.
   for (int i = 0; i < 8; ++i) {
-    if (i != 3) s.c.exchange(name(i), 1);
+    if (i != 3) fixture.cluster.exchange_report(machine_name(i), 1);
   }
-  s.c.run(3, 1);
-  EXPECT_NE(s.word(3), WordState::suspected);
+  fixture.cluster.run(3, 1);
+  EXPECT_NE(fixture.liveness(3), AgentLiveness::suspected);
 }
 
-TEST(Start, ASuspectsRoomIsNotCountedOnByTheLeader) {
-  Started s(8, 4, 7);  // one machine stays empty
-  s.take_over();
-  s.c.run(2, 1);
+TEST(Reconciler, CapacityOfASuspectedMachineIsNotUsed) {
+  ReconciliationFixture fixture(8, 4, 7);  // one machine stays empty
+  fixture.fail_over();
+  fixture.cluster.run(2, 1);
   std::string empty;
   for (int i = 0; i < 8; ++i) {
-    if (s.c.node(1).model.machine(s.machine(name(i))).on.empty()) empty = name(i);
+    if (fixture.cluster.controller(1)
+            .cluster_state.machine(fixture.machine(machine_name(i)))
+            .placed_tasks.empty())
+      empty = machine_name(i);
   }
   ASSERT_FALSE(empty.empty());
-  s.c.silenced.insert(empty);
-  s.c.run(8, 1);
-  ASSERT_TRUE(s.start().suspected(s.machine(empty)));
-  s.c.node(1).rents.clear();
-  s.c.submit(test_job("run-2", 1, 4));
-  s.c.run(6.5, 1);  // a job waits so long before machines are rented for it
-  EXPECT_FALSE(s.c.node(1).rents.empty()) << "the room of a machine that may be gone holds nobody off";
+  fixture.cluster.silenced_workers.insert(empty);
+  fixture.cluster.run(8, 1);
+  ASSERT_TRUE(fixture.reconciler().suspected(fixture.machine(empty)));
+  fixture.cluster.controller(1).scale_outs.clear();
+  fixture.cluster.submit(test_job("run-2", 1, 4));
+  fixture.cluster.run(6.5, 1);  // a job waits so long before machines are rented for it
+  EXPECT_FALSE(fixture.cluster.controller(1).scale_outs.empty())
+      << "the room of a machine that may be gone holds nobody off";
 }
 
-TEST(Start, ABrokenGangsLostMemberIsDeletedAndTheGangRunsOnWithTheProof) {
-  Cluster c;
-  for (int i = 0; i < 9; ++i) c.add_machine(name(i));
-  for (int n : {0, 1}) c.node(static_cast<std::size_t>(n)).model.settings.teams[1].most = {};
+TEST(Reconciler, LostGangMemberIsDeletedAndGangContinues) {
+  SimulatedCluster cluster;
+  for (int i = 0; i < 9; ++i) cluster.add_machine(machine_name(i));
+  for (int n : {0, 1})
+    cluster.controller(static_cast<std::size_t>(n)).cluster_state.settings.teams[1].limit = {};
   JobSpec job = test_job("run-1", 4, 4);
-  job.shape = Shape::gang;
-  job.rank = Rank::high;
-  c.submit(job);
-  c.run(5);
-  std::string lost = c.placed("run-1", 0).at(0);
-  c.silenced.insert(lost);
-  c.worker(lost).power_off();
-  c.kill_node(0);
-  c.now += 4;
-  c.node(1).square({});
-  c.node(1).model.settings.op.give_back_s = 1000;
-  c.node(1).claim_all(c.now);
-  c.node(1).model.settings.all_nodes = {"node-0", "node-1"};
-  for (std::size_t n : {0, 1}) c.register_node(n);
-  c.run(1, 1);
-  for (TaskNo t : {1U, 2U, 3U})
-    c.worker(c.placed("run-1", t).at(0)).finish("run-1/" + std::to_string(t), EndCause::peers);
-  MachineIndex m = c.node(1).model.names.machines.find(lost);
-  c.run(7.5, 1);
-  EXPECT_TRUE(c.state.keys().at("o/m/" + lost).value.at("del").get<bool>());
-  c.run(2, 1);
-  ASSERT_FALSE(c.node(1).deletes.empty());
-  EXPECT_EQ(c.node(1).deletes.back(), m);
+  job.shape = JobShape::gang;
+  job.priority = Priority::high;
+  cluster.submit(job);
+  cluster.run(5);
+  std::string lost = cluster.machines_of_task("run-1", 0).at(0);
+  cluster.silenced_workers.insert(lost);
+  cluster.worker(lost).power_off();
+  cluster.kill_controller(0);
+  cluster.now += 4;
+  cluster.controller(1).enable_reconciliation({});
+  cluster.controller(1).cluster_state.settings.operator_settings.release_to_pool_s = 1000;
+  cluster.controller(1).acquire_all_partitions(cluster.now);
+  cluster.controller(1).cluster_state.settings.all_controllers = {"node-0", "node-1"};
+  for (std::size_t n : {0, 1}) cluster.register_controller(n);
+  cluster.run(1, 1);
+  for (TaskNumber t : {1U, 2U, 3U})
+    cluster.worker(cluster.machines_of_task("run-1", t).at(0))
+        .finish("run-1/" + std::to_string(t), EndCause::peers_lost);
+  MachineIndex machine_index = cluster.controller(1).cluster_state.names.machines.find(lost);
+  cluster.run(7.5, 1);
+  EXPECT_TRUE(cluster.store.keys().at("o/m/" + lost).value.at("del").get<bool>());
+  cluster.run(2, 1);
+  ASSERT_FALSE(cluster.controller(1).machines_to_delete.empty());
+  EXPECT_EQ(cluster.controller(1).machines_to_delete.back(), machine_index);
   // Until the cloud confirms it the task is nowhere else.
-  EXPECT_EQ(c.placed("run-1", 0), std::vector<std::string>{lost});
-  EXPECT_EQ(c.log.starts["run-1/0"], 1);
-  c.node(1).fleet.on_deleted({m}, true);
-  c.run(4, 1);
-  ASSERT_EQ(c.placed("run-1", 0).size(), 1U);
-  EXPECT_NE(c.placed("run-1", 0).at(0), lost);
-  EXPECT_EQ(c.log.starts["run-1/0"], 2);
-  EXPECT_TRUE(c.log.twice.empty());
+  EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{lost});
+  EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
+  cluster.controller(1).autoscaler.on_deleted({machine_index}, true);
+  cluster.run(4, 1);
+  ASSERT_EQ(cluster.machines_of_task("run-1", 0).size(), 1U);
+  EXPECT_NE(cluster.machines_of_task("run-1", 0).at(0), lost);
+  EXPECT_EQ(cluster.run_log.starts["run-1/0"], 2);
+  EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
-TEST(Start, WhatASuspectMayStillHoldIsNotDeletedLightly) {
+TEST(Reconciler, SuspectedMachineIsDeletedOnlyUnderConditions) {
   struct Case {
-    const char* what;
+    const char* description;
     bool delete_suspects, market;
     int losses;  // seen before
     bool deleted;
   };
-  for (const Case& k : {Case{"nothing is known of silences", true, false, 0, false},
-                        Case{"silent machines have not come back", true, false, 40, true},
-                        Case{"switched off", false, false, 40, false},
-                        Case{"a market's word is no proof", true, true, 40, false}}) {
-    Started s(8);
+  for (const Case& test_case : {Case{"nothing is known of silences", true, false, 0, false},
+                                Case{"silent machines have not come back", true, false, 40, true},
+                                Case{"switched off", false, false, 40, false},
+                                Case{"a market's word is no proof", true, true, 40, false}}) {
+    ReconciliationFixture fixture(8);
     recovery::Settings settings;
-    settings.delete_suspects = k.delete_suspects;
-    s.c.silenced.insert("m3");
-    s.take_over(settings);
-    if (k.market) {
-      s.c.node(1).model.names.markets.intern("north");
-      Json value = s.c.state.keys().at("o/m/m3").value;
+    settings.delete_suspects = test_case.delete_suspects;
+    fixture.cluster.silenced_workers.insert("m3");
+    fixture.fail_over(settings);
+    if (test_case.market) {
+      fixture.cluster.controller(1).cluster_state.names.markets.intern("north");
+      Json value = fixture.cluster.store.keys().at("o/m/m3").value;
       value["market"] = "north";
       value["bid"] = "b";
-      s.c.state.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/m/m3"}, {"value", value}}}}});
-      s.c.node(1).sync(s.c.now);
+      fixture.cluster.store.txn(
+          {{"guards", Json::array()}, {"apply", {{{"put", "o/m/m3"}, {"value", value}}}}});
+      fixture.cluster.controller(1).sync(fixture.cluster.now);
     }
-    for (int i = 0; i < k.losses; ++i) const_cast<recovery::Experience&>(s.start().experience()).lost();
-    s.c.run(8, 1);
-    EXPECT_TRUE(s.start().suspected(s.machine("m3"))) << k.what;
-    EXPECT_EQ(s.marked("m3"), k.deleted) << k.what;
+    for (int i = 0; i < test_case.losses; ++i)
+      const_cast<recovery::SuspicionStatistics&>(fixture.reconciler().suspicion_statistics()).record_loss();
+    fixture.cluster.run(8, 1);
+    EXPECT_TRUE(fixture.reconciler().suspected(fixture.machine("m3"))) << test_case.description;
+    EXPECT_EQ(fixture.marked_for_deletion("m3"), test_case.deleted) << test_case.description;
   }
 }
 
-TEST(Start, IdleMachinesGoBackOnlyOnceDemandIsKnownAndThenAtAPace) {
-  Cluster c;
-  for (int i = 0; i < 30; ++i) c.add_machine(name(i), "a", ".pool");
-  c.run(2);
-  c.kill_node(0);
-  c.now += 4;
+TEST(Reconciler, IdleMachinesAreReleasedRateLimitedOnceDemandIsKnown) {
+  SimulatedCluster cluster;
+  for (int i = 0; i < 30; ++i) cluster.add_machine(machine_name(i), "a", ".pool");
+  cluster.run(2);
+  cluster.kill_controller(0);
+  cluster.now += 4;
   recovery::Settings settings;
-  c.node(1).square(settings);
-  c.node(1).claim_all(c.now);
-  auto marked = [&c] {
-    return std::count_if(c.state.keys().begin(), c.state.keys().end(), [](const auto& e) {
+  cluster.controller(1).enable_reconciliation(settings);
+  cluster.controller(1).acquire_all_partitions(cluster.now);
+  auto marked = [&cluster] {
+    return std::count_if(cluster.store.keys().begin(), cluster.store.keys().end(), [](const auto& e) {
       return e.first.rfind("o/m/", 0) == 0 && e.second.value.at("del").template get<bool>();
     });
   };
-  c.run(settings.demand_window_s - 2, 1);
+  cluster.run(settings.demand_window_s - 2, 1);
   EXPECT_EQ(marked(), 0);
-  EXPECT_EQ(c.node(1).start->counts(pool_part).held_returns.size(), 30U);
-  c.run(6, 1);
+  EXPECT_EQ(cluster.controller(1).reconciler->counts(idle_pool).delayed_returns.size(), 30U);
+  cluster.run(6, 1);
   // 20 changes a second here: two returns a second, and a burst of as many.
   EXPECT_GT(marked(), 4);
   EXPECT_LE(marked(), 12);
 }
 
-TEST(Start, RentalsWaitForTheWordsOfTheirPartButForGuaranteedWork) {
-  Started s(8);
-  s.c.silenced.insert("m0");
-  s.take_over();
-  s.c.node(1).pass(s.c.now);
-  recovery::Start& start = s.start();
-  ASSERT_EQ(start.state(red), PartState::listening);
-  EXPECT_FALSE(start.may_rent(red, JobIndex{0}, false, s.c.now));
-  EXPECT_TRUE(start.may_rent(red, JobIndex{0}, true, s.c.now));
-  EXPECT_EQ(start.counts(pool_part).held_rentals.size(), 1U);
-  s.c.run(7, 1);
-  EXPECT_TRUE(start.may_rent(red, JobIndex{0}, false, s.c.now)) << "all but a suspect have spoken";
+TEST(Reconciler, ScaleOutWaitsForPartitionReportsExceptGuaranteedWork) {
+  ReconciliationFixture fixture(8);
+  fixture.cluster.silenced_workers.insert("m0");
+  fixture.fail_over();
+  fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
+  recovery::Reconciler& start = fixture.reconciler();
+  ASSERT_EQ(start.phase(red_partition), PartitionPhase::awaiting_reports);
+  EXPECT_FALSE(start.may_scale_out(red_partition, JobIndex{0}, false, fixture.cluster.now));
+  EXPECT_TRUE(start.may_scale_out(red_partition, JobIndex{0}, true, fixture.cluster.now));
+  EXPECT_EQ(start.counts(idle_pool).delayed_scale_outs.size(), 1U);
+  fixture.cluster.run(7, 1);
+  EXPECT_TRUE(start.may_scale_out(red_partition, JobIndex{0}, false, fixture.cluster.now))
+      << "all but a suspect have spoken";
 }
 
-TEST(Start, ALeaderThatWasThereBeforeHoldsNoRentalsBack) {
-  Started s(8);
-  s.c.node(1).square({});
+TEST(Reconciler, StandbyLeaderDoesNotDelayScaleOut) {
+  ReconciliationFixture fixture(8);
+  fixture.cluster.controller(1).enable_reconciliation({});
   // A minute as one that owns nothing, then the first node ends.
   for (int i = 0; i < 120; ++i) {
-    s.c.now += 0.5;
-    s.c.node(0).renew(s.c.now);
-    s.c.node(1).sync(s.c.now);
-    s.start().pass(s.c.now);
+    fixture.cluster.now += 0.5;
+    fixture.cluster.controller(0).renew(fixture.cluster.now);
+    fixture.cluster.controller(1).sync(fixture.cluster.now);
+    fixture.reconciler().run_cycle(fixture.cluster.now);
   }
-  s.c.kill_node(0);
-  s.c.node(1).claim_all(s.c.now);
-  s.c.now += 0.5;
-  s.c.node(1).pass(s.c.now);
-  ASSERT_EQ(s.start().state(red), PartState::listening);
-  EXPECT_TRUE(s.start().may_rent(red, JobIndex{0}, false, s.c.now));
+  fixture.cluster.kill_controller(0);
+  fixture.cluster.controller(1).acquire_all_partitions(fixture.cluster.now);
+  fixture.cluster.now += 0.5;
+  fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
+  ASSERT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::awaiting_reports);
+  EXPECT_TRUE(fixture.reconciler().may_scale_out(red_partition, JobIndex{0}, false, fixture.cluster.now));
 }
 
-TEST(Start, DeletionsOnSuspicionKeepToTheBudget) {
-  Started s(30);
-  for (int i = 0; i < 10; ++i) s.c.silenced.insert(name(i));
-  s.take_over();
-  for (int i = 0; i < 40; ++i) const_cast<recovery::Experience&>(s.start().experience()).lost();
-  s.c.run(7, 1);
-  ASSERT_EQ(s.start().suspects(100).size(), 10U);
+TEST(Reconciler, DeletionsOnSuspicionStayWithinBudget) {
+  ReconciliationFixture fixture(30);
+  for (int i = 0; i < 10; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
+  fixture.fail_over();
+  for (int i = 0; i < 40; ++i)
+    const_cast<recovery::SuspicionStatistics&>(fixture.reconciler().suspicion_statistics()).record_loss();
+  fixture.cluster.run(7, 1);
+  ASSERT_EQ(fixture.reconciler().suspects(100).size(), 10U);
   // 20 changes a second here: two deletions a second, and a burst of as many.
-  EXPECT_LE(s.start().counts(red).condemned, 3U);
-  s.c.run(2, 1);
-  EXPECT_GE(s.start().counts(red).condemned, 4U);
-  EXPECT_LE(s.start().counts(red).condemned, 7U);
+  EXPECT_LE(fixture.reconciler().counts(red_partition).marked_for_deletion, 3U);
+  fixture.cluster.run(2, 1);
+  EXPECT_GE(fixture.reconciler().counts(red_partition).marked_for_deletion, 4U);
+  EXPECT_LE(fixture.reconciler().counts(red_partition).marked_for_deletion, 7U);
 }
 
-TEST(Start, WhatOthersSayOfTheirPartsIsAHintThatEnds) {
-  Started s(4);
-  s.c.kill_node(0);
-  s.c.now += 4;
-  s.c.node(1).square({});
-  s.c.node(1).claim(pool_part, s.c.now);
-  s.c.node(0).claim(red, s.c.now);  // still the first node's: it opens a new hold
-  s.c.node(0).hold.lost();
-  s.c.node(0).claim(red, s.c.now);
-  s.c.node(1).sync(s.c.now);
-  s.c.node(1).pass(s.c.now);
-  recovery::Start& start = s.start();
-  Stamp claim = s.c.node(1).model.claim(red).stamp;
-  ASSERT_NE(claim, 0U);
-  double arrival = s.c.node(1).model.settings.arrival_s();
-  EXPECT_FALSE(start.may_rent(red, {}, false, s.c.now)) << "nothing is known yet";
-  start.heard_of({red, claim, PartState::squaring, 4, 4}, s.c.now);
-  EXPECT_TRUE(start.may_rent(red, {}, false, s.c.now));
-  start.heard_of({red, claim - 1, PartState::listening, 4, 0}, s.c.now);
-  EXPECT_TRUE(start.may_rent(red, {}, false, s.c.now)) << "an earlier start's word";
-  start.heard_of({PartIndex{}, claim, PartState::listening, 4, 0}, s.c.now);
-  start.heard_of({red, claim, PartState::listening, 4, 0}, s.c.now);
-  EXPECT_FALSE(start.may_rent(red, {}, false, s.c.now));
-  EXPECT_TRUE(start.may_rent(red, {}, false, s.c.now + arrival + 0.1)) << "an owner that says nothing more";
-  start.heard_of_suspect(s.machine("m0"), s.c.now);
-  start.heard_of_suspect(MachineIndex{}, s.c.now);
-  EXPECT_TRUE(start.suspected(s.machine("m0")));
-  for (int i = 0; i < 8; ++i) start.pass(s.c.now += 0.5);
-  EXPECT_FALSE(start.suspected(s.machine("m0")));
+TEST(Reconciler, PeerPartitionStatusIsAnExpiringHint) {
+  ReconciliationFixture fixture(4);
+  fixture.cluster.kill_controller(0);
+  fixture.cluster.now += 4;
+  fixture.cluster.controller(1).enable_reconciliation({});
+  fixture.cluster.controller(1).acquire_partition(idle_pool, fixture.cluster.now);
+  fixture.cluster.controller(0).acquire_partition(
+      red_partition, fixture.cluster.now);  // still the first node's: it opens a new hold
+  fixture.cluster.controller(0).lease.on_lost();
+  fixture.cluster.controller(0).acquire_partition(red_partition, fixture.cluster.now);
+  fixture.cluster.controller(1).sync(fixture.cluster.now);
+  fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
+  recovery::Reconciler& start = fixture.reconciler();
+  Revision ownership_revision = fixture.cluster.controller(1).cluster_state.ownership(red_partition).revision;
+  ASSERT_NE(ownership_revision, 0U);
+  double arrival = fixture.cluster.controller(1).cluster_state.settings.first_report_timeout_s();
+  EXPECT_FALSE(start.may_scale_out(red_partition, {}, false, fixture.cluster.now)) << "nothing is known yet";
+  start.on_peer_status({red_partition, ownership_revision, PartitionPhase::reconciling, 4, 4},
+                       fixture.cluster.now);
+  EXPECT_TRUE(start.may_scale_out(red_partition, {}, false, fixture.cluster.now));
+  start.on_peer_status({red_partition, ownership_revision - 1, PartitionPhase::awaiting_reports, 4, 0},
+                       fixture.cluster.now);
+  EXPECT_TRUE(start.may_scale_out(red_partition, {}, false, fixture.cluster.now))
+      << "an earlier start's word";
+  start.on_peer_status({PartitionIndex{}, ownership_revision, PartitionPhase::awaiting_reports, 4, 0},
+                       fixture.cluster.now);
+  start.on_peer_status({red_partition, ownership_revision, PartitionPhase::awaiting_reports, 4, 0},
+                       fixture.cluster.now);
+  EXPECT_FALSE(start.may_scale_out(red_partition, {}, false, fixture.cluster.now));
+  EXPECT_TRUE(start.may_scale_out(red_partition, {}, false, fixture.cluster.now + arrival + 0.1))
+      << "an owner that says nothing more";
+  start.on_peer_suspect(fixture.machine("m0"), fixture.cluster.now);
+  start.on_peer_suspect(MachineIndex{}, fixture.cluster.now);
+  EXPECT_TRUE(start.suspected(fixture.machine("m0")));
+  for (int i = 0; i < 8; ++i) start.run_cycle(fixture.cluster.now += 0.5);
+  EXPECT_FALSE(start.suspected(fixture.machine("m0")));
 }
 
-TEST(Start, WhatOthersSuspectIsReplacedOnceThoughTheirWordComesAndGoes) {
-  Started s(20);
-  s.take_over();
-  s.c.run(2, 1);
-  recovery::Start& start = s.start();
+TEST(Reconciler, PeerSuspectIsReplacedOnceDespiteFlappingStatus) {
+  ReconciliationFixture fixture(20);
+  fixture.fail_over();
+  fixture.cluster.run(2, 1);
+  recovery::Reconciler& start = fixture.reconciler();
   std::size_t asked = 0;
   for (int round = 0; round < 5; ++round) {
-    for (int i = 0; i < 4; ++i) start.heard_of_suspect(s.machine(name(i)), s.c.now);
-    for (const Replacement& r : start.replacements(s.c.now)) {
-      start.under_way(r.suspect);
+    for (int i = 0; i < 4; ++i) start.on_peer_suspect(fixture.machine(machine_name(i)), fixture.cluster.now);
+    for (const Replacement& r : start.replacements(fixture.cluster.now)) {
+      start.replacement_started(r.suspected_machine);
       ++asked;
     }
     // Longer than a word of others counts, and then it comes again.
-    for (int i = 0; i < 8; ++i) start.pass(s.c.now += 0.5);
+    for (int i = 0; i < 8; ++i) start.run_cycle(fixture.cluster.now += 0.5);
   }
   EXPECT_EQ(asked, 3U) << "0.15 of 20";
 }
 
-TEST(Start, AMachineOfWhichNothingCanBeProvedDoesNotKeepOthersFromGoingBack) {
-  Cluster c;
-  for (int i = 0; i < 6; ++i) c.add_machine(name(i), "a", ".pool");
-  c.run(2);
-  c.kill_node(0);
-  c.now += 4;
+TEST(Reconciler, UnprovableMachineDoesNotBlockReleaseOfOthers) {
+  SimulatedCluster cluster;
+  for (int i = 0; i < 6; ++i) cluster.add_machine(machine_name(i), "a", ".pool");
+  cluster.run(2);
+  cluster.kill_controller(0);
+  cluster.now += 4;
   recovery::Settings settings;
-  c.node(1).square(settings);
-  c.node(1).claim_all(c.now);
+  cluster.controller(1).enable_reconciliation(settings);
+  cluster.controller(1).acquire_all_partitions(cluster.now);
   // It was up, nothing is on it, and it stays silent: no lease speaks for it.
-  c.node(1).model.edit_machine(c.node(1).model.names.machines.find("m0")).up = true;
-  c.silenced.insert("m0");
-  c.run(c.node(1).model.settings.takeover_silence_s() + settings.demand_window_s + 6, 1);
-  EXPECT_GE(c.node(1).start->state(pool_part), PartState::easing);
+  cluster.controller(1)
+      .cluster_state.edit_machine(cluster.controller(1).cluster_state.names.machines.find("m0"))
+      .has_booted = true;
+  cluster.silenced_workers.insert("m0");
+  cluster.run(
+      cluster.controller(1).cluster_state.settings.failover_silence_s() + settings.demand_window_s + 6, 1);
+  EXPECT_GE(cluster.controller(1).reconciler->phase(idle_pool), PartitionPhase::ramping_down);
 }
 
-TEST(Start, ReplacementsAreBoundedAndAskedForOnce) {
-  Started s(20);
-  for (int i = 0; i < 5; ++i) s.c.silenced.insert(name(i));
+TEST(Reconciler, ReplacementsAreBoundedAndRequestedOnce) {
+  ReconciliationFixture fixture(20);
+  for (int i = 0; i < 5; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
   recovery::Settings settings;
   settings.delete_suspects = false;
-  s.take_over(settings);
-  s.c.run(7, 1);
-  auto asked = [&s] {
+  fixture.fail_over(settings);
+  fixture.cluster.run(7, 1);
+  auto asked = [&fixture] {
     std::uint32_t n = 0;
-    for (const RentOrder& r : s.c.node(1).rents) n += r.count;
+    for (const ScaleOutRequest& r : fixture.cluster.controller(1).scale_outs) n += r.count;
     return n;
   };
-  ASSERT_EQ(s.start().suspects(100).size(), 5U);
+  ASSERT_EQ(fixture.reconciler().suspects(100).size(), 5U);
   EXPECT_EQ(asked(), 3U) << "0.15 of 20";
-  s.c.run(2, 1);
+  fixture.cluster.run(2, 1);
   EXPECT_EQ(asked(), 3U);
-  s.c.silenced.clear();
-  s.c.run(1, 1);
-  EXPECT_TRUE(s.start().replacements(s.c.now).empty());
+  fixture.cluster.silenced_workers.clear();
+  fixture.cluster.run(1, 1);
+  EXPECT_TRUE(fixture.reconciler().replacements(fixture.cluster.now).empty());
 }
 
 /// The hard cases of a start, each on a small fleet: no rule is broken, everything is squared, no class and
 /// no team served below half of its undisturbed twin.
-class HardStart : public testing::TestWithParam<std::string> {};
+class ReconciliationScenarioTest : public testing::TestWithParam<std::string> {};
 
-TEST_P(HardStart, KeepsTheRulesAndIsSquared) {
+TEST_P(ReconciliationScenarioTest, KeepsInvariantsAndReconciles) {
   std::string dir = std::string(DEPLOY_DIR) + "/lab/";
-  auto s = lab::load_fleet_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
+  auto s = lab::load_cluster_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
   for (lab::Fault& f : s.faults) f.count = f.count / 10;  // a tenth of the fleet they were written for
   auto rows = lab::play(s, 2, 1);
-  for (const lab::FleetSummary& x : lab::summarise(s, rows)) {
-    EXPECT_EQ(x.broken, 0) << name_of(x.way) << ": " << x.first_broken;
-    if (x.way != lab::Way::now) continue;
-    EXPECT_GE(x.least_served, 0.5);
+  for (const lab::ClusterSummary& x : lab::summarise(s, rows)) {
+    EXPECT_EQ(x.violations, 0) << name_of(x.variant) << ": " << x.first_violation;
+    if (x.variant != lab::SimulationVariant::with_reconciliation) continue;
+    EXPECT_GE(x.lowest_served_fraction, 0.5);
   }
-  for (const lab::FleetRow& r : rows) {
-    if (r.way != lab::Way::now) continue;
-    EXPECT_GE(r.result.squared_s, 0) << "seed " << r.seed;
+  for (const lab::ClusterRow& r : rows) {
+    if (r.variant != lab::SimulationVariant::with_reconciliation) continue;
+    EXPECT_GE(r.result.reconciled_s, 0) << "seed " << r.seed;
   }
 }
 
-std::vector<std::string> scenarios() {
+std::vector<std::string> scenario_names() {
   std::vector<std::string> out;
   for (const auto& f : std::filesystem::directory_iterator(std::string(DEPLOY_DIR) + "/lab/cluster"))
     out.push_back(f.path().stem().string());
@@ -540,58 +583,62 @@
   return out;
 }
 
-INSTANTIATE_TEST_SUITE_P(Scenarios, HardStart, testing::ValuesIn(scenarios()), [](const auto& p) {
-  std::string n = p.param;
-  std::replace(n.begin(), n.end(), '-', '_');
-  return n;
-});
+INSTANTIATE_TEST_SUITE_P(Scenarios, ReconciliationScenarioTest, testing::ValuesIn(scenario_names()),
+                         [](const auto& p) {
+                           std::string n = p.param;
+                           std::replace(n.begin(), n.end(), '-', '_');
+                           return n;
+                         });
 
 /// The users' acceptance by job, which the bench does not report: half of each class, of each team and of
 /// each class's largest jobs is served, and whatever can run begins within 240 s.
-class Acceptance : public testing::TestWithParam<std::string> {};
+class ReconciliationAcceptanceTest : public testing::TestWithParam<std::string> {};
 
-TEST_P(Acceptance, HalfOfEachIsServedAndAllBeginInTime) {
+TEST_P(ReconciliationAcceptanceTest, HalfOfEachGroupIsServedAndAllStartInTime) {
   std::string dir = std::string(DEPLOY_DIR) + "/lab/";
-  auto s = lab::load_fleet_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
+  auto s = lab::load_cluster_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
   for (lab::Fault& f : s.faults) f.count = f.count / 10;
-  s.length_s = 420;
-  lab::FleetResult r = lab::FleetWorld(s, lab::Way::now, 1).run();
+  s.duration_s = 420;
+  lab::ClusterResult result = lab::ClusterSimulation(s, lab::SimulationVariant::with_reconciliation, 1).run();
   for (std::size_t i : {0, 1}) {
-    for (const lab::Served& x : {r.class_served[i], r.team_served[i], r.largest_served[i]}) {
+    for (const lab::ServedJobs& x :
+         {result.class_served[i], result.team_served[i], result.largest_served[i]}) {
       EXPECT_GT(x.jobs, 0U) << i;
-      EXPECT_GE(2 * x.begun, x.jobs) << i;
-      EXPECT_LE(x.longest_wait_s, 240) << i << ": " << x.begun << " of " << x.jobs << " have begun";
+      EXPECT_GE(2 * x.started, x.jobs) << i;
+      EXPECT_LE(x.longest_wait_s, 240) << i << ": " << x.started << " of " << x.jobs << " have begun";
     }
   }
-  EXPECT_GT(r.answers, r.refusals);
-  EXPECT_TRUE(r.broken.empty()) << r.broken.front();
+  EXPECT_GT(result.answers, result.refusals);
+  EXPECT_TRUE(result.violations.empty()) << result.violations.front();
 }
 
-INSTANTIATE_TEST_SUITE_P(Scenarios, Acceptance, testing::ValuesIn(scenarios()), [](const auto& p) {
-  std::string n = p.param;
-  std::replace(n.begin(), n.end(), '-', '_');
-  return n;
-});
+INSTANTIATE_TEST_SUITE_P(Scenarios, ReconciliationAcceptanceTest, testing::ValuesIn(scenario_names()),
+                         [](const auto& p) {
+                           std::string n = p.param;
+                           std::replace(n.begin(), n.end(), '-', '_');
+                           return n;
+                         });
 
 /// Whatever machines do, one that has spoken of late is not suspected, and nothing is proved by doubt alone.
-RC_GTEST_PROP(StartProps, DoubtNeedsSilenceAndProvesNothing, ()) {
-  Started s(8);
-  s.take_over();
+RC_GTEST_PROP(ReconcilerProperties, SuspicionRequiresSilenceAndProvesNothing, ()) {
+  ReconciliationFixture fixture(8);
+  fixture.fail_over();
   std::map<std::string, double> spoke;
   auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 30));
   for (int step : steps) {
     // 0 to 7: that machine falls silent; 8 to 15: it speaks again; else time passes.
-    if (step < 8) s.c.silenced.insert(name(step));
-    if (step >= 8 && step < 16) s.c.silenced.erase(name(step - 8));
-    s.c.run(1, 1);
+    if (step < 8) fixture.cluster.silenced_workers.insert(machine_name(step));
+    if (step >= 8 && step < 16) fixture.cluster.silenced_workers.erase(machine_name(step - 8));
+    fixture.cluster.run(1, 1);
     for (int i = 0; i < 8; ++i) {
-      if (s.c.silenced.count(name(i)) == 0) spoke[name(i)] = s.c.now;
-      MachineIndex m = s.machine(name(i));
-      if (!m.valid() || s.c.node(1).model.machine(m).stamp == 0) continue;
-      double quiet = s.c.now - (spoke.count(name(i)) != 0 ? spoke[name(i)] : 0);
-      if (quiet < 5.5) RC_ASSERT(!s.start().suspected(m));
+      if (fixture.cluster.silenced_workers.count(machine_name(i)) == 0)
+        spoke[machine_name(i)] = fixture.cluster.now;
+      MachineIndex m = fixture.machine(machine_name(i));
+      if (!m.valid() || fixture.cluster.controller(1).cluster_state.machine(m).revision == 0) continue;
+      double quiet = fixture.cluster.now - (spoke.count(machine_name(i)) != 0 ? spoke[machine_name(i)] : 0);
+      if (quiet < 5.5) RC_ASSERT(!fixture.reconciler().suspected(m));
     }
-    RC_ASSERT(s.c.log.twice.empty());
+    RC_ASSERT(fixture.cluster.run_log.duplicated_tasks.empty());
   }
 }
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -10,71 +10,71 @@
 namespace {
 
 /// Takes connections and says nothing.
-class Mute {
+class SilentServer {
  public:
-  Mute() : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
-    sockaddr_in a{};
-    a.sin_family = AF_INET;
-    a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    EXPECT_EQ(::bind(fd_, reinterpret_cast<sockaddr*>(&a), sizeof a), 0);
+  SilentServer() : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    EXPECT_EQ(::bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     EXPECT_EQ(::listen(fd_, 16), 0);
-    socklen_t n = sizeof a;
-    ::getsockname(fd_, reinterpret_cast<sockaddr*>(&a), &n);
-    port = ntohs(a.sin_port);
+    socklen_t n = sizeof address;
+    ::getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &n);
+    port = ntohs(address.sin_port);
   }
-  ~Mute() { ::close(fd_); }
-  Mute(const Mute&) = delete;
-  Mute& operator=(const Mute&) = delete;
+  ~SilentServer() { ::close(fd_); }
+  SilentServer(const SilentServer&) = delete;
+  SilentServer& operator=(const SilentServer&) = delete;
   std::uint16_t port = 0;
 
  private:
   int fd_;
 };
 
-TEST(Store, UsersAreNotHeldBackWhileTheStateServiceIsSilent) {
+TEST(StateServiceClient, RequestsDoNotQueueBehindTimeoutsOfASilentService) {
   // Requests once waited for each other's time-outs until their users gave up.
-  Mute mute;
-  auto base = net::make_base();
+  SilentServer mute;
+  auto base = net::make_event_base();
   double now = 100;
   Settings settings;
   state::Store store(base.get(), {"127.0.0.1", mute.port}, settings, [&now] { return now; });
   int given_up = 0, placements = 0;
   constexpr int calls = 60;  // more than there are connections
   for (int i = 0; i < calls; ++i) {
-    store.get("o/j/run-" + std::to_string(i), Urgency::user, [&given_up](const state::StoreAnswer& a) {
+    store.get("o/j/run-" + std::to_string(i), Urgency::user, [&given_up](const state::StoreResponse& a) {
       EXPECT_EQ(a.status, 0);
       ++given_up;
     });
   }
-  store.txn({{"guards", wire::Json::array()}, {"apply", wire::Json::array()}}, Urgency::placement,
-            [&placements](const state::StoreAnswer&) { ++placements; });
+  store.commit({{"guards", wire::Json::array()}, {"apply", wire::Json::array()}}, Urgency::placement,
+               [&placements](const state::StoreResponse&) { ++placements; });
   EXPECT_EQ(given_up, 0);
-  EXPECT_EQ(store.silent_for(), 0);
+  EXPECT_EQ(store.unresponsive_for(), 0);
   std::size_t out = calls + 1 - store.backlog();  // on their way; they have their own time-out
   ASSERT_LT(out, static_cast<std::size_t>(calls));
   now += 1;
-  EXPECT_GE(store.silent_for(), 0.9);
-  store.get("o/j/run-60", Urgency::user, [](const state::StoreAnswer&) {});
+  EXPECT_GE(store.unresponsive_for(), 0.9);
+  store.get("o/j/run-60", Urgency::user, [](const state::StoreResponse&) {});
   EXPECT_EQ(given_up, calls - static_cast<int>(out));
   EXPECT_EQ(placements, 0);  // only users are told to come back
 }
 
-TEST(Store, QuestionsDoNotWaitForChangesBehindSubmissions) {
-  Mute mute;
-  auto base = net::make_base();
+TEST(StateServiceClient, ReadsDoNotWaitBehindSubmissionWrites) {
+  SilentServer mute;
+  auto base = net::make_event_base();
   double now = 100;
   Settings settings;
   state::Store store(base.get(), {"127.0.0.1", mute.port}, settings, [&now] { return now; });
   const wire::Json submission = {{"guards", wire::Json::array()},
                                  {"apply", {{{"put", "o/j/run-1"}, {"value", 1}}}}};
-  for (int i = 0; i < 25; ++i) store.txn(submission, Urgency::user, [](const state::StoreAnswer&) {});
+  for (int i = 0; i < 25; ++i) store.commit(submission, Urgency::user, [](const state::StoreResponse&) {});
   std::size_t waiting = store.backlog();
   ASSERT_GT(waiting, 5U) << "changes are scarce";
-  store.get("f/run-2", Urgency::user, [](const state::StoreAnswer&) {});
+  store.get("f/run-2", Urgency::user, [](const state::StoreResponse&) {});
   EXPECT_EQ(store.backlog(), waiting) << "it has gone out";
   // Nor does what is more urgent make room for it.
-  store.txn(submission, Urgency::claim, [](const state::StoreAnswer&) {});
-  store.get("f/run-3", Urgency::user, [](const state::StoreAnswer&) {});
+  store.commit(submission, Urgency::ownership, [](const state::StoreResponse&) {});
+  store.get("f/run-3", Urgency::user, [](const state::StoreResponse&) {});
   EXPECT_EQ(store.backlog(), waiting + 2) << "a claim waits for changes, and what is less urgent behind it";
 }
 
--- a/tests/troubles.h
+++ b/tests/troubles.h
@@ -5,29 +5,29 @@
 
 namespace oxbowmill {
 
-enum class Trouble { owner_ends, answers_lost, state_outage, late_copies };
+enum class RandomFault { owner_crash, responses_lost, state_outage, delayed_duplicates };
 
 /// `world` has a cluster of three controllers, one of which owns; `pick(n)` draws from 0 to n - 1.
 template <class World, class Pick>
-void trouble(World& world, Trouble what, Pick&& pick) {
-  lab::Controller& owner = world.c.node(world.owner);
+void inject_fault(World& world, RandomFault what, Pick&& pick) {
+  lab::SimulatedController& owner = world.cluster.controller(world.owner);
   switch (what) {
-    case Trouble::owner_ends:
+    case RandomFault::owner_crash:
       world.change_owner();
       break;
-    case Trouble::answers_lost:
-      owner.fate = pick(2) == 0 ? lab::Fate::answer_lost : lab::Fate::not_arrived;
+    case RandomFault::responses_lost:
+      owner.write_outcome = pick(2) == 0 ? lab::WriteOutcome::answer_lost : lab::WriteOutcome::not_arrived;
       world.run(0.5);
-      owner.fate = lab::Fate::answered;
+      owner.write_outcome = lab::WriteOutcome::answered;
       break;
-    case Trouble::state_outage:
-      world.c.state.set_outage(true, world.c.now);
+    case RandomFault::state_outage:
+      world.cluster.store.set_outage(true, world.cluster.now);
       world.run(0.5 * (1 + pick(4)));
-      world.c.state.set_outage(false, world.c.now);
+      world.cluster.store.set_outage(false, world.cluster.now);
       break;
-    case Trouble::late_copies:
+    case RandomFault::delayed_duplicates:
       for (std::size_t i = 0; i < 3; ++i) {
-        for (const lab::Json& body : world.c.node(i).lost) world.c.state.txn(body);
+        for (const lab::Json& body : world.cluster.controller(i).lost_writes) world.cluster.store.txn(body);
       }
       break;
   }
