--- a/app/main.cpp
+++ b/app/main.cpp
@@ -7,7 +7,7 @@
 #include <csignal>
 #include <cstdlib>
 
-#include "oxbowmill/service/node.h"
+#include "oxbowmill/service/controller.h"
 #include "oxbowmill/version.h"
 
 namespace {
--- a/app/oxbow.cpp
+++ b/app/oxbowctl.cpp
@@ -99,7 +99,7 @@
     std::cout << reply.status.ref << " " << reply.status.phase << " done " << reply.status.done << " running "
               << reply.status.running << std::endl;
   } else {
-    std::cerr << "oxbow: " << reply.reason << '\n';
+    std::cerr << "oxbowctl: " << reply.reason << '\n';
   }
 }
 
@@ -107,9 +107,9 @@
 
 int main(int argc, char** argv) {
   spdlog::set_level(spdlog::level::off);
-  CLI::App app{"oxbow: submit jobs to oxbowmill and follow them"};
+  CLI::App app{"oxbowctl: submit jobs to oxbowmill and follow them"};
   app.require_subcommand(1);
-  app.set_version_flag("--version", std::string("oxbow ") + version);
+  app.set_version_flag("--version", std::string("oxbowctl ") + version);
   // A file in TOML's form, with the long options as keys; the environment goes before it, arguments before
   // both.
   app.set_config("--config", std::getenv("OXBOW_CONFIG") != nullptr ? std::getenv("OXBOW_CONFIG") : "");
@@ -175,7 +175,7 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : static_cast<int>(ExitCode::bad_usage);
   } catch (const std::exception& e) {
-    std::cerr << "oxbow: " << e.what() << '\n';
+    std::cerr << "oxbowctl: " << e.what() << '\n';
     return ExitCode::bad_usage;
   }
 }
--- a/app/oxbow_lab.cpp
+++ b/app/oxbowmill_sim.cpp
@@ -11,13 +11,13 @@
 #include <iostream>
 #include <thread>
 
-#include "oxbowmill/lab/agreed_world.h"
-#include "oxbowmill/lab/crew.h"
-#include "oxbowmill/lab/experiment.h"
-#include "oxbowmill/lab/fleet_experiment.h"
-#include "oxbowmill/lab/histories.h"
-#include "oxbowmill/lab/market_server.h"
-#include "oxbowmill/lab/scale_run.h"
+#include "oxbowmill/simulation/cluster_experiment.h"
+#include "oxbowmill/simulation/decision_simulation.h"
+#include "oxbowmill/simulation/market_experiment.h"
+#include "oxbowmill/simulation/market_server.h"
+#include "oxbowmill/simulation/parallel.h"
+#include "oxbowmill/simulation/random_histories.h"
+#include "oxbowmill/simulation/scale_run.h"
 
 namespace {
 
@@ -30,13 +30,13 @@
 template <class Rows, class Summary>
 int write_results(const std::string& name, const Rows& rows, const Summary& summary,
                   const std::string& report) {
-  std::cout << lab::table(name, summary);
+  std::cout << simulation::table(name, summary);
   if (report.empty()) return 0;
   std::ofstream out(report);
   if (ends_with(report, ".json")) {
-    out << lab::json(name, summary).dump(2) << '\n';
+    out << simulation::json(name, summary).dump(2) << '\n';
   } else {
-    out << lab::csv(name, rows);
+    out << simulation::csv(name, rows);
   }
   if (!out) throw std::runtime_error(report + ": cannot be written");
   return 0;
@@ -44,43 +44,46 @@
 
 int run_markets(const std::string& file, unsigned seeds, unsigned threads, const std::string& report,
                 unsigned long long single_seed, const std::string& policy) {
-  lab::MarketScenario scenario = lab::load_scenario(file);
+  simulation::MarketScenario scenario = simulation::load_scenario(file);
   if (single_seed != 0) {
-    const auto* p = std::find_if(std::begin(lab::policies), std::end(lab::policies),
-                                 [&](lab::Policy x) { return policy == lab::name_of(x); });
-    if (p == std::end(lab::policies)) throw std::runtime_error("--policy: none is named " + policy);
-    std::cout << lab::table(
+    const auto* p = std::find_if(std::begin(simulation::policies), std::end(simulation::policies),
+                                 [&](simulation::Policy x) { return policy == simulation::name_of(x); });
+    if (p == std::end(simulation::policies)) throw std::runtime_error("--policy: none is named " + policy);
+    std::cout << simulation::table(
         scenario.name,
-        lab::summarise({{*p, single_seed, lab::MarketSimulation(scenario, *p, single_seed).run()}}));
+        simulation::summarise(
+            {{*p, single_seed, simulation::MarketSimulation(scenario, *p, single_seed).run()}}));
     return 0;
   }
-  auto rows = lab::play(scenario, seeds, threads);
-  return write_results(scenario.name, rows, lab::summarise(rows), report);
+  auto rows = simulation::play(scenario, seeds, threads);
+  return write_results(scenario.name, rows, simulation::summarise(rows), report);
 }
 
 int run_cluster(const std::string& file, const std::string& fleet, unsigned seeds, unsigned threads,
                 const std::string& report, unsigned long long single_seed, const std::string& variant) {
-  lab::ClusterScenario scenario = lab::load_cluster_scenario(file, fleet);
+  simulation::ClusterScenario scenario = simulation::load_cluster_scenario(file, fleet);
   if (single_seed != 0) {
-    const auto* w = std::find_if(std::begin(lab::simulation_variants), std::end(lab::simulation_variants),
-                                 [&](lab::SimulationVariant x) { return variant == lab::name_of(x); });
-    if (w == std::end(lab::simulation_variants)) throw std::runtime_error("--way: none is named " + variant);
-    std::cout << lab::csv(scenario.name,
-                          {{*w, single_seed, lab::ClusterSimulation(scenario, *w, single_seed).run()}});
+    const auto* w =
+        std::find_if(std::begin(simulation::simulation_variants), std::end(simulation::simulation_variants),
+                     [&](simulation::SimulationVariant x) { return variant == simulation::name_of(x); });
+    if (w == std::end(simulation::simulation_variants))
+      throw std::runtime_error("--way: none is named " + variant);
+    std::cout << simulation::csv(
+        scenario.name, {{*w, single_seed, simulation::ClusterSimulation(scenario, *w, single_seed).run()}});
     return 0;
   }
-  auto rows = lab::play(scenario, seeds, threads);
-  auto summary = lab::summarise(scenario, rows);
+  auto rows = simulation::play(scenario, seeds, threads);
+  auto summary = simulation::summarise(scenario, rows);
   write_results(scenario.name + " on " + scenario.cluster, rows, summary, report);
   // A broken rule is a failure whatever the figures say.
   return std::any_of(summary.begin(), summary.end(), [](const auto& x) { return x.violations != 0; }) ? 1 : 0;
 }
 
 int run_histories(unsigned long long from, unsigned seeds, unsigned threads) {
-  std::vector<lab::ClusterResult> results(seeds);
-  lab::run_in_parallel(seeds, threads, [&](std::size_t i) {
-    results[i] = lab::ClusterSimulation(lab::random_history(from + i),
-                                        lab::SimulationVariant::with_reconciliation, from + i)
+  std::vector<simulation::ClusterResult> results(seeds);
+  simulation::run_in_parallel(seeds, threads, [&](std::size_t i) {
+    results[i] = simulation::ClusterSimulation(simulation::random_history(from + i),
+                                               simulation::SimulationVariant::with_reconciliation, from + i)
                      .run();
   });
   unsigned broken = 0;
@@ -89,26 +92,26 @@
     ++broken;
     std::cout << "seed " << from + i << ": " << results[i].violations.front() << " and "
               << results[i].violations.size() - 1 << " more; needs\n"
-              << lab::to_script(lab::shrunk(lab::random_history(from + i), from + i));
+              << simulation::to_script(simulation::shrunk(simulation::random_history(from + i), from + i));
   }
   std::cout << seeds << " histories from seed " << from << ", " << broken << " with a rule broken\n";
   return broken != 0 ? 1 : 0;
 }
 
 int run_decisions(const std::string& file, unsigned seeds, unsigned threads) {
-  lab::DecisionScenario s = lab::load_decision_scenario(file);
-  auto rows = lab::play_decisions(s, seeds, threads);
-  std::cout << lab::table(s, rows);
+  simulation::DecisionScenario s = simulation::load_decision_scenario(file);
+  auto rows = simulation::play_decisions(s, seeds, threads);
+  std::cout << simulation::table(s, rows);
   return std::any_of(rows.begin(), rows.end(), [](const auto& r) { return r.violations != 0; }) ? 1 : 0;
 }
 
-int run_scale(const std::string& file, lab::ScaleOptions options, const std::string& report_file) {
-  lab::ScaleSettings settings = lab::load_scale_settings(file);
+int run_scale(const std::string& file, simulation::ScaleOptions options, const std::string& report_file) {
+  simulation::ScaleSettings settings = simulation::load_scale_settings(file);
   if (options.directory.empty())
     options.directory =
         (std::filesystem::temp_directory_path() / ("scale-" + std::to_string(::getpid()))).string();
-  lab::ScaleReport report = lab::play_scale(settings, options);
-  std::cout << lab::table(report) << "  settings and logs in " << options.directory << '\n';
+  simulation::ScaleReport report = simulation::play_scale(settings, options);
+  std::cout << simulation::table(report) << "  settings and logs in " << options.directory << '\n';
   if (!report_file.empty()) {
     std::ofstream out(report_file);
     out << report.figures.dump(2) << '\n';
@@ -118,14 +121,14 @@
 }
 
 int serve_market(const std::string& file, const std::string& name, const std::string& listen) {
-  lab::MarketScenario s = lab::load_scenario(file);
+  simulation::MarketScenario s = simulation::load_scenario(file);
   auto market = std::find_if(s.markets.begin(), s.markets.end(),
-                             [&](const lab::MarketBehavior& x) { return x.name == name; });
+                             [&](const simulation::MarketBehavior& x) { return x.name == name; });
   if (market == s.markets.end()) throw std::runtime_error(file + ": markets: none is named " + name);
   auto base = net::make_event_base();
   auto start = std::chrono::steady_clock::now();
-  lab::MarketServer server(
-      base.get(), net::parse_bind_address(listen), lab::SimulatedMarket(*market, 1, {}, {}),
+  simulation::MarketServer server(
+      base.get(), net::parse_bind_address(listen), simulation::SimulatedMarket(*market, 1, {}, {}),
       [start] { return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(); });
   std::cout << "market " << name << " listens on " << net::to_string(server.address()) << std::endl;
   event_base_dispatch(base.get());
@@ -135,11 +138,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  spdlog::set_default_logger(spdlog::stderr_logger_mt("oxbow-lab"));
+  spdlog::set_default_logger(spdlog::stderr_logger_mt("oxbowmill-sim"));
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(level == nullptr ? spdlog::level::off : spdlog::level::from_str(level));
   spdlog::set_pattern("%l %v");
-  CLI::App app{"oxbow-lab: experiments with oxbowmill on a simulated clock"};
+  CLI::App app{"oxbowmill-sim: experiments with oxbowmill on a simulated clock"};
   app.require_subcommand(1);
   std::string file, report, policy = "planner";
   unsigned seeds = 200, threads = std::max(1U, std::thread::hardware_concurrency());
@@ -173,7 +176,7 @@
   histories_command->add_option("--from", from, "the first seed");
   histories_command->add_option("--seeds", seeds, "how many seeds");
   histories_command->add_option("--threads", threads, "how many at a time");
-  lab::ScaleOptions scale_options;
+  simulation::ScaleOptions scale_options;
   scale_options.program = (std::filesystem::path(argv[0]).parent_path() / "oxbowmill").string();
   auto* cell =
       app.add_subcommand("scale", "real controllers beside thousands of hollow workers, on loopback");
@@ -200,7 +203,7 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : 2;
   } catch (const std::exception& e) {
-    std::cerr << "oxbow-lab: " << e.what() << '\n';
+    std::cerr << "oxbowmill-sim: " << e.what() << '\n';
     return 2;
   }
 }
--- a/include/oxbowmill/core/fleet.h
+++ b/include/oxbowmill/autoscaling/autoscaler.h
@@ -1,8 +1,8 @@
 // Renting: which machines the leader gives to which part, rents and returns.
 #pragma once
 
-#include "oxbowmill/core/scheduler.h"
-#include "oxbowmill/core/source.h"
+#include "oxbowmill/autoscaling/machine_source.h"
+#include "oxbowmill/scheduling/scheduler.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/core/source.h
+++ b/include/oxbowmill/autoscaling/machine_source.h
@@ -4,7 +4,7 @@
 #include <limits>
 #include <vector>
 
-#include "oxbowmill/core/order.h"
+#include "oxbowmill/scheduling/queue_order.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/progress/saved.h
+++ b/include/oxbowmill/checkpoint/saved_progress.h
@@ -1,12 +1,12 @@
 // Saved progress of tasks, as far as it can be known: workers report phases, never seconds. Bounds from what
-// was seen running, `save_every_s` and how fast machines may be. Pure arithmetic; docs/progress.md. Seconds
-// of a task's run time at the speed that its type has by name.
+// was seen running, `save_every_s` and how fast machines may be. Pure arithmetic; docs/checkpoints.md.
+// Seconds of a task's run time at the speed that its type has by name.
 #pragma once
 
 #include <cstdint>
 #include <vector>
 
-namespace oxbowmill::progress {
+namespace oxbowmill::checkpoint {
 
 struct Settings {
   bool enabled = false;
@@ -49,4 +49,4 @@
 /// Execution times in order of finishing, as the detector wants them.
 std::vector<double> run_times_by_finish(std::vector<FinishedTask> finishes);
 
-}  // namespace oxbowmill::progress
+}  // namespace oxbowmill::checkpoint
--- a/include/oxbowmill/client/client.h
+++ b/include/oxbowmill/client/client.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <memory>
 
-#include "oxbowmill/client/attempts.h"
+#include "oxbowmill/client/request_retrier.h"
 #include "oxbowmill/net/http.h"
 #include "oxbowmill/wire/codec.h"
 
--- a/include/oxbowmill/core/model.h
+++ b/include/oxbowmill/cluster/cluster_state.h
@@ -5,8 +5,8 @@
 #include <set>
 #include <unordered_map>
 
-#include "oxbowmill/core/counsel.h"
-#include "oxbowmill/core/settings.h"
+#include "oxbowmill/cluster/placement_constraints.h"
+#include "oxbowmill/cluster/settings.h"
 
 namespace oxbowmill {
 
@@ -82,7 +82,7 @@
 struct Chunk {
   Revision revision = 0;
   std::uint64_t done = 0, restarted = 0;
-  std::vector<progress::FinishedTask> finishes;
+  std::vector<checkpoint::FinishedTask> finishes;
 };
 
 struct Job {
@@ -113,12 +113,13 @@
   Seconds pending_reason_logged_at = -1e9;
   std::vector<double> finished_run_times;  // the detector's: in order of finishing
   double slow_baseline_s = -1;
-  std::map<TaskNumber, progress::SavedProgress> checkpoints;  // what tasks go on from; of a gang under task 0
-  Attempt checkpoint_attempt = 0;                             // of a gang: whose progress is counted already
-  std::map<TaskNumber, progress::FinishedTask> unrecorded_finishes;  // not in a record yet
-  progress::SavedProgress checkpoint_of(TaskNumber task) const {
+  std::map<TaskNumber, checkpoint::SavedProgress>
+      checkpoints;                 // what tasks go on from; of a gang under task 0
+  Attempt checkpoint_attempt = 0;  // of a gang: whose progress is counted already
+  std::map<TaskNumber, checkpoint::FinishedTask> unrecorded_finishes;  // not in a record yet
+  checkpoint::SavedProgress checkpoint_of(TaskNumber task) const {
     auto it = checkpoints.find(spec.shape == JobShape::gang ? 0 : task);
-    return it == checkpoints.end() ? progress::SavedProgress() : it->second;
+    return it == checkpoints.end() ? checkpoint::SavedProgress() : it->second;
   }
   /// Run time that its tasks without a machine still need, one with another, by the owner's estimate.
   Seconds remaining_s() const;
--- a/include/oxbowmill/core/counsel.h
+++ b/include/oxbowmill/cluster/placement_constraints.h
@@ -1,4 +1,4 @@
-// What the controllers' durable decisions (docs/accord.md) say of jobs: whether their tasks may be placed,
+// What the controllers' durable decisions (docs/decisions.md) say of jobs: whether their tasks may be placed,
 // and what their placement has to find unchanged. Core asks, `accord` answers; without a counsel nothing is
 // held.
 #pragma once
@@ -6,7 +6,7 @@
 #include <limits>
 #include <vector>
 
-#include "oxbowmill/core/records.h"
+#include "oxbowmill/cluster/records.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/core/records.h
+++ b/include/oxbowmill/cluster/records.h
@@ -5,8 +5,8 @@
 #include <optional>
 #include <variant>
 
-#include "oxbowmill/core/types.h"
-#include "oxbowmill/progress/saved.h"
+#include "oxbowmill/checkpoint/saved_progress.h"
+#include "oxbowmill/cluster/types.h"
 
 namespace oxbowmill {
 
@@ -26,8 +26,8 @@
   std::uint64_t restarted = 0;  // bit per task: has had its one restart
   std::vector<PlacedTask> placements;
   // Optional: what tasks go on from, of a gang under its first; and what finished ones took.
-  std::map<TaskNumber, progress::SavedProgress> checkpoints;
-  std::vector<progress::FinishedTask> finishes;
+  std::map<TaskNumber, checkpoint::SavedProgress> checkpoints;
+  std::vector<checkpoint::FinishedTask> finishes;
 };
 
 struct JobRecord {
@@ -88,7 +88,8 @@
   Evidence evidence;
 };
 
-/// A durable decision (docs/accord.md). What the fields mean is up to its kind; `state` is one of the kind's.
+/// A durable decision (docs/decisions.md). What the fields mean is up to its kind; `state` is one of the
+/// kind's.
 struct DecisionRecord {
   std::string state;
   std::uint64_t version = 0;   // of the operators' file that it was made under
--- a/include/oxbowmill/core/settings.h
+++ b/include/oxbowmill/cluster/settings.h
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "oxbowmill/core/types.h"
-#include "oxbowmill/progress/saved.h"
+#include "oxbowmill/checkpoint/saved_progress.h"
+#include "oxbowmill/cluster/types.h"
 
 namespace oxbowmill {
 
@@ -64,7 +64,7 @@
   std::vector<double> deadline_multiples;  // of a job's deadline, as the users' aims name them; ascending
   double cloud_rps = 2, cloud_list_lag_s = 4;
   OperatorSettings operator_settings;
-  progress::Settings progress;
+  checkpoint::Settings progress;
 
   // Derived; see docs/design.md, "Time".
   static constexpr double clock_drift = 0.0005;
--- a/include/oxbowmill/core/promise.h
+++ b/include/oxbowmill/cluster/start_deadline.h
@@ -1,8 +1,8 @@
 // The promise that every job begins: by when its last task has to be sent out, and what that changes. Pure;
-// docs/begin.md weighs the ways. Times in seconds.
+// docs/start-deadlines.md weighs the ways. Times in seconds.
 #pragma once
 
-#include "oxbowmill/core/model.h"
+#include "oxbowmill/cluster/cluster_state.h"
 
 namespace oxbowmill {
 
@@ -11,7 +11,7 @@
   relaxed,          // its turn comes by rank, deadline and age as ever
   not_preemptible,  // not stopped for others before it has begun
   urgent,           // first in its rank as well
-  critical,         // before other ranks as well, as far as `promise_share` goes
+  critical,         // before other ranks as well, as far as `start_deadline_share` goes
 };
 const char* name_of(StartDeadline p);
 
--- a/include/oxbowmill/config/config.h
+++ b/include/oxbowmill/config/config.h
@@ -4,12 +4,12 @@
 #include <string>
 #include <vector>
 
-#include "oxbowmill/core/settings.h"
+#include "oxbowmill/cluster/settings.h"
 #include "oxbowmill/market/settings.h"
-#include "oxbowmill/models/terms.h"
 #include "oxbowmill/net/http.h"
-#include "oxbowmill/recovery/settings.h"
-#include "oxbowmill/release/terms.h"
+#include "oxbowmill/reconciliation/settings.h"
+#include "oxbowmill/release_calendar/release_spec.h"
+#include "oxbowmill/serving/model_spec.h"
 #include "oxbowmill/yaml/map.h"
 
 namespace oxbowmill::config {
@@ -25,9 +25,9 @@
   Settings settings;
   Names names;
   market::Settings markets;
-  recovery::Settings recovery;
-  release::ReleaseCalendar calendar;
-  models::Settings models;
+  reconciliation::Settings recovery;
+  release_calendar::ReleaseCalendar calendar;
+  serving::Settings models;
   double clock_skew_s = 1;  // bound of the time of day's error
   net::Address bind, peer_bind, cloud, state_service;
   std::vector<Peer> peers;
@@ -38,6 +38,6 @@
 /// Reads an operators' file into the settings; teams and markets are names of its `names`.
 void load_operator(const std::string& yaml_file, Config& config);
 /// The calendar alone, read again from the operators' files that hold one.
-release::ReleaseCalendar load_calendar(const std::vector<std::string>& yaml_files);
+release_calendar::ReleaseCalendar load_calendar(const std::vector<std::string>& yaml_files);
 
 }  // namespace oxbowmill::config
--- a/include/oxbowmill/accord/accord.h
+++ b/include/oxbowmill/decisions/decision_log.h
@@ -1,14 +1,14 @@
 // Durable decisions: records with a named state that one controller changes, in one guarded transaction each,
-// and that others build upon. Pure; docs/accord.md holds the reasons and the safety points.
+// and that others build upon. Pure; docs/decisions.md holds the reasons and the safety points.
 #pragma once
 
 #include <memory>
 #include <set>
 
-#include "oxbowmill/core/scheduler.h"
-#include "oxbowmill/core/token_bucket.h"
+#include "oxbowmill/cluster/token_bucket.h"
+#include "oxbowmill/scheduling/scheduler.h"
 
-namespace oxbowmill::accord {
+namespace oxbowmill::decisions {
 
 /// The states of a kind of decision and the changes between them. A change from a state to itself alters what
 /// stands beside it. "": no record.
@@ -72,8 +72,9 @@
   std::vector<const PlacementConstraints*> constraints_;
 };
 
-/// The time of day at its earliest: the clock is right within `skew_s` only, and one that has jumped ahead
-/// is not believed before `memory_s` have passed. For what must never happen early. Seconds since the epoch.
+/// The time of day at its earliest: the clock is right within `clock_skew_s` only, and one that has jumped
+/// ahead is not believed before `memory_s` have passed. For what must never happen early. Seconds since the
+/// epoch.
 class LowerBoundClock {
  public:
   explicit LowerBoundClock(double skew_s, double memory_s = 60) : skew_s_(skew_s), window_s_(memory_s) {}
@@ -88,4 +89,4 @@
   std::deque<Offset> offsets_;  // rising, so that the front is the least of those remembered
 };
 
-}  // namespace oxbowmill::accord
+}  // namespace oxbowmill::decisions
--- a/include/oxbowmill/core/claims.h
+++ b/include/oxbowmill/lease/controller_lease.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "oxbowmill/core/settings.h"
+#include "oxbowmill/cluster/settings.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/market/bid.h
+++ b/include/oxbowmill/market/bid.h
@@ -4,7 +4,7 @@
 #include <set>
 #include <string>
 
-#include "oxbowmill/core/records.h"
+#include "oxbowmill/cluster/records.h"
 
 namespace oxbowmill::market {
 
--- a/include/oxbowmill/market/desk.h
+++ b/include/oxbowmill/market/bidding_service.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <memory>
 
-#include "oxbowmill/core/fleet.h"
-#include "oxbowmill/market/venue.h"
+#include "oxbowmill/autoscaling/autoscaler.h"
+#include "oxbowmill/market/market_client.h"
 
 namespace oxbowmill::market {
 
--- a/include/oxbowmill/market/planner.h
+++ b/include/oxbowmill/market/planner.h
@@ -2,9 +2,9 @@
 // weighed.
 #pragma once
 
-#include "oxbowmill/core/source.h"
+#include "oxbowmill/autoscaling/machine_source.h"
 #include "oxbowmill/market/ledger.h"
-#include "oxbowmill/market/trust.h"
+#include "oxbowmill/market/reputation.h"
 
 namespace oxbowmill::market {
 
--- a/include/oxbowmill/market/trust.h
+++ b/include/oxbowmill/market/reputation.h
@@ -5,8 +5,8 @@
 
 #include <array>
 
-#include "oxbowmill/core/records.h"
-#include "oxbowmill/core/settings.h"
+#include "oxbowmill/cluster/records.h"
+#include "oxbowmill/cluster/settings.h"
 
 namespace oxbowmill::market {
 
@@ -28,7 +28,7 @@
   explicit Reputation(const Evidence& e) : evidence_(e) {}
 
   void record_machines(double kept, double broken);
-  /// A delivery, promised within `promised_s` of the bid, took `actual_s`.
+  /// A delivery, promised within `promised_delivery_s` of the bid, took `actual_s`.
   void record_delivery(Seconds promised_s, Seconds actual_s);
   void record_price(double quoted, double paid);
 
--- a/include/oxbowmill/recovery/words.h
+++ b/include/oxbowmill/reconciliation/agent_liveness.h
@@ -3,10 +3,10 @@
 
 #include <vector>
 
-#include "oxbowmill/recovery/difference.h"
-#include "oxbowmill/recovery/settings.h"
+#include "oxbowmill/reconciliation/difference.h"
+#include "oxbowmill/reconciliation/settings.h"
 
-namespace oxbowmill::recovery {
+namespace oxbowmill::reconciliation {
 
 enum class AgentLiveness : std::uint8_t {
   none,                 // not a machine of a part of ours
@@ -42,8 +42,8 @@
 /// does silence mean something. Not later than `cap`. Below 0: too few have spoken.
 Seconds suspicion_threshold(const std::vector<double>& first_report_delays_s, std::uint32_t expected,
                             Seconds floor, Seconds cap, const Settings& settings);
-/// Chance that a machine silent for `silent_s` speaks within the next `rest_s`: of the troubles that pass by
-/// themselves, those that have lasted long last longer (durations without a scale of their own).
+/// Chance that a machine silent for `unresponsive_after_s` speaks within the next `rest_s`: of the troubles
+/// that pass by themselves, those that have lasted long last longer (durations without a scale of their own).
 double report_probability(const SuspicionStatistics& experience, Seconds silent_s, Seconds rest_s);
 
 /// What hangs on a machine, in machine-seconds: what deleting it at once is expected to gain over waiting for
@@ -55,4 +55,4 @@
 DeletionTradeoff deletion_tradeoff(const ClusterState& model, MachineIndex machine_index, Seconds proof_at,
                                    double chance_of_return, Seconds now);
 
-}  // namespace oxbowmill::recovery
+}  // namespace oxbowmill::reconciliation
--- a/include/oxbowmill/recovery/difference.h
+++ b/include/oxbowmill/reconciliation/difference.h
@@ -1,13 +1,13 @@
 // In what a worker's report and the stored state differ: pure, by kind. What follows from each, on which
-// proof, stands in docs/start.md; the scheduler carries it out.
+// proof, stands in docs/reconciliation.md; the scheduler carries it out.
 #pragma once
 
 #include <array>
 #include <cstdint>
 
-#include "oxbowmill/core/model.h"
+#include "oxbowmill/cluster/cluster_state.h"
 
-namespace oxbowmill::recovery {
+namespace oxbowmill::reconciliation {
 
 enum class Difference : std::uint8_t {
   stale_token,       // the worker has not shown the present owner's token: what it lacks proves nothing yet
@@ -52,4 +52,4 @@
 ReportValidity check_validity(const ClusterState& model, bool owned, MachineIndex machine_index,
                               const WorkerReport& report);
 
-}  // namespace oxbowmill::recovery
+}  // namespace oxbowmill::reconciliation
--- a/include/oxbowmill/recovery/start.h
+++ b/include/oxbowmill/reconciliation/reconciler.h
@@ -1,16 +1,16 @@
 // The start of a controller's parts, from the claim to ordinary service, and the doubt about single machines
 // after it. Pure: reports, peers' words and the time come in; what may be ordered goes out through core's
-// `Gate`. docs/start.md holds the reasons.
+// `RecoveryAdmission`. docs/reconciliation.md holds the reasons.
 #pragma once
 
 #include <functional>
 #include <map>
 
-#include "oxbowmill/core/scheduler.h"
-#include "oxbowmill/core/token_bucket.h"
-#include "oxbowmill/recovery/words.h"
+#include "oxbowmill/cluster/token_bucket.h"
+#include "oxbowmill/reconciliation/agent_liveness.h"
+#include "oxbowmill/scheduling/scheduler.h"
 
-namespace oxbowmill::recovery {
+namespace oxbowmill::reconciliation {
 
 enum class PartitionPhase : std::uint8_t {
   not_owned,         // not ours
@@ -127,4 +127,4 @@
   Seconds first_cycle_at_ = -1;  // first pass of this process
 };
 
-}  // namespace oxbowmill::recovery
+}  // namespace oxbowmill::reconciliation
--- a/include/oxbowmill/recovery/settings.h
+++ b/include/oxbowmill/reconciliation/settings.h
@@ -1,7 +1,7 @@
 // Operators' settings of starts and of doubt about machines.
 #pragma once
 
-namespace oxbowmill::recovery {
+namespace oxbowmill::reconciliation {
 
 struct Settings {
   bool enabled = false;
@@ -9,8 +9,8 @@
   double reported_fraction = 0.6;
   // ... and this share of all makes a part's picture good enough to rent by.
   double sufficient_fraction = 0.9;
-  // A machine is suspected at max(median of the earliest `heard_share` first words x multiplier, floor). The
-  // floor is derived from the workers' report interval; this is the multiplier.
+  // A machine is suspected at max(median of the earliest `reported_fraction` first words x multiplier,
+  // floor). The floor is derived from the workers' report interval; this is the multiplier.
   double threshold_multiplier = 1.5;
   // How long demand is watched anew before idle machines go back by it.
   double demand_window_s = 30;
@@ -22,4 +22,4 @@
   bool delete_suspects = true;
 };
 
-}  // namespace oxbowmill::recovery
+}  // namespace oxbowmill::reconciliation
--- a/include/oxbowmill/release/planner.h
+++ b/include/oxbowmill/release_calendar/release_coordinator.h
@@ -1,15 +1,15 @@
 // Holds the publishing jobs of paired editions until all of them have rendered from one revision, and then
 // lets all go by one durable decision. Pure: tables, final phases and the time come in; changes of records
-// and questions go out; placing asks through core's `Counsel`. docs/release.md has the states and the safety
-// points.
+// and questions go out; placing asks through core's `PlacementConstraints`. docs/release-calendar.md has the
+// states and the safety points.
 #pragma once
 
 #include <functional>
 
-#include "oxbowmill/accord/accord.h"
-#include "oxbowmill/release/terms.h"
+#include "oxbowmill/decisions/decision_log.h"
+#include "oxbowmill/release_calendar/release_spec.h"
 
-namespace oxbowmill::release {
+namespace oxbowmill::release_calendar {
 
 // States of a release's decision. One round of them is an epoch: one revision.
 inline const std::string rendering = "rendering";  // not all editions have rendered, or it is not time yet
@@ -18,14 +18,14 @@
 inline const std::string broken = "broken";        // a job it needs was cancelled: it waits for another
 inline const std::string withdrawn = "lifted";     // the operators took the release out: its jobs are free
 
-const accord::DecisionKind& decision_kind();
+const decisions::DecisionKind& decision_kind();
 /// What operators want, as the newest file among the controllers has it: "stands" or "removed".
-const accord::DecisionKind& spec_kind();
+const decisions::DecisionKind& spec_kind();
 
 class ReleaseCoordinator : public PlacementConstraints {
  public:
-  /// `skew_s`: bound of the clock's error; nothing publishes before its time by any clock within it.
-  ReleaseCoordinator(ClusterState& model, accord::DecisionLog& decision_log, const Scheduler& scheduler,
+  /// `clock_skew_s`: bound of the clock's error; nothing publishes before its time by any clock within it.
+  ReleaseCoordinator(ClusterState& model, decisions::DecisionLog& decision_log, const Scheduler& scheduler,
                      double skew_s);
 
   /// The operators' file; a lower version than before is an error of theirs and is not taken.
@@ -77,10 +77,10 @@
   void set_reason(ReleaseState& plan, const std::string& name, const std::string& why);
 
   ClusterState& state_;
-  accord::DecisionLog& decision_log_;
+  decisions::DecisionLog& decision_log_;
   const Scheduler& scheduler_;
   ReleaseCalendar calendar_;
-  accord::LowerBoundClock lower_bound_clock_;
+  decisions::LowerBoundClock lower_bound_clock_;
   std::map<std::string, ReleaseState> releases_;
   std::map<std::string, JobPhase> final_phases_;  // final phases never change
   struct PhaseQuery {
@@ -91,4 +91,4 @@
   Seconds now_ = 0, next_cycle_at_ = 0;
 };
 
-}  // namespace oxbowmill::release
+}  // namespace oxbowmill::release_calendar
--- a/include/oxbowmill/release/terms.h
+++ b/include/oxbowmill/release_calendar/release_spec.h
@@ -1,5 +1,5 @@
 // What operators say of a release: paired editions of one source revision, whose publishing waits for all of
-// them. Written in the calendar file, kept in the controllers' shared state; docs/release.md.
+// them. Written in the calendar file, kept in the controllers' shared state; docs/release-calendar.md.
 #pragma once
 
 #include <optional>
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "oxbowmill/release/times.h"
+#include "oxbowmill/release_calendar/scheduled_time.h"
 
-namespace oxbowmill::release {
+namespace oxbowmill::release_calendar {
 
 /// Names jobs: one by its id, or so many by class and image where ids are not known ahead.
 struct JobMatcher {
@@ -43,4 +43,4 @@
 /// What is wrong with the terms, or empty.
 std::string validation_error(const ReleaseSpec& terms);
 
-}  // namespace oxbowmill::release
+}  // namespace oxbowmill::release_calendar
--- a/include/oxbowmill/release/times.h
+++ b/include/oxbowmill/release_calendar/scheduled_time.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace oxbowmill::release {
+namespace oxbowmill::release_calendar {
 
 struct ScheduledTime {
   std::string zone = "UTC";              // of the tz database
@@ -28,4 +28,4 @@
 /// What is wrong with it (zone, date, weekday), or empty.
 std::string validation_error(const ScheduledTime& scheduled);
 
-}  // namespace oxbowmill::release
+}  // namespace oxbowmill::release_calendar
--- a/include/oxbowmill/core/free_capacity.h
+++ b/include/oxbowmill/scheduling/free_capacity.h
@@ -9,13 +9,13 @@
 #include <set>
 #include <unordered_map>
 
-#include "oxbowmill/core/placement.h"
+#include "oxbowmill/scheduling/machine_selection.h"
 
 namespace oxbowmill {
 
 /// What one machine offers to new tasks.
 struct MachineCapacity {
-  CandidateMachine candidate;    // `start_s` and `spoils_s` depend on the job and are not filled in
+  CandidateMachine candidate;    // `start_s` and `opportunity_cost_s` depend on the job and are not filled in
   Resources releasing;           // beside `node.room`: held by tasks that were told to stop
   bool booting = false;          // rented, not up yet: forecast capacity only
   Seconds expected_up_at = 0;    // of a booting machine: when it is expected
@@ -55,8 +55,8 @@
   void clear();
 
   /// Chooses machines for these tasks of the job, at most as many as fit; a gang gets all or none. `forecast`
-  /// are nodes beside the free ones, with their `start_s` and `spoils_s`; `by_zone` holds where the job's
-  /// other tasks are.
+  /// are nodes beside the free ones, with their `start_s` and `opportunity_cost_s`; `by_zone` holds where the
+  /// job's other tasks are.
   Selection select(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
                    const std::vector<std::uint32_t>& by_zone,
                    const std::vector<CandidateMachine>& forecast = {}) const;
--- a/include/oxbowmill/core/gangs.h
+++ b/include/oxbowmill/scheduling/gangs.h
@@ -1,7 +1,7 @@
 // What a gang's members say together.
 #pragma once
 
-#include "oxbowmill/core/model.h"
+#include "oxbowmill/cluster/cluster_state.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/core/placement.h
+++ b/include/oxbowmill/scheduling/machine_selection.h
@@ -1,7 +1,7 @@
 // Where a job's tasks may go and where they best go.
 #pragma once
 
-#include "oxbowmill/core/model.h"
+#include "oxbowmill/cluster/cluster_state.h"
 
 namespace oxbowmill {
 
@@ -37,8 +37,8 @@
 Seconds fetch_time(const JobSpec& spec, const MachineType& type);
 /// What a task of the job costs others on a node like this, in seconds that the job gives up for it.
 Seconds opportunity_cost(const JobSpec& spec, const MachineType& type, const CandidateMachine& node);
-/// Fills in `start_s` and `spoils_s` for this job; `pressed`: one that has to begin soon looks at what else
-/// is being fetched there as well.
+/// Fills in `start_s` and `opportunity_cost_s` for this job; `pressed`: one that has to begin soon looks at
+/// what else is being fetched there as well.
 void evaluate_for_job(const JobSpec& spec, const ClusterState& model, std::vector<CandidateMachine>& bins,
                       bool pressed = false);
 /// When the last of the chosen tasks could run.
--- a/include/oxbowmill/core/waiting.h
+++ b/include/oxbowmill/scheduling/pending_reason.h
@@ -1,7 +1,7 @@
 // Why a job has not begun with all its tasks: for whoever reads the log. Pure.
 #pragma once
 
-#include "oxbowmill/core/promise.h"
+#include "oxbowmill/cluster/start_deadline.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/core/order.h
+++ b/include/oxbowmill/scheduling/queue_order.h
@@ -1,7 +1,7 @@
 // In which order waiting jobs get room.
 #pragma once
 
-#include "oxbowmill/core/promise.h"
+#include "oxbowmill/cluster/start_deadline.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/core/gate.h
+++ b/include/oxbowmill/scheduling/recovery_admission.h
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-#include "oxbowmill/core/types.h"
+#include "oxbowmill/cluster/types.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/core/scheduler.h
+++ b/include/oxbowmill/scheduling/scheduler.h
@@ -4,12 +4,12 @@
 
 #include <deque>
 
-#include "oxbowmill/core/capacity_tracker.h"
-#include "oxbowmill/core/claims.h"
-#include "oxbowmill/core/gangs.h"
-#include "oxbowmill/core/gate.h"
-#include "oxbowmill/core/order.h"
-#include "oxbowmill/core/placement.h"
+#include "oxbowmill/lease/controller_lease.h"
+#include "oxbowmill/scheduling/capacity_tracker.h"
+#include "oxbowmill/scheduling/gangs.h"
+#include "oxbowmill/scheduling/machine_selection.h"
+#include "oxbowmill/scheduling/queue_order.h"
+#include "oxbowmill/scheduling/recovery_admission.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/core/slow_tasks.h
+++ b/include/oxbowmill/scheduling/slow_task_detector.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "oxbowmill/core/settings.h"
+#include "oxbowmill/cluster/settings.h"
 
 namespace oxbowmill {
 
--- a/include/oxbowmill/service/node.h
+++ b/include/oxbowmill/service/controller.h
@@ -2,12 +2,12 @@
 #pragma once
 
 #include "oxbowmill/config/config.h"
-#include "oxbowmill/recovery/start.h"
-#include "oxbowmill/service/agreements.h"
-#include "oxbowmill/service/intake.h"
-#include "oxbowmill/service/outbox.h"
+#include "oxbowmill/reconciliation/reconciler.h"
+#include "oxbowmill/service/decision_service.h"
+#include "oxbowmill/service/market_service.h"
 #include "oxbowmill/service/peers.h"
-#include "oxbowmill/service/trading.h"
+#include "oxbowmill/service/submission_service.h"
+#include "oxbowmill/service/write_queue.h"
 
 namespace oxbowmill::service {
 
@@ -15,7 +15,9 @@
  public:
   Controller(event_base* base, config::Config config);
   /// A newer calendar file.
-  void load_calendar(release::ReleaseCalendar calendar) { decision_service_.load(std::move(calendar)); }
+  void load_calendar(release_calendar::ReleaseCalendar calendar) {
+    decision_service_.load(std::move(calendar));
+  }
 
  private:
   void on_request(net::Request&& request);
@@ -53,7 +55,7 @@
   state::Store store_;
   StateReplica replica_;
   SubmissionService submission_service_;
-  std::unique_ptr<recovery::Reconciler> reconciler_;  // null unless switched on
+  std::unique_ptr<reconciliation::Reconciler> reconciler_;  // null unless switched on
   DecisionService decision_service_;
   std::unique_ptr<MarketService> market_service_;  // null without markets
   net::HttpClient cloud_;
--- a/include/oxbowmill/service/agreements.h
+++ b/include/oxbowmill/service/decision_service.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "oxbowmill/config/config.h"
-#include "oxbowmill/models/keeper.h"
-#include "oxbowmill/release/planner.h"
+#include "oxbowmill/release_calendar/release_coordinator.h"
+#include "oxbowmill/serving/model_autoscaler.h"
 #include "oxbowmill/state/store.h"
 
 namespace oxbowmill::service {
@@ -18,14 +18,14 @@
   /// Before the scheduler's pass, so that decisions made here are known to it; under full authority.
   void run_cycle(Clock clock, Effects& out);
   /// A newer calendar file.
-  void load(release::ReleaseCalendar calendar);
+  void load(release_calendar::ReleaseCalendar calendar);
 
  private:
   ClusterState& state_;
-  accord::DecisionLog decision_log_;
-  accord::CombinedConstraints constraints_;
-  release::ReleaseCoordinator planner_;
-  models::ModelAutoscaler model_autoscaler_;
+  decisions::DecisionLog decision_log_;
+  decisions::CombinedConstraints constraints_;
+  release_calendar::ReleaseCoordinator planner_;
+  serving::ModelAutoscaler model_autoscaler_;
 };
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/trading.h
+++ b/include/oxbowmill/service/market_service.h
@@ -3,8 +3,8 @@
 
 #include <memory>
 
-#include "oxbowmill/core/fleet.h"
-#include "oxbowmill/market/desk.h"
+#include "oxbowmill/autoscaling/autoscaler.h"
+#include "oxbowmill/market/bidding_service.h"
 #include "oxbowmill/net/http.h"
 
 namespace oxbowmill::service {
--- a/include/oxbowmill/service/view.h
+++ b/include/oxbowmill/service/replica_freshness.h
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-#include "oxbowmill/core/types.h"
+#include "oxbowmill/cluster/types.h"
 
 namespace oxbowmill::service {
 
--- a/include/oxbowmill/service/mirror.h
+++ b/include/oxbowmill/service/state_replica.h
@@ -5,8 +5,8 @@
 #include <set>
 #include <unordered_map>
 
-#include "oxbowmill/core/claims.h"
-#include "oxbowmill/service/view.h"
+#include "oxbowmill/lease/controller_lease.h"
+#include "oxbowmill/service/replica_freshness.h"
 #include "oxbowmill/state/store.h"
 
 namespace oxbowmill::service {
--- a/include/oxbowmill/service/enquiry.h
+++ b/include/oxbowmill/service/status_query.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "oxbowmill/core/types.h"
+#include "oxbowmill/cluster/types.h"
 
 namespace oxbowmill::service {
 
--- a/include/oxbowmill/service/intake.h
+++ b/include/oxbowmill/service/submission_service.h
@@ -4,8 +4,8 @@
 #include <unordered_map>
 
 #include "oxbowmill/service/admission.h"
-#include "oxbowmill/service/enquiry.h"
-#include "oxbowmill/service/mirror.h"
+#include "oxbowmill/service/state_replica.h"
+#include "oxbowmill/service/status_query.h"
 
 namespace oxbowmill::service {
 
--- a/include/oxbowmill/models/keeper.h
+++ b/include/oxbowmill/serving/model_autoscaler.h
@@ -1,13 +1,13 @@
 // Models that scale to zero and come back. The controllers agree on each round from cold to cold by one
 // durable decision with an epoch, so that calls which come at many of them at once lead to one cold start.
-// Pure: tables and the time in, changes of records out; placing asks through core's `Counsel`.
-// docs/models.md.
+// Pure: tables and the time in, changes of records out; placing asks through core's `PlacementConstraints`.
+// docs/model-serving.md.
 #pragma once
 
-#include "oxbowmill/accord/accord.h"
-#include "oxbowmill/models/terms.h"
+#include "oxbowmill/decisions/decision_log.h"
+#include "oxbowmill/serving/model_spec.h"
 
-namespace oxbowmill::models {
+namespace oxbowmill::serving {
 
 // States of a model's decision. An epoch is one round from `warming` to `cold`.
 inline const std::string cold = "cold";        // no replica
@@ -15,7 +15,7 @@
 inline const std::string ready = "serving";    // one was reported running; calls may be placed
 inline const std::string cooling = "cooling";  // idle: replicas are being stopped
 
-const accord::DecisionKind& decision_kind();
+const decisions::DecisionKind& decision_kind();
 
 /// max(median of the cold starts seen x factor, floor), in the spirit of the detector's baseline.
 double idle_timeout(const std::vector<double>& cold_starts, const ModelSpec& terms);
@@ -24,7 +24,7 @@
 
 class ModelAutoscaler : public PlacementConstraints {
  public:
-  ModelAutoscaler(ClusterState& model, accord::DecisionLog& decision_log, const Scheduler& scheduler,
+  ModelAutoscaler(ClusterState& model, decisions::DecisionLog& decision_log, const Scheduler& scheduler,
                   Settings settings);
 
   /// Under full authority. The owner of the part of a model's standing job decides.
@@ -67,11 +67,11 @@
   void set_reason(ModelState& model_state, const std::string& why);
 
   ClusterState& state_;
-  accord::DecisionLog& decision_log_;
+  decisions::DecisionLog& decision_log_;
   const Scheduler& scheduler_;
   std::vector<ModelState> models_;
   std::map<JobIndex, CallAttempts> call_attempts_;
   Seconds next_cycle_at_ = 0;
 };
 
-}  // namespace oxbowmill::models
+}  // namespace oxbowmill::serving
--- a/include/oxbowmill/models/terms.h
+++ b/include/oxbowmill/serving/model_spec.h
@@ -1,10 +1,11 @@
-// What operators say of a model: whose replicas these are, and which jobs are its calls. docs/models.md.
+// What operators say of a model: whose replicas these are, and which jobs are its calls.
+// docs/model-serving.md.
 #pragma once
 
 #include <string>
 #include <vector>
 
-namespace oxbowmill::models {
+namespace oxbowmill::serving {
 
 struct ModelSpec {
   std::string name;
@@ -22,4 +23,4 @@
   bool empty() const { return models.empty(); }
 };
 
-}  // namespace oxbowmill::models
+}  // namespace oxbowmill::serving
--- a/include/oxbowmill/lab/worker.h
+++ b/include/oxbowmill/simulation/agent.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "oxbowmill/core/scheduler.h"
+#include "oxbowmill/scheduling/scheduler.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// Sees every start and end on all workers and remembers tasks that were on two machines at once.
 struct RunLog {
@@ -60,4 +60,4 @@
   double sent_at_ = 0, renewed_at_ = -1;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/hollow_fleet.h
+++ b/include/oxbowmill/simulation/agent_simulator.h
@@ -7,14 +7,14 @@
 #include <random>
 #include <set>
 
-#include "oxbowmill/core/token_bucket.h"
-#include "oxbowmill/lab/scale_event.h"
-#include "oxbowmill/lab/scale_settings.h"
-#include "oxbowmill/lab/worker.h"
+#include "oxbowmill/cluster/token_bucket.h"
 #include "oxbowmill/net/http.h"
+#include "oxbowmill/simulation/agent.h"
+#include "oxbowmill/simulation/scale_event.h"
+#include "oxbowmill/simulation/scale_settings.h"
 #include "oxbowmill/wire/codec.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// Where the processes of a scale run listen.
 struct ScaleAddresses {
@@ -112,4 +112,4 @@
   std::unique_ptr<net::HttpServer> cloud_;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/worker_wire.h
+++ b/include/oxbowmill/simulation/agent_wire.h
@@ -4,14 +4,14 @@
 
 #include <optional>
 
-#include "oxbowmill/core/scheduler.h"
+#include "oxbowmill/scheduling/scheduler.h"
 #include "oxbowmill/wire/codec.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 wire::Json write_report(const WorkerReport& report);
 /// None where a field is missing or of another kind.
 std::optional<ReportAnswer> read_answer(const wire::Json& body);
 std::optional<DirectCommands> read_command(const wire::Json& body);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/fleet_experiment.h
+++ b/include/oxbowmill/simulation/cluster_experiment.h
@@ -1,9 +1,9 @@
 // Many seeds of a cluster's scenario, each way on the same ones, and what came of it.
 #pragma once
 
-#include "oxbowmill/lab/fleet_world.h"
+#include "oxbowmill/simulation/cluster_simulation.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 struct ClusterRow {
   SimulationVariant variant = SimulationVariant::without_faults;
@@ -35,4 +35,4 @@
 std::string csv(const std::string& scenario, const std::vector<ClusterRow>& rows);
 wire::Json json(const std::string& scenario, const std::vector<ClusterSummary>& s);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/fleet_world.h
+++ b/include/oxbowmill/simulation/cluster_simulation.h
@@ -6,10 +6,10 @@
 #include <memory>
 #include <random>
 
-#include "oxbowmill/core/token_bucket.h"
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/cluster/token_bucket.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// How a cluster is played.
 enum class SimulationVariant : std::uint8_t {
@@ -25,20 +25,21 @@
 const char* name_of(SimulationVariant variant);
 
 enum class FaultKind : std::uint8_t {
-  all_controllers_down,  // every controller ends; back after `for_s`, each `stagger_s` after the one before
+  all_controllers_down,  // every controller ends; back after `duration_s`, each `stagger_s` after the one
+                         // before
   owner_down,            // the owner of the most machines ends
   owner_without_state,   // the owner of the most machines alone lacks the state service
   state_outage,
   state_slow,  // the state service takes `share` of its changes a second
   cloud_outage,
   machines_die,
-  machines_hang,         // silent and at a standstill for `for_s`
+  machines_hang,         // silent and at a standstill for `duration_s`
   zone_workers_cut_off,  // one zone's workers reach nobody
   owner_frozen,          // the owner of the most machines stands still
   all_tasks_finish,      // what runs ends at this moment
   jobs_cancelled,        // users cancel `share` of the running jobs
   gang_member_dies,      // the first machine of `count` gangs dies
-  delayed_reports,       // reports of `count` machines are held back here and delivered after `for_s`
+  delayed_reports,       // reports of `count` machines are held back here and delivered after `duration_s`
   duplicate_reports,     // of `share` of the reports a copy comes again, from 2 s to well over a lease later
   delayed_writes,        // `share` of the transactions get no answer and are carried out 2 to 12 s later
   delayed_responses,     // `share` of answers and commands to workers take up to `stagger_s`, or 6 s
@@ -53,7 +54,7 @@
   machines_send_nothing,             // they reach no controller, direct commands reach them
   zone_isolated,                     // a zone's workers and controllers reach each other, and nobody else
   jobs_cancelled_and_machines_hang,  // users cancel `share` of the running jobs, and `count` of their
-                                     // machines hang for `for_s`
+                                     // machines hang for `duration_s`
   jobs_cancelled_at_end,             // `share` of the jobs that end is called off at the moment of the end
   repeated_queries,  // users ask at all nodes, and repeat, right after a job was accepted, ended or called
                      // off
@@ -85,7 +86,7 @@
   double gang_run_s = 150, array_run_s = 70;               // medians of run times
   double guaranteed_gpus = 1200, max_gpus = 3500;
   double small_array_fraction =
-      0;  // share of the arrays that have one to `few_tasks` tasks, which end far apart
+      0;  // share of the arrays that have one to `small_array_max_tasks` tasks, which end far apart
   std::uint32_t small_array_max_tasks = 3;
   double zone_bound_fraction =
       0;  // share of the arrays that are bound to one zone, to a named one, or have to be in two
@@ -138,4 +139,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/agreed_world.h
+++ b/include/oxbowmill/simulation/decision_simulation.h
@@ -1,9 +1,9 @@
 // Releases and models played on a simulated clock, with controllers that end, beside simpler ways.
 #pragma once
 
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 struct DecisionScenario {
   std::string name;
@@ -16,7 +16,7 @@
   double call_s = 20, weights_fetch_s = 40;  // a call's run; a replica's fetch of the weights
   double render_s = 60, publish_s = 10;      // medians, a factor of two both ways
   double manual_check_interval_s = 900;      // how often somebody looks, where pairs are held by hand
-  models::ModelSpec terms;
+  serving::ModelSpec terms;
 };
 DecisionScenario load_decision_scenario(const std::string& file);
 
@@ -37,4 +37,4 @@
 std::vector<DecisionRow> play_decisions(const DecisionScenario& scenario, unsigned seeds, unsigned threads);
 std::string table(const DecisionScenario& scenario, const std::vector<DecisionRow>& rows);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/rules.h
+++ b/include/oxbowmill/simulation/invariant_checker.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// What a user hears about a job.
 enum class JobAnswer { open, done, cancelled, not_found, rejected, no_answer };
@@ -35,7 +35,7 @@
     MachinePlacement place;
     double gpus = 0;
   };
-  /// `most_gpus`: by team, 0: no limit; seconds.
+  /// `max_gpus`: by team, 0: no limit; seconds.
   InvariantChecker(double cancel_s, std::vector<double> most_gpus)
       : cancel_s_(cancel_s), max_gpus_(std::move(most_gpus)) {}
 
@@ -100,4 +100,4 @@
   bool any_task_ran_ = false;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/experiment.h
+++ b/include/oxbowmill/simulation/market_experiment.h
@@ -1,9 +1,9 @@
 // Many seeds of a scenario, each policy on the same ones, and what came of it.
 #pragma once
 
-#include "oxbowmill/lab/market_world.h"
+#include "oxbowmill/simulation/market_simulation.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 struct MarketRow {
   Policy policy = Policy::planner;
@@ -29,4 +29,4 @@
 std::string csv(const std::string& scenario, const std::vector<MarketRow>& rows);
 wire::Json json(const std::string& scenario, const std::vector<MarketSummary>& s);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/market_server.h
+++ b/include/oxbowmill/simulation/market_server.h
@@ -1,10 +1,10 @@
 // A stand-in market on a socket.
 #pragma once
 
-#include "oxbowmill/lab/market.h"
 #include "oxbowmill/net/http.h"
+#include "oxbowmill/simulation/simulated_market.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 class MarketServer {
  public:
@@ -23,4 +23,4 @@
   net::HttpServer server_;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/market_world.h
+++ b/include/oxbowmill/simulation/market_simulation.h
@@ -4,10 +4,10 @@
 
 #include <memory>
 
-#include "oxbowmill/lab/market.h"
-#include "oxbowmill/market/desk.h"
+#include "oxbowmill/market/bidding_service.h"
+#include "oxbowmill/simulation/simulated_market.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 enum class Policy : std::uint8_t { planner, cheapest, single_market, even_split, oracle };
 constexpr Policy policies[] = {Policy::planner, Policy::cheapest, Policy::single_market, Policy::even_split,
@@ -146,4 +146,4 @@
                       const std::vector<market::Demand>& demands, std::vector<market::Offer> offers,
                       const market::Ledger& ledger, double reference, const market::Settings& settings);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/crew.h
+++ b/include/oxbowmill/simulation/parallel.h
@@ -7,7 +7,7 @@
 #include <thread>
 #include <vector>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// Calls `run` with 0 to n-1, on several threads.
 inline void run_in_parallel(std::size_t n, unsigned threads, const std::function<void(std::size_t)>& run) {
@@ -28,4 +28,4 @@
   return (values[(values.size() - 1) / 2] + values[values.size() / 2]) / 2;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/histories.h
+++ b/include/oxbowmill/simulation/random_histories.h
@@ -1,9 +1,9 @@
 // Random troubles for a small cluster: several at once, by seed.
 #pragma once
 
-#include "oxbowmill/lab/fleet_world.h"
+#include "oxbowmill/simulation/cluster_simulation.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// Three controllers and two dozen machines, without troubles: jobs of few tasks beside gangs, users who
 /// withdraw.
@@ -19,4 +19,4 @@
 /// The faults as a scenario file tells them, a line each.
 std::string to_script(const ClusterScenario& scenario);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/scale_judge.h
+++ b/include/oxbowmill/simulation/scale_evaluator.h
@@ -3,10 +3,10 @@
 
 #include <map>
 
-#include "oxbowmill/lab/scale_event.h"
-#include "oxbowmill/lab/scale_settings.h"
+#include "oxbowmill/simulation/scale_event.h"
+#include "oxbowmill/simulation/scale_settings.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// Sorted once asked; seconds or milliseconds, as its owner says.
 class Distribution {
@@ -73,4 +73,4 @@
   std::size_t running_ = 0, max_running_ = 0;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/scale_event.h
+++ b/include/oxbowmill/simulation/scale_event.h
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string>
 
-#include "oxbowmill/lab/rules.h"
+#include "oxbowmill/simulation/invariant_checker.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 enum class ScaleEventKind : std::uint8_t {
   task_starts,  // on `machine`, from its start order on
@@ -51,4 +51,4 @@
   std::string buffer_;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/scale_run.h
+++ b/include/oxbowmill/simulation/scale_run.h
@@ -5,9 +5,9 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "oxbowmill/lab/scale_settings.h"
+#include "oxbowmill/simulation/scale_settings.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 struct ScaleOptions {
   std::string program;                 // the controller
@@ -26,4 +26,4 @@
 ScaleReport play_scale(const ScaleSettings& settings, const ScaleOptions& options);
 std::string table(const ScaleReport& report);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/scale_settings.h
+++ b/include/oxbowmill/simulation/scale_settings.h
@@ -6,18 +6,18 @@
 #include <string>
 #include <vector>
 
-#include "oxbowmill/core/types.h"
+#include "oxbowmill/cluster/types.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 enum class ScaleFaultKind : std::uint8_t {
-  controller_killed,   // `count` controllers get SIGKILL and start again after `for_s`
+  controller_killed,   // `count` controllers get SIGKILL and start again after `duration_s`
   controllers_killed,  // all of them at the same moment
-  controller_stopped,  // SIGSTOP, SIGCONT after `for_s`
+  controller_stopped,  // SIGSTOP, SIGCONT after `duration_s`
   state_outage,        // the state service answers 503 to everybody
   workers_gone,        // `count` machines are gone for good, as a rack is
   workers_replaced,    // `count` machines are gone, and as many new ones come up
-  workers_cut,         // `count` machines reach nobody for `for_s`
+  workers_cut,         // `count` machines reach nobody for `duration_s`
 };
 const char* name_of(ScaleFaultKind kind);
 
@@ -72,4 +72,4 @@
 ScaleJob scale_job(const ScaleSettings& settings, const std::string& ref);
 double scale_run_time_s(const ScaleSettings& settings, const std::string& ref, TaskNumber task);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/scale_users.h
+++ b/include/oxbowmill/simulation/scale_users.h
@@ -4,9 +4,9 @@
 #include <memory>
 #include <random>
 
-#include "oxbowmill/lab/hollow_fleet.h"
+#include "oxbowmill/simulation/agent_simulator.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 class ScaleUsers {
  public:
@@ -48,4 +48,4 @@
   net::Timer timer_;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/cluster.h
+++ b/include/oxbowmill/simulation/simulated_cluster.h
@@ -4,17 +4,17 @@
 #include <deque>
 #include <memory>
 
-#include "oxbowmill/core/fleet.h"
-#include "oxbowmill/lab/market.h"
-#include "oxbowmill/lab/state.h"
-#include "oxbowmill/lab/worker.h"
-#include "oxbowmill/market/desk.h"
-#include "oxbowmill/models/keeper.h"
-#include "oxbowmill/recovery/start.h"
-#include "oxbowmill/release/planner.h"
-#include "oxbowmill/service/outbox.h"
+#include "oxbowmill/autoscaling/autoscaler.h"
+#include "oxbowmill/market/bidding_service.h"
+#include "oxbowmill/reconciliation/reconciler.h"
+#include "oxbowmill/release_calendar/release_coordinator.h"
+#include "oxbowmill/service/write_queue.h"
+#include "oxbowmill/serving/model_autoscaler.h"
+#include "oxbowmill/simulation/agent.h"
+#include "oxbowmill/simulation/simulated_market.h"
+#include "oxbowmill/simulation/state_store.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// What becomes of a controller's next transactions.
 enum class WriteOutcome { answered, answer_lost, not_arrived };
@@ -52,9 +52,9 @@
   void on_write_result(const Write& write, TransactionOutcome outcome, Revision revision, double now);
   ReportAnswer handle_report(const WorkerReport& report, double now);
   /// Starts are squared from now on, as `deploy/recovery.yaml` switches it on.
-  void enable_reconciliation(const recovery::Settings& settings);
+  void enable_reconciliation(const reconciliation::Settings& settings);
   /// Keeps to this calendar, and to these models, from now on.
-  void enable_decisions(release::ReleaseCalendar calendar, models::Settings models = {});
+  void enable_decisions(release_calendar::ReleaseCalendar calendar, serving::Settings models = {});
   /// Trades with these markets from now on; their names are known to the model.
   void enable_markets(const market::Settings& settings, std::vector<SimulatedMarket>& markets);
 
@@ -70,17 +70,17 @@
   std::vector<MachineIndex> machines_to_delete;
   int refused_writes = 0;
   std::unique_ptr<market::BiddingService> bidding_service;
-  std::unique_ptr<recovery::Reconciler> reconciler;
-  std::unique_ptr<accord::DecisionLog> decision_log;
-  std::unique_ptr<release::ReleaseCoordinator> release_planner;
-  std::unique_ptr<models::ModelAutoscaler> model_autoscaler;
+  std::unique_ptr<reconciliation::Reconciler> reconciler;
+  std::unique_ptr<decisions::DecisionLog> decision_log;
+  std::unique_ptr<release_calendar::ReleaseCoordinator> release_planner;
+  std::unique_ptr<serving::ModelAutoscaler> model_autoscaler;
 
  private:
   StateStore& store_;
   std::size_t events_applied_ = 0;
   double watch_opened_at_ = 0;
   service::WriteQueue write_queue_;
-  accord::CombinedConstraints combined_constraints_;
+  decisions::CombinedConstraints combined_constraints_;
   std::vector<SimulatedMarket>* markets_ = nullptr;
 };
 
@@ -94,7 +94,7 @@
   /// A machine that reports though nobody has a record of it.
   void add_unregistered_machine(const std::string& name, const std::string& zone = "a");
   /// All controllers trade with this market; machines that it delivers report.
-  void add_market(const lab::MarketBehavior& c);
+  void add_market(const simulation::MarketBehavior& c);
   std::vector<SimulatedMarket> markets;
   market::Settings market_settings;
   Worker& worker(const std::string& name) { return *workers_.at(name); }
@@ -126,4 +126,4 @@
 
 JobSpec test_job(const std::string& ref, std::uint32_t tasks, double gpus = 1);
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/market.h
+++ b/include/oxbowmill/simulation/simulated_market.h
@@ -11,7 +11,7 @@
 
 #include "oxbowmill/wire/market_codec.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 /// How a market behaves; chances are per bid or per answer.
 struct MarketBehavior {
@@ -97,4 +97,4 @@
   std::uint64_t last_host_number_ = 0, last_quote_number_ = 0;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/state_server.h
+++ b/include/oxbowmill/simulation/state_server.h
@@ -4,11 +4,11 @@
 
 #include <deque>
 
-#include "oxbowmill/core/token_bucket.h"
-#include "oxbowmill/lab/state.h"
+#include "oxbowmill/cluster/token_bucket.h"
 #include "oxbowmill/net/http.h"
+#include "oxbowmill/simulation/state_store.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 struct StateLimits {
   double rps = 500, write_rps = 200, value_kb = 4;
@@ -60,4 +60,4 @@
   net::HttpServer server_;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/lab/state.h
+++ b/include/oxbowmill/simulation/state_store.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 using Json = nlohmann::json;
 
@@ -55,4 +55,4 @@
   bool outage_ = false;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/include/oxbowmill/state/keys.h
+++ b/include/oxbowmill/state/keys.h
@@ -8,13 +8,13 @@
 //   a job whose other keys are gone
 //   o/b/<bid>           a bid on a market: what it may cost at worst, and for which parts
 //   o/l/ledger          what has been paid in this window, by part
-//   o/d/<kind>/<name>   a durable decision (docs/accord.md)
+//   o/d/<kind>/<name>   a durable decision (docs/decisions.md)
 //   o/q/<market>        what a market is known for
 #pragma once
 
 #include <optional>
 
-#include "oxbowmill/core/records.h"
+#include "oxbowmill/cluster/records.h"
 #include "oxbowmill/wire/codec.h"
 
 namespace oxbowmill::state {
--- a/include/oxbowmill/state/store.h
+++ b/include/oxbowmill/state/store.h
@@ -4,7 +4,7 @@
 
 #include <deque>
 
-#include "oxbowmill/core/token_bucket.h"
+#include "oxbowmill/cluster/token_bucket.h"
 #include "oxbowmill/net/http.h"
 #include "oxbowmill/state/keys.h"
 
--- a/include/oxbowmill/wire/codec.h
+++ b/include/oxbowmill/wire/codec.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "oxbowmill/core/fleet.h"
+#include "oxbowmill/autoscaling/autoscaler.h"
 
 namespace oxbowmill::wire {
 
--- a/src/core/fleet.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/fleet.h"
+#include "oxbowmill/autoscaling/autoscaler.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/core/demand.cpp
+++ b/src/autoscaling/demand.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "oxbowmill/core/fleet.h"
+#include "oxbowmill/autoscaling/autoscaler.h"
 
 namespace oxbowmill {
 
--- a/src/progress/saved.cpp
+++ b/src/checkpoint/saved_progress.cpp
@@ -1,9 +1,9 @@
-#include "oxbowmill/progress/saved.h"
+#include "oxbowmill/checkpoint/saved_progress.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace oxbowmill::progress {
+namespace oxbowmill::checkpoint {
 
 namespace {
 
@@ -60,4 +60,4 @@
   return out;
 }
 
-}  // namespace oxbowmill::progress
+}  // namespace oxbowmill::checkpoint
--- a/src/client/attempts.cpp
+++ b/src/client/request_retrier.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/client/attempts.h"
+#include "oxbowmill/client/request_retrier.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/model.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -1,10 +1,10 @@
-#include "oxbowmill/core/model.h"
+#include "oxbowmill/cluster/cluster_state.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "oxbowmill/core/promise.h"
+#include "oxbowmill/cluster/start_deadline.h"
 
 namespace oxbowmill {
 
@@ -182,29 +182,30 @@
   // without a save, whatever another says it stored is of no use (PROTOCOL, "Gangs").
   if (gang && current_job.checkpoint_attempt == placement.attempt) return;
   current_job.checkpoint_attempt = placement.attempt;
-  progress::RunTimeBounds run_time{placement.observed_run_s, now - placement.started_at};
+  checkpoint::RunTimeBounds run_time{placement.observed_run_s, now - placement.started_at};
   // Members run on, as far as reports tell, for a while after one is lost.
   if (gang && !placement.checkpoint_saved)
     run_time.min_s =
         std::max(0.0, run_time.min_s - settings.gang_peer_timeout_s - settings.report_interval_s);
-  progress::SavedProgress before = current_job.checkpoint_of(placement.task);
-  auto after =
-      placement.checkpoint_saved
-          ? progress::after_store(before, run_time, current_job.spec.checkpoint_interval_s, settings.progress)
-          : progress::after_loss(before, run_time, current_job.spec.checkpoint_interval_s, settings.progress);
-  current_job.checkpoints[gang ? 0 : placement.task] = progress::merged(before, after);
+  checkpoint::SavedProgress before = current_job.checkpoint_of(placement.task);
+  auto after = placement.checkpoint_saved
+                   ? checkpoint::after_store(before, run_time, current_job.spec.checkpoint_interval_s,
+                                             settings.progress)
+                   : checkpoint::after_loss(before, run_time, current_job.spec.checkpoint_interval_s,
+                                            settings.progress);
+  current_job.checkpoints[gang ? 0 : placement.task] = checkpoint::merged(before, after);
 }
 
 Seconds Job::remaining_s() const {
   if (checkpoints.empty() || spec.tasks == 0) return spec.estimate_s;
-  if (spec.shape == JobShape::gang) return progress::remaining_run_time(spec.estimate_s, checkpoint_of(0));
+  if (spec.shape == JobShape::gang) return checkpoint::remaining_run_time(spec.estimate_s, checkpoint_of(0));
   double sum = 0;
   std::uint32_t n = 0;
   for (const auto& [t, s] : checkpoints) {
     if (placements.count(t) != 0 || t / 64 >= done_or_placed.size() ||
         (done_or_placed[t / 64] >> (t % 64) & 1) != 0)
       continue;
-    sum += progress::remaining_run_time(spec.estimate_s, s);
+    sum += checkpoint::remaining_run_time(spec.estimate_s, s);
     ++n;
   }
   std::uint32_t waiting = std::max(pending_count(), n);
@@ -455,7 +456,7 @@
                               static_cast<std::uint32_t>(__builtin_popcountll(chunk.done));
     chunk = {revision, record.done, record.restarted, record.finishes};
     for (const auto& [t, s] : record.checkpoints)
-      current_job.checkpoints[t] = progress::merged(current_job.checkpoints[t], s);
+      current_job.checkpoints[t] = checkpoint::merged(current_job.checkpoints[t], s);
     if (key.chunk < current_job.done_or_placed.size()) {
       current_job.done_or_placed[key.chunk] = busy;
       current_job.scan_from = std::min(current_job.scan_from, key.chunk);
@@ -580,10 +581,10 @@
     dirty_jobs.insert(job_index);
     if (settings.progress.enabled) {
       Job& current_job = job(job_index);
-      std::vector<progress::FinishedTask> finishes;
+      std::vector<checkpoint::FinishedTask> finishes;
       for (const auto& [c, chunk] : current_job.chunks)
         finishes.insert(finishes.end(), chunk.finishes.begin(), chunk.finishes.end());
-      current_job.finished_run_times = progress::run_times_by_finish(std::move(finishes));
+      current_job.finished_run_times = checkpoint::run_times_by_finish(std::move(finishes));
       current_job.slow_baseline_s = -1;
       current_job.unrecorded_finishes.clear();
       // What has saved progress has begun; of a gang all of it.
--- a/src/core/promise.cpp
+++ b/src/cluster/start_deadline.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/promise.h"
+#include "oxbowmill/cluster/start_deadline.h"
 
 namespace oxbowmill {
 
--- a/src/core/types.cpp
+++ b/src/cluster/types.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/types.h"
+#include "oxbowmill/cluster/types.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -199,7 +199,7 @@
   map.reject_unknown_keys();
 }
 
-void read_recovery(yaml::Map map, recovery::Settings& settings) {
+void read_recovery(yaml::Map map, reconciliation::Settings& settings) {
   settings.enabled = true;
   map.number("heard_share", settings.reported_fraction, 0.1, 1);
   map.number("enough_share", settings.sufficient_fraction, 0.1, 1);
@@ -224,9 +224,9 @@
   map.fail(key, "not a time of day");
 }
 
-release::ScheduledTime read_appointed(yaml::Map map) {
+release_calendar::ScheduledTime read_appointed(yaml::Map map) {
   static const std::vector<std::string> days = {"sun", "mon", "tue", "wed", "thu", "fri", "sat"};
-  release::ScheduledTime schedule;
+  release_calendar::ScheduledTime schedule;
   schedule.zone = map.text("zone");
   schedule.second_of_day = read_time_of_day(map, "at");
   std::vector<std::string> weekly, holidays;
@@ -239,7 +239,7 @@
   schedule.excluded_dates.insert(holidays.begin(), holidays.end());
   map.number("window_s", schedule.window_s, 0, 7 * 86400);
   map.reject_unknown_keys();
-  if (std::string fault = release::validation_error(schedule); !fault.empty()) {
+  if (std::string fault = release_calendar::validation_error(schedule); !fault.empty()) {
     std::size_t colon = fault.find(": ");
     if (colon == std::string::npos) map.fail("weekly", fault);
     map.fail(fault.substr(0, colon), fault.substr(colon + 2));
@@ -247,9 +247,9 @@
   return schedule;
 }
 
-release::JobMatcher read_matcher(const yaml::Map& parent, const std::string& key,
-                                 const YAML::Node& yaml_node) {
-  release::JobMatcher matcher;
+release_calendar::JobMatcher read_matcher(const yaml::Map& parent, const std::string& key,
+                                          const YAML::Node& yaml_node) {
+  release_calendar::JobMatcher matcher;
   if (yaml_node.IsScalar()) {
     matcher.ref = yaml_node.as<std::string>();
     return matcher;
@@ -262,8 +262,8 @@
   return matcher;
 }
 
-release::ReleaseCalendar read_calendar(yaml::Map map) {
-  release::ReleaseCalendar calendar;
+release_calendar::ReleaseCalendar read_calendar(yaml::Map map) {
+  release_calendar::ReleaseCalendar calendar;
   map.get("version", calendar.version);
   if (calendar.version == 0)
     map.fail("version", "missing: controllers whose files differ agree on the newer one");
@@ -271,7 +271,7 @@
   if (list && !list->IsSequence()) map.fail("releases", "not a list");
   for (std::size_t i = 0; list && i < list->size(); ++i) {
     yaml::Map root = map.child("releases[" + std::to_string(i) + "]", (*list)[i]);
-    release::ReleaseSpec terms;
+    release_calendar::ReleaseSpec terms;
     terms.name = root.text("name");
     terms.revision = root.text("revision");
     auto editions = root.take("editions");
@@ -279,7 +279,7 @@
     yaml::Map all = root.child("editions", *editions);
     for (const std::string& name : all.keys()) {
       yaml::Map entry = all.child(name, *all.take(name));
-      release::Edition edition;
+      release_calendar::Edition edition;
       edition.name = name;
       auto renders = entry.take("render");
       if (!renders || !renders->IsSequence()) entry.fail("render", "missing or not a list");
@@ -295,12 +295,13 @@
     all.reject_unknown_keys();
     if (auto when = root.take("when")) terms.publish_time = read_appointed(root.child("when", *when));
     root.reject_unknown_keys();
-    if (std::string fault = release::validation_error(terms); !fault.empty()) {
+    if (std::string fault = release_calendar::validation_error(terms); !fault.empty()) {
       std::size_t colon = fault.find(": ");
       root.fail(fault.substr(0, colon), fault.substr(colon + 2));
     }
-    bool twice = std::any_of(calendar.releases.begin(), calendar.releases.end(),
-                             [&terms](const release::ReleaseSpec& o) { return o.name == terms.name; });
+    bool twice =
+        std::any_of(calendar.releases.begin(), calendar.releases.end(),
+                    [&terms](const release_calendar::ReleaseSpec& o) { return o.name == terms.name; });
     if (twice) root.fail("name", "named twice");
     calendar.releases.push_back(std::move(terms));
   }
@@ -308,15 +309,15 @@
   return calendar;
 }
 
-void read_models(yaml::Map map, models::Settings& settings) {
+void read_models(yaml::Map map, serving::Settings& settings) {
   auto list = map.take("list");
   if (!list || !list->IsSequence() || list->size() == 0) map.fail("list", "missing or not a list of models");
   for (std::size_t i = 0; i < list->size(); ++i) {
     yaml::Map entry = map.child("list[" + std::to_string(i) + "]", (*list)[i]);
-    models::ModelSpec terms;
+    serving::ModelSpec terms;
     terms.name = entry.text("name");
     if (!wire::valid_id(terms.name)) entry.fail("name", "not usable as a model's name");
-    for (const models::ModelSpec& other : settings.models) {
+    for (const serving::ModelSpec& other : settings.models) {
       if (other.name == terms.name) entry.fail("name", "named twice");
     }
     entry.get("class", terms.job_class).get("image", terms.image).get("calls", terms.call_classes);
@@ -337,8 +338,8 @@
 
 }  // namespace
 
-release::ReleaseCalendar load_calendar(const std::vector<std::string>& files) {
-  release::ReleaseCalendar calendar;
+release_calendar::ReleaseCalendar load_calendar(const std::vector<std::string>& files) {
+  release_calendar::ReleaseCalendar calendar;
   for (const std::string& file : files) {
     YAML::Node root = yaml::load(file);
     if (!root.IsMap() || !root["calendar"]) continue;
@@ -442,8 +443,8 @@
   }
   config.clock_skew_s = settings_table.number_or("skew_ms", 0, 1000) / 1000;
   // Beside the terms stand jobs and notes: half of a value is theirs.
-  for (const release::ReleaseSpec& r : config.calendar.releases) {
-    if (static_cast<double>(release::to_text(r).size()) > settings.max_value_kb * 1024 / 2)
+  for (const release_calendar::ReleaseSpec& r : config.calendar.releases) {
+    if (static_cast<double>(release_calendar::to_text(r).size()) > settings.max_value_kb * 1024 / 2)
       throw Error("calendar: release " + r.name + ": too long for a record of the state service");
   }
   // The hold is shortened where a cancellation could otherwise not be kept; see docs/design.md, "Time".
--- a/src/accord/accord.cpp
+++ b/src/decisions/decision_log.cpp
@@ -1,10 +1,10 @@
-#include "oxbowmill/accord/accord.h"
+#include "oxbowmill/decisions/decision_log.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace oxbowmill::accord {
+namespace oxbowmill::decisions {
 
 bool DecisionKind::allows(const std::string& from, const std::string& replacement) const {
   return std::any_of(transitions.begin(), transitions.end(),
@@ -80,4 +80,4 @@
   return clock.now + offsets_.front().offset_s - skew_s_;
 }
 
-}  // namespace oxbowmill::accord
+}  // namespace oxbowmill::decisions
--- a/src/core/claims.cpp
+++ b/src/lease/controller_lease.cpp
@@ -1,9 +1,9 @@
-#include "oxbowmill/core/claims.h"
+#include "oxbowmill/lease/controller_lease.h"
 
 #include <algorithm>
 #include <tuple>
 
-#include "oxbowmill/core/model.h"
+#include "oxbowmill/cluster/cluster_state.h"
 
 namespace oxbowmill {
 
--- a/src/market/desk.cpp
+++ b/src/market/bidding_service.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/market/desk.h"
+#include "oxbowmill/market/bidding_service.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/market/venue.cpp
+++ b/src/market/market_client.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/market/venue.h"
+#include "oxbowmill/market/market_client.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/market/trust.cpp
+++ b/src/market/reputation.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/market/trust.h"
+#include "oxbowmill/market/reputation.h"
 
 #include <algorithm>
 #include <boost/math/distributions/beta.hpp>
@@ -136,7 +136,7 @@
 }
 
 Reputation Reputation::combined_with(const Reputation& whole) const {
-  // The kind's own machines count fully; of the rest of the market as much as `whole_weight` machines say.
+  // The kind's own machines count fully; of the rest of the market as much as `overall_weight` machines say.
   Evidence evidence = whole.evidence_;
   double all = evidence.delivered + evidence.undelivered;
   double scale = all > overall_weight ? overall_weight / all : 1;
--- a/src/recovery/words.cpp
+++ b/src/reconciliation/agent_liveness.cpp
@@ -1,10 +1,10 @@
-#include "oxbowmill/recovery/words.h"
+#include "oxbowmill/reconciliation/agent_liveness.h"
 
 #include <algorithm>
 
-#include "oxbowmill/core/placement.h"
+#include "oxbowmill/scheduling/machine_selection.h"
 
-namespace oxbowmill::recovery {
+namespace oxbowmill::reconciliation {
 
 namespace {
 constexpr double max_evidence = 50;  // suspicions that are remembered
@@ -85,4 +85,4 @@
   return s;
 }
 
-}  // namespace oxbowmill::recovery
+}  // namespace oxbowmill::reconciliation
--- a/src/recovery/difference.cpp
+++ b/src/reconciliation/difference.cpp
@@ -1,11 +1,11 @@
-#include "oxbowmill/recovery/difference.h"
+#include "oxbowmill/reconciliation/difference.h"
 
 #include <algorithm>
 #include <tuple>
 
-#include "oxbowmill/core/gangs.h"
+#include "oxbowmill/scheduling/gangs.h"
 
-namespace oxbowmill::recovery {
+namespace oxbowmill::reconciliation {
 
 const char* name_of(Difference difference) {
   static constexpr const char* names[] = {"old token",     "not reported", "not placed", "elsewhere",
@@ -98,4 +98,4 @@
   return differences;
 }
 
-}  // namespace oxbowmill::recovery
+}  // namespace oxbowmill::reconciliation
--- a/src/recovery/start.cpp
+++ b/src/reconciliation/reconciler.cpp
@@ -1,10 +1,10 @@
-#include "oxbowmill/recovery/start.h"
+#include "oxbowmill/reconciliation/reconciler.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace oxbowmill::recovery {
+namespace oxbowmill::reconciliation {
 
 namespace {
 constexpr double cycle_interval_s = 0.2;
@@ -425,4 +425,4 @@
   replacement_requested_at_.emplace(suspect, last_cycle_at_);
 }
 
-}  // namespace oxbowmill::recovery
+}  // namespace oxbowmill::reconciliation
--- a/src/release/planner.cpp
+++ b/src/release_calendar/release_coordinator.cpp
@@ -1,11 +1,11 @@
-#include "oxbowmill/release/planner.h"
+#include "oxbowmill/release_calendar/release_coordinator.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <sstream>
 
-namespace oxbowmill::release {
+namespace oxbowmill::release_calendar {
 
 namespace {
 
@@ -32,32 +32,32 @@
 
 }  // namespace
 
-const accord::DecisionKind& decision_kind() {
+const decisions::DecisionKind& decision_kind() {
   // A decision that stands is carried out whatever comes after it: an edition of it may have been published
   // already, and the other would be stale for good.
-  static const accord::DecisionKind kind = {"release",
-                                            {{"", rendering},
-                                             {rendering, rendering},
-                                             {rendering, decided},
-                                             {rendering, broken},
-                                             {rendering, withdrawn},
-                                             {broken, rendering},
-                                             {broken, withdrawn},
-                                             {decided, decided},
-                                             {decided, published},
-                                             {published, rendering},
-                                             {published, withdrawn},
-                                             {withdrawn, rendering}}};
+  static const decisions::DecisionKind kind = {"release",
+                                               {{"", rendering},
+                                                {rendering, rendering},
+                                                {rendering, decided},
+                                                {rendering, broken},
+                                                {rendering, withdrawn},
+                                                {broken, rendering},
+                                                {broken, withdrawn},
+                                                {decided, decided},
+                                                {decided, published},
+                                                {published, rendering},
+                                                {published, withdrawn},
+                                                {withdrawn, rendering}}};
   return kind;
 }
 
-const accord::DecisionKind& spec_kind() {
-  static const accord::DecisionKind kind = {
+const decisions::DecisionKind& spec_kind() {
+  static const decisions::DecisionKind kind = {
       "calendar", {{"", active}, {active, active}, {active, removed}, {removed, active}, {removed, removed}}};
   return kind;
 }
 
-ReleaseCoordinator::ReleaseCoordinator(ClusterState& model, accord::DecisionLog& decision_log,
+ReleaseCoordinator::ReleaseCoordinator(ClusterState& model, decisions::DecisionLog& decision_log,
                                        const Scheduler& scheduler, double skew_s)
     : state_(model), decision_log_(decision_log), scheduler_(scheduler), lower_bound_clock_(skew_s) {}
 
@@ -148,7 +148,7 @@
 bool ReleaseCoordinator::write_decision(const std::string& name, DecisionRecord next, Clock clock,
                                         Effects& out, bool urgent) {
   return decision_log_.change(decision_kind(), name, std::move(next), idle_pool, clock, out, urgent) ==
-         accord::ChangeResult::sent;
+         decisions::ChangeResult::sent;
 }
 
 void ReleaseCoordinator::set_reason(ReleaseState& plan, const std::string& name, const std::string& why) {
@@ -446,4 +446,4 @@
   }
 }
 
-}  // namespace oxbowmill::release
+}  // namespace oxbowmill::release_calendar
--- a/src/release/terms.cpp
+++ b/src/release_calendar/release_spec.cpp
@@ -1,8 +1,8 @@
-#include "oxbowmill/release/terms.h"
+#include "oxbowmill/release_calendar/release_spec.h"
 
 #include <nlohmann/json.hpp>
 
-namespace oxbowmill::release {
+namespace oxbowmill::release_calendar {
 
 namespace {
 
@@ -105,4 +105,4 @@
   return "";
 }
 
-}  // namespace oxbowmill::release
+}  // namespace oxbowmill::release_calendar
--- a/src/release/times.cpp
+++ b/src/release_calendar/scheduled_time.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/release/times.h"
+#include "oxbowmill/release_calendar/scheduled_time.h"
 
 #include <date/tz.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <ctime>
 
-namespace oxbowmill::release {
+namespace oxbowmill::release_calendar {
 
 namespace {
 
@@ -93,4 +93,4 @@
   return "";
 }
 
-}  // namespace oxbowmill::release
+}  // namespace oxbowmill::release_calendar
--- a/src/core/capacity_tracker.cpp
+++ b/src/scheduling/capacity_tracker.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/capacity_tracker.h"
+#include "oxbowmill/scheduling/capacity_tracker.h"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/core/free_capacity.cpp
+++ b/src/scheduling/free_capacity.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/free_capacity.h"
+#include "oxbowmill/scheduling/free_capacity.h"
 
 #include <algorithm>
 #include <queue>
--- a/src/core/gangs.cpp
+++ b/src/scheduling/gangs.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/gangs.h"
+#include "oxbowmill/scheduling/gangs.h"
 
 namespace oxbowmill {
 
--- a/src/core/reports.cpp
+++ b/src/scheduling/heartbeat_handler.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "oxbowmill/core/scheduler.h"
+#include "oxbowmill/scheduling/scheduler.h"
 
 namespace oxbowmill {
 
@@ -238,7 +238,7 @@
     current_job.error_count = 0;
     if (current_job.spec.shape == JobShape::array) {
       double took =
-          progress::execution_time(now - placement.started_at, current_job.checkpoint_of(placement.task));
+          checkpoint::execution_time(now - placement.started_at, current_job.checkpoint_of(placement.task));
       current_job.finished_run_times.push_back(took);
       if (state_.settings.progress.enabled && state_.wall_clock_offset_s != 0)
         current_job.unrecorded_finishes[placement.task] = {
@@ -313,7 +313,7 @@
   if (!machine.inherited) return after_grace;
   // The earlier owner's grace need not be waited for once every controller has begun anew: what was answered
   // to this worker on behalf of the part was answered under a hold that has ended since, and its holder
-  // answers nothing under it any more (docs/start.md, "Safety").
+  // answers nothing under it any more (docs/reconciliation.md, "Safety").
   Seconds reacquired_since = state_.all_reacquired_since();
   return reacquired_since < 0 ? after_grace
                               : std::min(after_grace, std::max(machine.in_partition_since, reacquired_since));
--- a/src/core/placement.cpp
+++ b/src/scheduling/machine_selection.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/placement.h"
+#include "oxbowmill/scheduling/machine_selection.h"
 
 #include <algorithm>
 
--- a/src/core/waiting.cpp
+++ b/src/scheduling/pending_reason.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/waiting.h"
+#include "oxbowmill/scheduling/pending_reason.h"
 
 namespace oxbowmill {
 
--- a/src/core/order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -1,11 +1,11 @@
-#include "oxbowmill/core/order.h"
+#include "oxbowmill/scheduling/queue_order.h"
 
 #include <algorithm>
 #include <numeric>
 #include <queue>
 #include <tuple>
 
-#include "oxbowmill/core/gangs.h"
+#include "oxbowmill/scheduling/gangs.h"
 
 namespace oxbowmill {
 
@@ -44,7 +44,7 @@
     }
     for (const auto& [t, p] : job.placements)
       rate += job.machine_fraction /
-              (progress::remaining_run_time(job.spec.estimate_s, job.checkpoint_of(t)) + start_margin_s);
+              (checkpoint::remaining_run_time(job.spec.estimate_s, job.checkpoint_of(t)) + start_margin_s);
   }
   return rate;
 }
--- a/src/core/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/scheduler.h"
+#include "oxbowmill/scheduling/scheduler.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,8 +6,8 @@
 #include <cmath>
 #include <tuple>
 
-#include "oxbowmill/core/slow_tasks.h"
-#include "oxbowmill/core/waiting.h"
+#include "oxbowmill/scheduling/pending_reason.h"
+#include "oxbowmill/scheduling/slow_task_detector.h"
 
 namespace oxbowmill {
 
--- a/src/core/slow_tasks.cpp
+++ b/src/scheduling/slow_task_detector.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/core/slow_tasks.h"
+#include "oxbowmill/scheduling/slow_task_detector.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/reach.cpp
+++ b/src/scheduling/zone_reachability.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "oxbowmill/core/scheduler.h"
+#include "oxbowmill/scheduling/scheduler.h"
 
 namespace oxbowmill {
 
--- a/src/service/node.cpp
+++ b/src/service/controller.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/service/node.h"
+#include "oxbowmill/service/controller.h"
 
 #include <spdlog/spdlog.h>
 
@@ -46,7 +46,7 @@
     scheduler_.on_peer_zone_report(state_.names.zones.find(z), now());
   };
   if (config_.recovery.enabled) {
-    reconciler_ = std::make_unique<recovery::Reconciler>(state_, scheduler_, config_.recovery);
+    reconciler_ = std::make_unique<reconciliation::Reconciler>(state_, scheduler_, config_.recovery);
     reconciler_->on_phase_change = [this] { peers_.publish_soon(); };
     scheduler_.set_recovery_admission(reconciler_.get());
     autoscaler_.set_recovery_admission(reconciler_.get());
@@ -262,7 +262,7 @@
   for (ZoneIndex z : scheduler_.unreachable_zones(now()))
     update.unreachable_zones.push_back(state_.names.zones.name(z));
   if (!reconciler_) return update;
-  for (const recovery::PartitionStatus& w : reconciler_->partition_statuses()) {
+  for (const reconciliation::PartitionStatus& w : reconciler_->partition_statuses()) {
     update.reconciliations.push_back({state_.names.partitions.name(w.partition), w.ownership_revision,
                                       static_cast<std::uint32_t>(w.phase), w.expected, w.reported});
   }
@@ -273,10 +273,11 @@
 
 void Controller::on_peer_update(const PeerUpdate& update) {
   for (const ReconciliationStatus& s : update.reconciliations) {
-    if (s.phase > static_cast<std::uint32_t>(recovery::PartitionPhase::serving)) continue;
-    reconciler_->on_peer_status({state_.names.partitions.find(s.partition), s.ownership_revision,
-                                 static_cast<recovery::PartitionPhase>(s.phase), s.expected, s.reported},
-                                now());
+    if (s.phase > static_cast<std::uint32_t>(reconciliation::PartitionPhase::serving)) continue;
+    reconciler_->on_peer_status(
+        {state_.names.partitions.find(s.partition), s.ownership_revision,
+         static_cast<reconciliation::PartitionPhase>(s.phase), s.expected, s.reported},
+        now());
   }
   for (const std::string& m : update.suspected_machines)
     reconciler_->on_peer_suspect(state_.find_recorded(m), now());
--- a/src/service/agreements.cpp
+++ b/src/service/decision_service.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/service/agreements.h"
+#include "oxbowmill/service/decision_service.h"
 
 #include <spdlog/spdlog.h>
 
@@ -39,7 +39,7 @@
   model_autoscaler_.run_cycle(clock, out);
 }
 
-void DecisionService::load(release::ReleaseCalendar calendar) {
+void DecisionService::load(release_calendar::ReleaseCalendar calendar) {
   std::uint64_t version = calendar.version;
   if (planner_.load(std::move(calendar))) {
     SPDLOG_INFO("calendar of version {} read", version);
--- a/src/service/trading.cpp
+++ b/src/service/market_service.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/service/trading.h"
+#include "oxbowmill/service/market_service.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/service/view.cpp
+++ b/src/service/replica_freshness.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/service/view.h"
+#include "oxbowmill/service/replica_freshness.h"
 
 #include <algorithm>
 
--- a/src/service/mirror.cpp
+++ b/src/service/state_replica.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/service/mirror.h"
+#include "oxbowmill/service/state_replica.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/service/enquiry.cpp
+++ b/src/service/status_query.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/service/enquiry.h"
+#include "oxbowmill/service/status_query.h"
 
 namespace oxbowmill::service {
 
--- a/src/service/intake.cpp
+++ b/src/service/submission_service.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/service/intake.h"
+#include "oxbowmill/service/submission_service.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/service/outbox.cpp
+++ b/src/service/write_queue.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/service/outbox.h"
+#include "oxbowmill/service/write_queue.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/models/keeper.cpp
+++ b/src/serving/model_autoscaler.cpp
@@ -1,11 +1,11 @@
-#include "oxbowmill/models/keeper.h"
+#include "oxbowmill/serving/model_autoscaler.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace oxbowmill::models {
+namespace oxbowmill::serving {
 
 namespace {
 
@@ -37,17 +37,17 @@
 
 }  // namespace
 
-const accord::DecisionKind& decision_kind() {
-  static const accord::DecisionKind kind = {"model",
-                                            {{"", cold},
-                                             {cold, cold},
-                                             {cold, warming},
-                                             {warming, ready},
-                                             {warming, cooling},
-                                             {ready, ready},
-                                             {ready, cooling},
-                                             {cooling, ready},
-                                             {cooling, cold}}};
+const decisions::DecisionKind& decision_kind() {
+  static const decisions::DecisionKind kind = {"model",
+                                               {{"", cold},
+                                                {cold, cold},
+                                                {cold, warming},
+                                                {warming, ready},
+                                                {warming, cooling},
+                                                {ready, ready},
+                                                {ready, cooling},
+                                                {cooling, ready},
+                                                {cooling, cold}}};
   return kind;
 }
 
@@ -65,7 +65,7 @@
   return std::clamp(wanted, terms.min_replicas, std::max(terms.min_replicas, terms.max_replicas));
 }
 
-ModelAutoscaler::ModelAutoscaler(ClusterState& model, accord::DecisionLog& decision_log,
+ModelAutoscaler::ModelAutoscaler(ClusterState& model, decisions::DecisionLog& decision_log,
                                  const Scheduler& scheduler, Settings settings)
     : state_(model), decision_log_(decision_log), scheduler_(scheduler) {
   for (ModelSpec& model_spec : settings.models) {
@@ -161,7 +161,7 @@
   next.reason = why;
   PartitionIndex by = state_.job(model_state.service_job).spec.partition;
   return decision_log_.change(decision_kind(), model_state.spec.name, std::move(next), by, clock, out,
-                              true) == accord::ChangeResult::sent;
+                              true) == decisions::ChangeResult::sent;
 }
 
 void ModelAutoscaler::reconcile(ModelState& model_state, Clock clock, Effects& out) {
@@ -329,4 +329,4 @@
   return out;
 }
 
-}  // namespace oxbowmill::models
+}  // namespace oxbowmill::serving
--- a/src/lab/worker.cpp
+++ b/src/simulation/agent.cpp
@@ -1,6 +1,6 @@
-#include "oxbowmill/lab/worker.h"
+#include "oxbowmill/simulation/agent.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 void RunLog::start(const std::string& task, const std::string& machine) {
   ++starts[task];
@@ -104,4 +104,4 @@
   return it != tasks_.end() && it->second.phase != TaskPhase::ended;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/hollow_fleet.cpp
+++ b/src/simulation/agent_simulator.cpp
@@ -1,11 +1,11 @@
-#include "oxbowmill/lab/hollow_fleet.h"
+#include "oxbowmill/simulation/agent_simulator.h"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "oxbowmill/lab/worker_wire.h"
+#include "oxbowmill/simulation/agent_wire.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 using wire::Json;
 
@@ -494,4 +494,4 @@
   reply(200, Json::object());
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/worker_wire.cpp
+++ b/src/simulation/agent_wire.cpp
@@ -1,6 +1,6 @@
-#include "oxbowmill/lab/worker_wire.h"
+#include "oxbowmill/simulation/agent_wire.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 using wire::Json;
 
@@ -74,4 +74,4 @@
   }
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_workers.cpp
+++ b/src/simulation/cluster_agents.cpp
@@ -1,7 +1,7 @@
 // Workers of the fleet's world: reports, orders and what tasks come to.
-#include "fleet_world_impl.h"
+#include "cluster_simulation_impl.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 std::pair<std::string, TaskNumber> ClusterSimulation::Impl::split(const std::string& id) {
   std::size_t slash = id.rfind('/');
@@ -262,4 +262,4 @@
   current_sample().gpus_in_use += job.gpus * static_cast<double>(tasks) * step_s;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_cloud.cpp
+++ b/src/simulation/cluster_cloud.cpp
@@ -1,7 +1,7 @@
 // The cloud of the fleet's world.
-#include "fleet_world_impl.h"
+#include "cluster_simulation_impl.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 void ClusterSimulation::Impl::add_machine(std::uint32_t zone, bool spot, bool at_start) {
   std::string name = "host-" + std::to_string(100000 + machines.size());
@@ -129,4 +129,4 @@
   return out;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_controllers.cpp
+++ b/src/simulation/cluster_controllers.cpp
@@ -1,14 +1,14 @@
 // Controllers of the fleet's world: their links to the state service, claims and transactions.
-#include "fleet_world_impl.h"
+#include "cluster_simulation_impl.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 
 /// Start with the truth about machines: who is dead is suspected and condemned at once, and nobody else.
-class Oracle : public recovery::Reconciler {
+class Oracle : public reconciliation::Reconciler {
  public:
-  Oracle(const ClusterState& model, const Scheduler& scheduler, const recovery::Settings& s,
+  Oracle(const ClusterState& model, const Scheduler& scheduler, const reconciliation::Settings& s,
          std::function<bool(const std::string&)> dead)
       : Reconciler(model, scheduler, s), state_(model), is_dead_(std::move(dead)) {}
   bool suspected(MachineIndex machine_index) const override {
@@ -36,13 +36,13 @@
   if (variant != SimulationVariant::without_reconciliation)
     process.controller->cluster_state.wall_clock_offset_s = wall_ahead;
   if (variant == SimulationVariant::with_reconciliation || variant == SimulationVariant::without_faults) {
-    recovery::Settings r;
+    reconciliation::Settings r;
     r.enabled = true;
     process.controller->enable_reconciliation(r);
   } else if (variant == SimulationVariant::oracle) {
     process.controller->reconciler =
         std::make_unique<Oracle>(process.controller->cluster_state, process.controller->scheduler,
-                                 recovery::Settings(), [this](const std::string& m) {
+                                 reconciliation::Settings(), [this](const std::string& m) {
                                    auto h = machines.find(m);
                                    return h != machines.end() && !h->second.alive;
                                  });
@@ -267,4 +267,4 @@
   return true;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_experiment.cpp
+++ b/src/simulation/cluster_experiment.cpp
@@ -1,12 +1,12 @@
-#include "oxbowmill/lab/fleet_experiment.h"
+#include "oxbowmill/simulation/cluster_experiment.h"
 
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 
-#include "oxbowmill/lab/crew.h"
+#include "oxbowmill/simulation/parallel.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 
@@ -152,4 +152,4 @@
   return {{"scenario", scenario}, {"ways", list}};
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_faults.cpp
+++ b/src/simulation/cluster_faults.cpp
@@ -1,7 +1,7 @@
 // Troubles of the fleet's world.
-#include "fleet_world_impl.h"
+#include "cluster_simulation_impl.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 std::size_t ClusterSimulation::Impl::busiest_owner() const {
   std::size_t best = 0, most = 0;
@@ -254,4 +254,4 @@
   return end;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_scenario.cpp
+++ b/src/simulation/cluster_scenario.cpp
@@ -1,10 +1,10 @@
 // Scenarios of the fleet's world as files describe them.
 #include <algorithm>
 
-#include "oxbowmill/lab/fleet_world.h"
+#include "oxbowmill/simulation/cluster_simulation.h"
 #include "oxbowmill/yaml/map.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 
@@ -121,4 +121,4 @@
   longest_wait_s = std::max(longest_wait_s, wait_s);
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_world.cpp
+++ b/src/simulation/cluster_simulation.cpp
@@ -3,9 +3,9 @@
 
 #include <utility>
 
-#include "fleet_world_impl.h"
+#include "cluster_simulation_impl.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 ClusterSimulation::Impl::Impl(ClusterScenario scenario, SimulationVariant way_, std::uint64_t seed)
     : scenario_(std::move(scenario)),
@@ -175,7 +175,8 @@
       PartitionIndex partition{i};
       if (!process.controller->scheduler.owns(partition)) continue;
       ++owned;
-      if (process.controller->reconciler->phase(partition) <= recovery::PartitionPhase::reconciling) return;
+      if (process.controller->reconciler->phase(partition) <= reconciliation::PartitionPhase::reconciling)
+        return;
       at_s = std::max(at_s, process.controller->reconciler->reconciled_at(partition));
     }
   }
@@ -190,4 +191,4 @@
   return impl_->play();
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_world_impl.h
+++ b/src/simulation/cluster_simulation_impl.h
@@ -4,12 +4,12 @@
 #include <algorithm>
 #include <cmath>
 
-#include "oxbowmill/lab/fleet_world.h"
-#include "oxbowmill/lab/rules.h"
 #include "oxbowmill/service/admission.h"
-#include "oxbowmill/service/enquiry.h"
+#include "oxbowmill/service/status_query.h"
+#include "oxbowmill/simulation/cluster_simulation.h"
+#include "oxbowmill/simulation/invariant_checker.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 constexpr double step_s = 0.1;
 constexpr double image_gb[] = {4, 6, 8, 10, 12};
@@ -274,4 +274,4 @@
   ClusterResult result;
 };
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/fleet_users.cpp
+++ b/src/simulation/cluster_users.cpp
@@ -1,7 +1,7 @@
 // Users of the fleet's world: what they submit, ask and call off, through any node.
-#include "fleet_world_impl.h"
+#include "cluster_simulation_impl.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 void ClusterSimulation::Impl::submit(std::uint32_t class_index) {
   JobSpec spec = test_job("run-" + std::to_string(++submitted), 1);
@@ -237,4 +237,4 @@
   return r && r->status == 200 ? answer_user(process, user.ref, JobPhase::cancelled) : JobAnswer::no_answer;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/agreed_world.cpp
+++ b/src/simulation/decision_simulation.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/lab/agreed_world.h"
+#include "oxbowmill/simulation/decision_simulation.h"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -6,10 +6,10 @@
 #include <cmath>
 #include <random>
 
-#include "oxbowmill/lab/crew.h"
+#include "oxbowmill/simulation/parallel.h"
 #include "oxbowmill/yaml/map.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 
@@ -92,7 +92,7 @@
 DecisionRow play_model(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed) {
   DecisionRow row{variant, seed};
   DecisionSimulation simulation(scenario, seed);
-  models::ModelSpec terms = scenario.terms;
+  serving::ModelSpec terms = scenario.terms;
   if (variant == "always on") terms.min_replicas = 1;
   if (variant == "fixed idle") terms.idle_factor = 0;
   for (std::size_t i = 0; i < 3; ++i) simulation.cluster.controller(i).enable_decisions({}, {1, {terms}});
@@ -125,7 +125,7 @@
     std::uint64_t current_round = record->second.value.value("e", std::uint64_t{0});
     wrong_epochs += current_round > epoch + 1 ? 1 : 0;
     epoch = current_round;
-    bool warms = record->second.value.at("s") == models::warming;
+    bool warms = record->second.value.at("s") == serving::warming;
     for (const std::string& m : simulation.machine_names) {
       for (const auto& [id, task] : simulation.cluster.worker(m).tasks()) {
         if (task.job != "run-model" || task.phase == TaskPhase::ended) continue;
@@ -188,7 +188,7 @@
   auto done = [&](const std::string& ref) { return simulation.cluster.phase(ref) == "done"; };
   for (std::uint64_t revision_number = 1; revision_number <= revisions; ++revision_number) {
     std::string tag = std::to_string(revision_number);
-    release::ReleaseSpec terms;
+    release_calendar::ReleaseSpec terms;
     terms.name = "manual";
     terms.revision = "r" + tag;
     for (const std::string& e : editions)
@@ -318,4 +318,4 @@
   return out;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/rules.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -1,8 +1,8 @@
-#include "oxbowmill/lab/rules.h"
+#include "oxbowmill/simulation/invariant_checker.h"
 
 #include <algorithm>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 constexpr double forgotten_after_s = 75;
@@ -191,4 +191,4 @@
   if (!any_task_ran_) violations_.emplace_back("nothing_ran");
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/experiment.cpp
+++ b/src/simulation/market_experiment.cpp
@@ -1,13 +1,13 @@
-#include "oxbowmill/lab/experiment.h"
+#include "oxbowmill/simulation/market_experiment.h"
 
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "oxbowmill/lab/crew.h"
+#include "oxbowmill/simulation/parallel.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 std::vector<MarketRow> play(const MarketScenario& scenario, unsigned seeds, unsigned threads) {
   std::vector<MarketRow> rows;
@@ -98,4 +98,4 @@
   return {{"scenario", scenario}, {"policies", list}};
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/market_server.cpp
+++ b/src/simulation/market_server.cpp
@@ -1,6 +1,6 @@
-#include "oxbowmill/lab/market_server.h"
+#include "oxbowmill/simulation/market_server.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 MarketServer::MarketServer(event_base* base, const net::Address& bind, SimulatedMarket market,
                            std::function<double()> now)
@@ -17,4 +17,4 @@
         }
       }) {}
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/market_world.cpp
+++ b/src/simulation/market_simulation.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/lab/market_world.h"
+#include "oxbowmill/simulation/market_simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include "oxbowmill/state/keys.h"
 #include "oxbowmill/yaml/map.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 constexpr double step_s = 0.5, idle_keep_s = 10, acquire_after_s = 1, answer_after_s = 0.1;
@@ -592,4 +592,4 @@
   return result();
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/histories.cpp
+++ b/src/simulation/random_histories.cpp
@@ -1,10 +1,10 @@
-#include "oxbowmill/lab/histories.h"
+#include "oxbowmill/simulation/random_histories.h"
 
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 constexpr double abandoned_after_s =
@@ -142,4 +142,4 @@
   return out;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/scale_judge.cpp
+++ b/src/simulation/scale_evaluator.cpp
@@ -1,11 +1,11 @@
-#include "oxbowmill/lab/scale_judge.h"
+#include "oxbowmill/simulation/scale_evaluator.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "oxbowmill/lab/hollow_fleet.h"
+#include "oxbowmill/simulation/agent_simulator.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 double Distribution::quantile(double share) const {
   if (values_.empty()) return 0;
@@ -127,4 +127,4 @@
   invariants_.check(now);
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/scale_event.cpp
+++ b/src/simulation/scale_event.cpp
@@ -1,10 +1,10 @@
-#include "oxbowmill/lab/scale_event.h"
+#include "oxbowmill/simulation/scale_event.h"
 
 #include <unistd.h>
 
 #include <nlohmann/json.hpp>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 using Json = nlohmann::json;
 
@@ -58,4 +58,4 @@
   buffer_.clear();
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/scale_run.cpp
+++ b/src/simulation/scale_run.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/lab/scale_run.h"
+#include "oxbowmill/simulation/scale_run.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -15,11 +15,11 @@
 #include <iostream>
 #include <sstream>
 
-#include "oxbowmill/lab/scale_judge.h"
-#include "oxbowmill/lab/scale_users.h"
-#include "oxbowmill/lab/state_server.h"
+#include "oxbowmill/simulation/scale_evaluator.h"
+#include "oxbowmill/simulation/scale_users.h"
+#include "oxbowmill/simulation/state_server.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 using Json = nlohmann::json;
 
@@ -140,7 +140,7 @@
       ScaleEventWriter writer(events, steady_now);
       serve(base.get(), writer);
     } catch (const std::exception& e) {
-      std::cerr << "oxbow-lab: " << role << ": " << e.what() << std::endl;
+      std::cerr << "oxbowmill-sim: " << role << ": " << e.what() << std::endl;
     }
     ::_exit(1);
   }
@@ -269,7 +269,7 @@
       }
       if (options_.progress && now >= next_progress) {
         next_progress = now + progress_every_s;
-        std::cerr << "oxbow-lab: " << settings_.name << ": " << std::lround(now - began_at_) << " of "
+        std::cerr << "oxbowmill-sim: " << settings_.name << ": " << std::lround(now - began_at_) << " of "
                   << std::lround(settings_.duration_s) << " s, " << evaluator_->starts() << " starts, "
                   << evaluator_->violations().size() << " rules broken" << std::endl;
       }
@@ -518,4 +518,4 @@
   return out.str();
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/scale_settings.cpp
+++ b/src/simulation/scale_settings.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/lab/scale_settings.h"
+#include "oxbowmill/simulation/scale_settings.h"
 
 #include <algorithm>
 #include <functional>
@@ -6,7 +6,7 @@
 
 #include "oxbowmill/yaml/map.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 
@@ -174,4 +174,4 @@
   return job.job_class->run_s * std::uniform_real_distribution<double>(1 - spread, 1 + spread)(random);
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/scale_users.cpp
+++ b/src/simulation/scale_users.cpp
@@ -1,8 +1,8 @@
-#include "oxbowmill/lab/scale_users.h"
+#include "oxbowmill/simulation/scale_users.h"
 
 #include <algorithm>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 using wire::Json;
 
@@ -220,4 +220,4 @@
   events_.flush();
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -1,8 +1,8 @@
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 #include <utility>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 Settings test_settings(const std::string& node) {
   Settings settings;
@@ -58,16 +58,17 @@
   scheduler.enable_capacity_check();
 }
 
-void SimulatedController::enable_reconciliation(const recovery::Settings& settings) {
-  reconciler = std::make_unique<recovery::Reconciler>(cluster_state, scheduler, settings);
+void SimulatedController::enable_reconciliation(const reconciliation::Settings& settings) {
+  reconciler = std::make_unique<reconciliation::Reconciler>(cluster_state, scheduler, settings);
   scheduler.set_recovery_admission(reconciler.get());
   autoscaler.set_recovery_admission(reconciler.get());
 }
 
-void SimulatedController::enable_decisions(release::ReleaseCalendar calendar, models::Settings models) {
-  decision_log = std::make_unique<accord::DecisionLog>(cluster_state, scheduler, 0.05);
+void SimulatedController::enable_decisions(release_calendar::ReleaseCalendar calendar,
+                                           serving::Settings models) {
+  decision_log = std::make_unique<decisions::DecisionLog>(cluster_state, scheduler, 0.05);
   release_planner =
-      std::make_unique<release::ReleaseCoordinator>(cluster_state, *decision_log, scheduler, 1.0);
+      std::make_unique<release_calendar::ReleaseCoordinator>(cluster_state, *decision_log, scheduler, 1.0);
   release_planner->load(std::move(calendar));
   release_planner->query_final_phase = [this](const std::string& ref) {
     auto it = store_.keys().find(state::final_key(ref));
@@ -76,11 +77,11 @@
         ref, it == store_.keys().end() ? std::nullopt : state::read_phase(it->second.value),
         watch_opened_at_);
   };
-  combined_constraints_ = accord::CombinedConstraints();
+  combined_constraints_ = decisions::CombinedConstraints();
   combined_constraints_.add(release_planner.get());
   if (!models.empty()) {
-    model_autoscaler =
-        std::make_unique<models::ModelAutoscaler>(cluster_state, *decision_log, scheduler, std::move(models));
+    model_autoscaler = std::make_unique<serving::ModelAutoscaler>(cluster_state, *decision_log, scheduler,
+                                                                  std::move(models));
     combined_constraints_.add(model_autoscaler.get());
   }
   cluster_state.constraints = &combined_constraints_;
@@ -229,7 +230,7 @@
   workers_[name] = std::make_unique<Worker>(name, zone, run_log);
 }
 
-void SimulatedCluster::add_market(const lab::MarketBehavior& c) {
+void SimulatedCluster::add_market(const simulation::MarketBehavior& c) {
   MarketIndex index{static_cast<std::uint32_t>(markets.size())};
   market_settings.markets.push_back({c.name, index, "127.0.0.1:1", 50});
   markets.emplace_back(c, 7, std::vector<std::string>{"std"}, std::vector<std::string>{"a", "b"});
@@ -343,4 +344,4 @@
   return out;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/market.cpp
+++ b/src/simulation/simulated_market.cpp
@@ -1,10 +1,10 @@
-#include "oxbowmill/lab/market.h"
+#include "oxbowmill/simulation/simulated_market.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 using wire::Json;
 
@@ -260,4 +260,4 @@
   return json;
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/state_server.cpp
+++ b/src/simulation/state_server.cpp
@@ -1,4 +1,4 @@
-#include "oxbowmill/lab/state_server.h"
+#include "oxbowmill/simulation/state_server.h"
 
 #include <event2/keyvalq_struct.h>
 
@@ -6,7 +6,7 @@
 
 #include "oxbowmill/wire/codec.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 namespace {
 
@@ -184,4 +184,4 @@
   timer_.schedule(tick_s);
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/lab/state.cpp
+++ b/src/simulation/state_store.cpp
@@ -1,6 +1,6 @@
-#include "oxbowmill/lab/state.h"
+#include "oxbowmill/simulation/state_store.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 
 void StateStore::change(const std::string& key, std::optional<Json> value, std::uint64_t lease_id) {
   events_.push_back({revision_, key, value});
@@ -90,4 +90,4 @@
   }
 }
 
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -204,7 +204,7 @@
       // Optional, rounded so that neither bound gets better than it was.
       for (const auto& [t, s] : record.checkpoints)
         json["s"].push_back({t, std::floor(s.low), std::floor(s.likely), std::ceil(s.high)});
-      for (const progress::FinishedTask& f : record.finishes)
+      for (const checkpoint::FinishedTask& f : record.finishes)
         json["t"].push_back({f.task, std::round(10 * f.run_s) / 10, std::floor(f.finished_at_s)});
       // A hint must not cost a placement its record.
       constexpr std::size_t surely_fits = 24;
--- a/tests/bench/market_bench.cpp
+++ b/tests/bench/market_bench.cpp
@@ -3,7 +3,7 @@
 #include <malloc.h>
 #include <spdlog/spdlog.h>
 
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
@@ -13,13 +13,13 @@
 
 struct LeaderFixture {
   explicit LeaderFixture(bool trading, double per_hour)
-      : cluster_state(lab::test_settings("node-0"), lab::test_names()),
+      : cluster_state(simulation::test_settings("node-0"), simulation::test_names()),
         lease(cluster_state.settings),
         scheduler(cluster_state, lease),
         autoscaler(cluster_state, scheduler) {
     cluster_state.settings.teams[1].limit = {};
     cluster_state.settings.max_transaction_ops = 48;
-    cluster_state.catalog = lab::test_catalog();
+    cluster_state.catalog = simulation::test_catalog();
     lease.on_granted(1, now);
     Revision revision = 0;
     for (std::uint32_t p = 0; p < cluster_state.partition_count(); ++p)
@@ -27,7 +27,7 @@
                           now);
     // Every machine is full with a task that goes on.
     JobIndex running = cluster_state.intern_job("run-0");
-    JobSpec spec = lab::test_job("run-0", machine_count, 4);
+    JobSpec spec = simulation::test_job("run-0", machine_count, 4);
     cluster_state.apply({JobKey{running}, JobRecord{spec, JobPhase::open}}, ++revision, now);
     std::map<std::uint32_t, ChunkRecord> chunks;
     for (std::uint32_t i = 0; i < machine_count; ++i) {
@@ -43,7 +43,7 @@
     for (auto& [c, rec] : chunks) cluster_state.apply({ChunkKey{running, c}, rec}, ++revision, now);
     for (std::uint32_t i = 1; i <= job_count; ++i) {
       std::string ref = "run-" + std::to_string(i);
-      JobSpec job_spec = lab::test_job(ref, 8, 4);
+      JobSpec job_spec = simulation::test_job(ref, 8, 4);
       job_spec.priority = i % 3 == 0 ? Priority::high : Priority::normal;
       job_spec.spot = false;
       job_spec.estimate_s = 60.0 * (1 + i % 7);
@@ -56,7 +56,7 @@
     if (!trading) return;
     market_settings.total_limit = {market::to_money_amount(per_hour), 0};
     for (std::uint32_t i = 0; i < market_count; ++i) {
-      lab::MarketBehavior profile;
+      simulation::MarketBehavior profile;
       profile.name = "m" + std::to_string(i);
       profile.price = 7 + 0.5 * i;
       profile.capacity = 100;
@@ -93,7 +93,7 @@
   Scheduler scheduler;
   Autoscaler autoscaler;
   market::Settings market_settings;
-  std::vector<lab::SimulatedMarket> market_simulators;
+  std::vector<simulation::SimulatedMarket> market_simulators;
   std::unique_ptr<market::BiddingService> bidding_service;
 };
 
--- a/tests/bench/placement_bench.cpp
+++ b/tests/bench/placement_bench.cpp
@@ -2,8 +2,8 @@
 // full scan.
 #include <benchmark/benchmark.h>
 
-#include "../full_scan.h"
-#include "oxbowmill/lab/cluster.h"
+#include "../full_scan_placement.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace {
 
@@ -13,8 +13,8 @@
 class PartlyFreeCluster {
  public:
   explicit PartlyFreeCluster(std::uint32_t machines)
-      : state_(lab::test_settings("n"), lab::test_names()), index_(state_) {
-    state_.catalog = lab::test_catalog();
+      : state_(simulation::test_settings("n"), simulation::test_names()), index_(state_) {
+    state_.catalog = simulation::test_catalog();
     state_.catalog[0].capacity = {64, 20, 256};
     for (std::uint32_t i = 0; i < machines; ++i) {
       MachineCapacity capacity;
@@ -25,7 +25,7 @@
       candidates_.push_back(capacity.candidate);
       index_.update(machine, std::move(capacity));
     }
-    spec_ = lab::test_job("run", 18);
+    spec_ = simulation::test_job("run", 18);
     query_.spec = &spec_;
     for (TaskNumber t = 0; t < spec_.tasks; ++t) tasks_.push_back(t);
   }
--- a/tests/bench/start_bench.cpp
+++ b/tests/bench/reconciliation_bench.cpp
@@ -3,7 +3,7 @@
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
@@ -20,7 +20,7 @@
     cluster.store.txn_ops = 12;
     for (int i = 0; i < machine_count; ++i)
       cluster.add_machine("m" + std::to_string(i), i % 2 == 0 ? "a" : "b");
-    for (int i = 0; i < job_count; ++i) cluster.submit(lab::test_job("run-" + std::to_string(i), 14));
+    for (int i = 0; i < job_count; ++i) cluster.submit(simulation::test_job("run-" + std::to_string(i), 14));
     cluster.run(4);
     cluster.kill_controller(0);
     cluster.now += 4;
@@ -29,7 +29,7 @@
     for (int i = 0; i < machine_count; ++i)
       reports.push_back(cluster.worker("m" + std::to_string(i)).report(cluster.now));
   }
-  lab::SimulatedCluster cluster;
+  simulation::SimulatedCluster cluster;
   std::vector<WorkerReport> reports;
 };
 
--- a/tests/market_desk_test.cpp
+++ b/tests/bidding_service_test.cpp
@@ -2,9 +2,9 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "oxbowmill/lab/market_world.h"
+#include "oxbowmill/simulation/market_simulation.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 namespace {
 
 using market::BidState;
@@ -420,4 +420,4 @@
 }
 
 }  // namespace
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/tests/progress_test.cpp
+++ b/tests/checkpoint_test.cpp
@@ -1,21 +1,21 @@
-// SavedProgress progress (docs/progress.md): bounds against the truth, resumption after losses, the detector
-// through takeovers, records of earlier versions.
+// SavedProgress progress (docs/checkpoints.md): bounds against the truth, resumption after losses, the
+// detector through takeovers, records of earlier versions.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "oxbowmill/lab/cluster.h"
-#include "oxbowmill/progress/saved.h"
+#include "oxbowmill/checkpoint/saved_progress.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
-using progress::RunTimeBounds;
-using progress::SavedProgress;
+using checkpoint::RunTimeBounds;
+using checkpoint::SavedProgress;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
-progress::Settings checkpoint_settings() {
-  progress::Settings s;
+checkpoint::Settings checkpoint_settings() {
+  checkpoint::Settings s;
   s.enabled = true;
   return s;
 }
@@ -38,11 +38,11 @@
       {"never saves", {30, 30, 30}, {100, 100}, 0, true, {0, 0, 0}},
   };
   for (const Case& test_case : cases) {
-    SavedProgress actual = test_case.stored
-                               ? progress::after_store(test_case.before, test_case.running_time,
-                                                       test_case.checkpoint_interval_s, checkpoint_settings())
-                               : progress::after_loss(test_case.before, test_case.running_time,
-                                                      test_case.checkpoint_interval_s, checkpoint_settings());
+    SavedProgress actual =
+        test_case.stored ? checkpoint::after_store(test_case.before, test_case.running_time,
+                                                   test_case.checkpoint_interval_s, checkpoint_settings())
+                         : checkpoint::after_loss(test_case.before, test_case.running_time,
+                                                  test_case.checkpoint_interval_s, checkpoint_settings());
     EXPECT_DOUBLE_EQ(actual.low, test_case.after.low) << test_case.description;
     EXPECT_DOUBLE_EQ(actual.likely, test_case.after.likely) << test_case.description;
     EXPECT_DOUBLE_EQ(actual.high, test_case.after.high) << test_case.description;
@@ -66,10 +66,10 @@
     RunTimeBounds seen{std::max(0.0, last - first), wait + elapsed_s + report_s};
     double reached = truth + elapsed_s * speed;
     truth = stored ? reached : std::max(truth, std::floor(reached / every) * every);
-    SavedProgress next = stored ? progress::after_store(saved, seen, every, checkpoint_settings())
-                                : progress::after_loss(saved, seen, every, checkpoint_settings());
+    SavedProgress next = stored ? checkpoint::after_store(saved, seen, every, checkpoint_settings())
+                                : checkpoint::after_loss(saved, seen, every, checkpoint_settings());
     RC_ASSERT(next.low >= saved.low);
-    saved = progress::merged(saved, next);
+    saved = checkpoint::merged(saved, next);
     RC_ASSERT(saved.low <= truth + 1e-9);
     RC_ASSERT(saved.high >= truth - 1e-9);
     RC_ASSERT(saved.low <= saved.likely && saved.likely <= saved.high);
@@ -177,10 +177,10 @@
 }
 
 TEST(Checkpoint, ResumedTaskCountsItsSavedWork) {
-  EXPECT_DOUBLE_EQ(progress::execution_time(20, {0, 60, 90}), 110);
-  EXPECT_DOUBLE_EQ(progress::remaining_run_time(100, {0, 60, 90}), 40);
-  EXPECT_DOUBLE_EQ(progress::remaining_run_time(100, {0, 160, 200}), 10);
-  EXPECT_EQ(progress::run_times_by_finish({{0, 5, 30}, {1, 6, 10}, {2, 7, 20}}),
+  EXPECT_DOUBLE_EQ(checkpoint::execution_time(20, {0, 60, 90}), 110);
+  EXPECT_DOUBLE_EQ(checkpoint::remaining_run_time(100, {0, 60, 90}), 40);
+  EXPECT_DOUBLE_EQ(checkpoint::remaining_run_time(100, {0, 160, 200}), 10);
+  EXPECT_EQ(checkpoint::run_times_by_finish({{0, 5, 30}, {1, 6, 10}, {2, 7, 20}}),
             (std::vector<double>{6, 7, 5}));
 }
 
@@ -189,7 +189,7 @@
   ClusterState& cluster_state = c.controller(0).cluster_state;
   c.submit(test_job("run-1", 3));
   c.controller(0).sync(c.now);
-  lab::Json old_value = {{"d", "1"}, {"r", "0"}, {"a", {{1, "m1", 77, 0}}}};
+  simulation::Json old_value = {{"d", "1"}, {"r", "0"}, {"a", {{1, "m1", 77, 0}}}};
   auto change = state::decode("o/c/run-1/0", &old_value, cluster_state);
   ASSERT_TRUE(change.has_value());
   auto& record = std::get<ChunkRecord>(change->value);
@@ -199,7 +199,7 @@
   record.placements[0].placed_after_s = 12.7;
   record.checkpoints[2] = {3.9, 31.2, 60.1};
   record.finishes = {{0, 41.26, 55.5}};
-  lab::Json now = state::encode_value(*change, cluster_state);
+  simulation::Json now = state::encode_value(*change, cluster_state);
   EXPECT_EQ(now.dump(),
             R"({"a":[[1,"m1",77,0,12]],"d":"1","r":"0","s":[[2,3.0,31.0,61.0]],"t":[[0,41.3,55.0]]})");
   // What the earlier version reads of it is what it wrote itself.
@@ -209,7 +209,7 @@
   EXPECT_DOUBLE_EQ(std::get<ChunkRecord>(back->value).checkpoints.at(2).low, 3);
   for (const char* junk :
        {R"({"a":[],"s":[[1]],"t":"x"})", R"({"a":[],"s":[["a","b","c","d"]],"t":[null]})"}) {
-    lab::Json j = lab::Json::parse(junk);
+    simulation::Json j = simulation::Json::parse(junk);
     auto read = state::decode("o/c/run-1/0", &j, cluster_state);
     ASSERT_TRUE(read.has_value()) << junk;
     EXPECT_TRUE(std::get<ChunkRecord>(read->value).checkpoints.empty()) << junk;
@@ -229,7 +229,8 @@
          99});
     record.checkpoints[t] = {10000, 20000, 30000};
   }
-  lab::Json j = state::encode_value({ChunkKey{cluster_state.find_job("run-1"), 0}, record}, cluster_state);
+  simulation::Json j =
+      state::encode_value({ChunkKey{cluster_state.find_job("run-1"), 0}, record}, cluster_state);
   EXPECT_LE(j.dump().size(), 4096U);
   EXPECT_EQ(j.at("a").size(), 64U);
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -5,8 +5,8 @@
 
 #include <cmath>
 
-#include "oxbowmill/lab/cluster.h"
 #include "oxbowmill/service/peers.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
@@ -69,8 +69,8 @@
       {"runtime_s", missing, 400},
       {"unheard_of", Json::object(), 0},
   };
-  auto catalog = lab::test_catalog();
-  Settings settings = lab::test_settings("n");
+  auto catalog = simulation::test_catalog();
+  Settings settings = simulation::test_settings("n");
   for (const Case& test_case : cases) {
     Json json = valid_submission();
     if (test_case.value.is_discarded()) {
@@ -78,7 +78,7 @@
     } else {
       json[test_case.field] = test_case.value;
     }
-    Names names = lab::test_names();
+    Names names = simulation::test_names();
     JobSpec spec;
     auto body = wire::decode_map(wire::encode(json));
     ASSERT_TRUE(body) << test_case.field;
@@ -100,10 +100,11 @@
     Json json = valid_submission();
     json["shape"] = test_case.shape;
     json["shards"] = test_case.tasks;
-    Names names = lab::test_names();
+    Names names = simulation::test_names();
     JobSpec spec;
     ASSERT_FALSE(wire::read_submission(json, names, spec));
-    EXPECT_EQ(!wire::check_runnable(spec, lab::test_settings("n"), lab::test_catalog()), test_case.accepted)
+    EXPECT_EQ(!wire::check_runnable(spec, simulation::test_settings("n"), simulation::test_catalog()),
+              test_case.accepted)
         << test_case.shape;
   }
 }
@@ -123,10 +124,10 @@
     json["same_place"] = test_case.one_zone;
     json["scatter"] = test_case.scatter;
     json["yard"] = test_case.zone == nullptr ? Json() : Json(test_case.zone);
-    Names names = lab::test_names();
+    Names names = simulation::test_names();
     JobSpec spec;
     ASSERT_FALSE(wire::read_submission(json, names, spec));
-    auto rejection = wire::check_runnable(spec, lab::test_settings("n"), lab::test_catalog());
+    auto rejection = wire::check_runnable(spec, simulation::test_settings("n"), simulation::test_catalog());
     EXPECT_EQ(!rejection, test_case.accepted) << test_case.tasks << test_case.one_zone << test_case.scatter;
     EXPECT_TRUE(!rejection || rejection->status == 422);
   }
@@ -144,7 +145,7 @@
 }
 
 TEST(Codec, SubmissionRoundTrip) {
-  Names names = lab::test_names();
+  Names names = simulation::test_names();
   JobSpec spec;
   ASSERT_FALSE(wire::read_submission(valid_submission(), names, spec));
   JobSpec again;
@@ -196,7 +197,7 @@
 }
 
 TEST(Codec, StateRecordsRoundTrip) {
-  ClusterState model(lab::test_settings("n"), lab::test_names());
+  ClusterState model(simulation::test_settings("n"), simulation::test_names());
   ChunkRecord chunk;
   chunk.done = ~0ULL;
   chunk.restarted = 1ULL << 63;
@@ -217,7 +218,7 @@
 }
 
 TEST(Codec, UnreadableRecordsAreIgnored) {
-  ClusterState model(lab::test_settings("n"), lab::test_names());
+  ClusterState model(simulation::test_settings("n"), simulation::test_names());
   Json number = 3, empty = Json::object();
   for (const char* key : {"o/j/run-1", "o/c/run-1/0", "o/m/m1", "x", "o/z/a"}) {
     EXPECT_FALSE(state::decode(key, &number, model)) << key;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -100,7 +100,7 @@
                         {DEPLOY_DIR "/operator.yaml", DEPLOY_DIR "/recovery.yaml"});
   EXPECT_TRUE(c.recovery.enabled);
   // The file states the defaults.
-  recovery::Settings defaults;
+  reconciliation::Settings defaults;
   EXPECT_EQ(c.recovery.reported_fraction, defaults.reported_fraction);
   EXPECT_EQ(c.recovery.sufficient_fraction, defaults.sufficient_fraction);
   EXPECT_EQ(c.recovery.threshold_multiplier, defaults.threshold_multiplier);
--- a/tests/loopback_test.cpp
+++ b/tests/controller_process_test.cpp
@@ -8,11 +8,11 @@
 #include <fstream>
 #include <thread>
 
-#include "oxbowmill/lab/market_server.h"
-#include "oxbowmill/lab/state.h"
-#include "oxbowmill/lab/worker.h"
-#include "oxbowmill/lab/worker_wire.h"
 #include "oxbowmill/net/http.h"
+#include "oxbowmill/simulation/agent.h"
+#include "oxbowmill/simulation/agent_wire.h"
+#include "oxbowmill/simulation/market_server.h"
+#include "oxbowmill/simulation/state_store.h"
 #include "oxbowmill/wire/codec.h"
 
 namespace oxbowmill {
@@ -47,7 +47,7 @@
   ~Loopback() override {
     stop_program();
     if (!config_file_.empty()) std::remove(config_file_.c_str());
-    if (!operators_.empty()) std::remove(operators_.c_str());
+    if (!operator_file_.empty()) std::remove(operator_file_.c_str());
   }
 
   static double now() {
@@ -155,11 +155,11 @@
   void send_report() {
     if (!machine_is_up_ || reporting_) return;
     reporting_ = true;
-    send_request(EVHTTP_REQ_POST, "/hello", lab::write_report(worker_.report(now())),
+    send_request(EVHTTP_REQ_POST, "/hello", simulation::write_report(worker_.report(now())),
                  [this](int status, const Json& body) {
                    reporting_ = false;
                    if (status != 200) return;
-                   auto answer = lab::read_answer(body);
+                   auto answer = simulation::read_answer(body);
                    ASSERT_TRUE(answer.has_value());
                    worker_.answer(*answer, now());
                  });
@@ -194,11 +194,12 @@
     ASSERT_GE(pid_, 0);
     if (pid_ == 0) {
       dup2(log_pipe[1], STDERR_FILENO);
-      if (operators_.empty()) {
-        execl(PROGRAM, PROGRAM, "--config", config_file_.c_str(), static_cast<char*>(nullptr));
-      } else {
-        execl(PROGRAM, PROGRAM, "--operator", operators_.c_str(), "--config", config_file_.c_str(),
+      if (operator_file_.empty()) {
+        execl(CONTROLLER_PROGRAM, CONTROLLER_PROGRAM, "--config", config_file_.c_str(),
               static_cast<char*>(nullptr));
+      } else {
+        execl(CONTROLLER_PROGRAM, CONTROLLER_PROGRAM, "--operator", operator_file_.c_str(), "--config",
+              config_file_.c_str(), static_cast<char*>(nullptr));
       }
       _exit(127);
     }
@@ -233,8 +234,8 @@
   /// Runs the users' command line beside the loop; its exit code, and what it wrote.
   int run_command_line(const std::string& args, std::string& out) {
     std::string file = ::testing::TempDir() + "oxbow-out-" + std::to_string(::getpid());
-    std::string command = "OXBOW_NODES=" + net::to_string(controller_address_) + " " + OXBOW + " " + args +
-                          " >" + file + " 2>&1";
+    std::string command = "OXBOW_NODES=" + net::to_string(controller_address_) + " " + CLIENT_PROGRAM + " " +
+                          args + " >" + file + " 2>&1";
     pid_t child = fork();
     if (child == 0) {
       execl("/bin/sh", "sh", "-c", command.c_str(), static_cast<char*>(nullptr));
@@ -268,9 +269,9 @@
   }
 
   net::EventBasePtr base_;
-  lab::StateStore state_;
-  lab::RunLog run_log_;
-  lab::Worker worker_;
+  simulation::StateStore state_;
+  simulation::RunLog run_log_;
+  simulation::Worker worker_;
   net::Address controller_address_;
   std::thread log_reader_;  // hands the program's log on
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
@@ -284,7 +285,7 @@
   bool machine_is_up_ = false, reporting_ = false, timed_out_ = false;
   net::Timer time_limit_, poll_timer_;
   std::function<void()> on_poll_;
-  std::string config_file_, operators_;
+  std::string config_file_, operator_file_;
   pid_t pid_ = -1;
 };
 
@@ -436,13 +437,15 @@
 }
 
 TEST_F(Loopback, ReleaseIsWithheldAcrossControllerKillAndCalendarReloaded) {
-  operators_ = ::testing::TempDir() + "oxbowmill-loop-" + std::to_string(::getpid()) + ".yaml";
-  auto calendar = [this](int version, const std::string& french) {
-    std::ofstream(operators_) << "calendar:\n  version: " << version
-                              << "\n  releases:\n    - name: manual\n      revision: r1\n      editions:\n"
-                                 "        ar: {render: [run-1], publish: run-3}\n        fr: {render: ["
-                              << french << "], publish: run-4}\n";
-  };
+  operator_file_ = ::testing::TempDir() + "oxbowmill-loop-" + std::to_string(::getpid()) + ".yaml";
+  auto calendar =
+      [this](int version, const std::string& french) {
+        std::ofstream(operator_file_)
+            << "calendar:\n  version: " << version
+            << "\n  releases:\n    - name: manual\n      revision: r1\n      editions:\n"
+               "        ar: {render: [run-1], publish: run-3}\n        fr: {render: ["
+            << french << "], publish: run-4}\n";
+      };
   calendar(1, "run-2");
   start_program();
   int status = 0;
@@ -529,7 +532,7 @@
       {"--help", 0, "--operator"},
   };
   for (const Case& test_case : cases) {
-    std::string command = std::string(PROGRAM) + " " + test_case.args + " 2>&1";
+    std::string command = std::string(CONTROLLER_PROGRAM) + " " + test_case.args + " 2>&1";
     FILE* out = popen(command.c_str(), "r");
     ASSERT_NE(out, nullptr);
     std::string text;
@@ -590,20 +593,22 @@
 
 TEST_F(Loopback, RestartedControllerResumesItsBid) {
   // The cloud has nothing; one market holds a long auction, another takes requests in and never answers.
-  lab::MarketBehavior slow;
+  simulation::MarketBehavior slow;
   slow.name = "north";
   slow.price = 2;
   slow.auction_s = 4;
   slow.delivery_s = 1;
-  lab::MarketBehavior mute = slow;
+  simulation::MarketBehavior mute = slow;
   mute.name = "south";
   mute.price = 1;
   mute.stall_chance = 1;
   double start = now();
   auto clock = [start] { return now() - start; };
   net::Address any{"127.0.0.1", 0};
-  lab::MarketServer north(base_.get(), any, lab::SimulatedMarket(slow, 1, {"std"}, {"a"}), clock);
-  lab::MarketServer south(base_.get(), any, lab::SimulatedMarket(mute, 2, {"std"}, {"a"}), clock);
+  simulation::MarketServer north(base_.get(), any, simulation::SimulatedMarket(slow, 1, {"std"}, {"a"}),
+                                 clock);
+  simulation::MarketServer south(base_.get(), any, simulation::SimulatedMarket(mute, 2, {"std"}, {"a"}),
+                                 clock);
   std::set<std::string> bids;
   int not_durable = 0;
   north.on_request = [&](const Request& r) {
@@ -612,8 +617,8 @@
     bids.insert(bid);
     not_durable += state_.keys().count("o/b/" + bid) == 0 ? 1 : 0;
   };
-  operators_ = ::testing::TempDir() + "oxbowmill-markets-" + std::to_string(::getpid()) + ".yaml";
-  std::ofstream(operators_)
+  operator_file_ = ::testing::TempDir() + "oxbowmill-markets-" + std::to_string(::getpid()) + ".yaml";
+  std::ofstream(operator_file_)
       << "give_back_s: 1\nidle_keep_s: 1\nmarkets:\n  answer_s: 1\n  trial_share: 1\n  spare_share: 0\n"
          "  ceiling: {per_hour: 100, per_window: 100}\n  list:\n"
       << "    - {name: north, address: \"" << net::to_string(north.address()) << "\"}\n"
@@ -643,7 +648,7 @@
   stop_program();
   EXPECT_TRUE(north.market().hosts().empty());  // killed before the auction was over
   start_program();
-  lab::Worker bought("north.m1", "a", run_log_);
+  simulation::Worker bought("north.m1", "a", run_log_);
   worker_ = std::move(bought);
   worker_.lease_s = 6;
   run_until([&] { return worker_.has("run-1/0") && worker_.has("run-1/1"); },
--- a/tests/accord_test.cpp
+++ b/tests/decisions_test.cpp
@@ -1,18 +1,19 @@
-// Durable decisions (docs/accord.md): several controllers, lost answers, late copies, repeats and restarts.
+// Durable decisions (docs/decisions.md): several controllers, lost answers, late copies, repeats and
+// restarts.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "oxbowmill/lab/agreed_world.h"
+#include "oxbowmill/simulation/decision_simulation.h"
 
 namespace oxbowmill {
 namespace {
 
-using accord::ChangeResult;
-using accord::DecisionKind;
-using accord::DecisionLog;
-using lab::SimulatedCluster;
-using lab::test_job;
-using lab::WriteOutcome;
+using decisions::ChangeResult;
+using decisions::DecisionKind;
+using decisions::DecisionLog;
+using simulation::SimulatedCluster;
+using simulation::test_job;
+using simulation::WriteOutcome;
 
 const DecisionKind lamp_kind = {"lamp", {{"", "off"}, {"off", "on"}, {"on", "on"}, {"on", "off"}}};
 
@@ -20,7 +21,7 @@
 ChangeResult request_change(SimulatedCluster& cluster, std::size_t node, DecisionLog& decision_log,
                             const std::string& state, PartitionIndex partition = idle_pool,
                             std::uint64_t epoch = 0) {
-  lab::SimulatedController& controller = cluster.controller(node);
+  simulation::SimulatedController& controller = cluster.controller(node);
   Effects out;
   const Decision* a = decision_log.find(lamp_kind, "hall");
   DecisionRecord next = a == nullptr ? DecisionRecord() : a->record;
@@ -34,7 +35,7 @@
     controller.on_write_result(w,
                                controller.write_outcome == WriteOutcome::answer_lost
                                    ? TransactionOutcome::unknown
-                                   : lab::outcome_of(r),
+                                   : simulation::outcome_of(r),
                                revision, cluster.now);
   }
   return asked;
@@ -63,7 +64,7 @@
 TEST(DecisionLog, UnansweredChangeStaysIndeterminateUntilResolved) {
   // A second change beside one in doubt could be overtaken by the late copy of the first.
   SimulatedCluster cluster;
-  lab::SimulatedController& controller = cluster.controller(0);
+  simulation::SimulatedController& controller = cluster.controller(0);
   DecisionLog decision_log(controller.cluster_state, controller.scheduler, 1);
   ASSERT_EQ(request_change(cluster, 0, decision_log, "off"), ChangeResult::sent);
   controller.write_outcome = WriteOutcome::not_arrived;
@@ -106,7 +107,7 @@
     }
   };
   SimulatedCluster cluster;
-  lab::SimulatedController& controller = cluster.controller(0);
+  simulation::SimulatedController& controller = cluster.controller(0);
   DecisionLog decision_log(controller.cluster_state, controller.scheduler, 1);
   DecisionGuard guard;
   guard.cluster_state = &controller.cluster_state;
@@ -145,7 +146,7 @@
 }
 
 TEST(LowerBoundClock, JumpsAndOffsetsNeverMakeItEarly) {
-  accord::LowerBoundClock clock(1);
+  decisions::LowerBoundClock clock(1);
   EXPECT_DOUBLE_EQ(clock.earliest_time({10, 1000}), 999);
   EXPECT_DOUBLE_EQ(clock.earliest_time({20, 2010}), 1009);  // jumped ahead: not believed yet
   EXPECT_DOUBLE_EQ(clock.earliest_time({30, 990}), 989);    // back: at once
@@ -161,11 +162,11 @@
   for (std::size_t i : {0, 1})
     desks.push_back(std::make_unique<DecisionLog>(cluster.controller(i).cluster_state,
                                                   cluster.controller(i).scheduler, 1));
-  std::vector<lab::Json> late;
+  std::vector<simulation::Json> late;
   const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 9));
   for (int step : steps) {
     auto n = static_cast<std::size_t>(step % 2);
-    lab::SimulatedController& node = cluster.controller(n);
+    simulation::SimulatedController& node = cluster.controller(n);
     cluster.now += 0.4;
     cluster.store.expire_leases(cluster.now);
     switch (step) {
@@ -187,7 +188,7 @@
         break;
       case 6:  // late copies of all that was lost
         for (std::size_t i : {0, 1}) {
-          for (const lab::Json& body : cluster.controller(i).lost_writes) cluster.store.txn(body);
+          for (const simulation::Json& body : cluster.controller(i).lost_writes) cluster.store.txn(body);
         }
         break;
       case 7:
@@ -218,10 +219,10 @@
 
 TEST(DecisionScenarios, InvariantsHoldAcrossOwnerCrashes) {
   for (const char* file : {"model-owners-end", "model-flaps", "release-owners-end"}) {
-    lab::DecisionScenario scenario =
-        lab::load_decision_scenario(std::string(DEPLOY_DIR) + "/lab/agreed/" + file + ".yaml");
+    simulation::DecisionScenario scenario =
+        simulation::load_decision_scenario(std::string(DEPLOY_DIR) + "/lab/agreed/" + file + ".yaml");
     scenario.duration_s = 3000;
-    for (const lab::DecisionRow& row : lab::play_decisions(scenario, 2, 2)) {
+    for (const simulation::DecisionRow& row : simulation::play_decisions(scenario, 2, 2)) {
       EXPECT_EQ(row.violations, 0) << file << ' ' << row.variant << ' ' << row.seed;
       if (row.variant != "as it is") continue;
       if (scenario.is_release_scenario) {
--- a/tests/meetings_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,17 +1,17 @@
-// Where two troubles meet (docs/meetings.md): each meeting brought about with several controllers.
+// Where two troubles meet (docs/fault-combinations.md): each meeting brought about with several controllers.
 #include <gtest/gtest.h>
 
-#include "oxbowmill/lab/cluster.h"
 #include "oxbowmill/service/admission.h"
-#include "oxbowmill/service/enquiry.h"
-#include "oxbowmill/service/view.h"
+#include "oxbowmill/service/replica_freshness.h"
+#include "oxbowmill/service/status_query.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::SimulatedController;
-using lab::test_job;
+using simulation::SimulatedCluster;
+using simulation::SimulatedController;
+using simulation::test_job;
 using Kind = ReportAnswer::Kind;
 
 /// One task runs on m1 under node 0; m2 is free.
@@ -225,7 +225,7 @@
   EXPECT_TRUE(view.is_live());
   EXPECT_EQ(view.as_of(), 50);
   EXPECT_EQ(view.revision(), 110U);
-  Settings s = lab::test_settings("n");
+  Settings s = simulation::test_settings("n");
   ControllerLease h(s);
   h.on_granted(1, 60);
   h.on_watch_answered(view.as_of());
@@ -263,15 +263,16 @@
 TEST(FaultCombinations, JobWaitCountsFromFirstSubmissionAttempt) {
   // Refused through an outage of a minute, it would look a minute younger than it is.
   struct SubmissionAttempt {
-    lab::Json body;
+    simulation::Json body;
     double submitted_at_s, first_submitted_at_s;
   };
   const SubmissionAttempt tries[] = {
-      {{{"ref", "run-1"}}, 100, 100}, {{{"ref", "run-1"}}, 140, 100}, {{{"ref", "run-2"}}, 141, 141},
-      {{{"ref", "run-1"}}, 160, 100}, {{{"ref", "run-1"}}, 161, 161},  // nobody repeats for so long
-      {{{"ref", "run-1"}}, 150, 150},                                  // a clock that was set back
-      {{{"ref", ""}}, 10, 10},        {{{"ref", ""}}, 20, 20},        {{{"ref", 7}}, 30, 30},
-      {lab::Json::object(), 40, 40},
+      {{{"ref", "run-1"}}, 100, 100}, {{{"ref", "run-1"}}, 140, 100},
+      {{{"ref", "run-2"}}, 141, 141}, {{{"ref", "run-1"}}, 160, 100},
+      {{{"ref", "run-1"}}, 161, 161},  // nobody repeats for so long
+      {{{"ref", "run-1"}}, 150, 150},  // a clock that was set back
+      {{{"ref", ""}}, 10, 10},        {{{"ref", ""}}, 20, 20},
+      {{{"ref", 7}}, 30, 30},         {simulation::Json::object(), 40, 40},
   };
   service::FirstAttempts known;
   for (const SubmissionAttempt& t : tries)
@@ -281,10 +282,10 @@
   EXPECT_EQ(known.record_attempt({{"ref", "swarm-19999"}}, 201), 200);
   EXPECT_EQ(known.record_attempt({{"ref", "swarm-0"}}, 201), 201) << "memory is bounded";
   // What was tried first is what the record says.
-  Names names = lab::test_names();
-  Settings settings = lab::test_settings("n");
-  lab::Json body = wire::write_submission(test_job("run-1", 1), names);
-  auto a = service::admit(body, names, settings, lab::test_catalog(), 100);
+  Names names = simulation::test_names();
+  Settings settings = simulation::test_settings("n");
+  simulation::Json body = wire::write_submission(test_job("run-1", 1), names);
+  auto a = service::admit(body, names, settings, simulation::test_catalog(), 100);
   ASSERT_FALSE(a.rejection);
   EXPECT_EQ(a.spec.submitted_at, 100);
 }
@@ -344,9 +345,9 @@
   auto put = [&](std::uint64_t lease_id) {
     Change change{ControllerKey{controller.name}, OwnershipRecord{controller.name, lease_id}, lease_id};
     std::string key = state::encode_key(change.key, controller.cluster_state);
-    lab::Json op = {
+    simulation::Json op = {
         {"put", key}, {"value", state::encode_value(change, controller.cluster_state)}, {"grant", lease_id}};
-    EXPECT_EQ(cluster.store.txn({{"guards", lab::Json::array()}, {"apply", {op}}}).status, 200);
+    EXPECT_EQ(cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {op}}}).status, 200);
     controller.sync(cluster.now);
   };
   EXPECT_TRUE(needs_registration(controller.cluster_state, controller.lease, controller.name));
--- a/tests/histories_test.cpp
+++ b/tests/fault_histories_test.cpp
@@ -1,23 +1,22 @@
-// The rules' checker, and a small cluster through meetings of troubles (docs/meetings.md), each swept over
-// the moment at which the second trouble strikes.
-#include "oxbowmill/lab/histories.h"
-
+// The rules' checker, and a small cluster through meetings of troubles (docs/fault-combinations.md), each
+// swept over the moment at which the second trouble strikes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <functional>
 
-#include "oxbowmill/lab/crew.h"
-#include "oxbowmill/lab/rules.h"
+#include "oxbowmill/simulation/invariant_checker.h"
+#include "oxbowmill/simulation/parallel.h"
+#include "oxbowmill/simulation/random_histories.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::ClusterScenario;
-using lab::Fault;
-using lab::FaultKind;
-using lab::InvariantChecker;
-using lab::JobAnswer;
+using simulation::ClusterScenario;
+using simulation::Fault;
+using simulation::FaultKind;
+using simulation::InvariantChecker;
+using simulation::JobAnswer;
 
 // --- The checker.
 
@@ -336,18 +335,20 @@
 /// Plays all of them, several at a time; what broke, with the script that brings it about.
 std::vector<std::string> broken_invariants(const std::vector<ClusterScenario>& all, std::uint64_t seeds) {
   std::vector<std::string> out(all.size() * seeds);
-  lab::run_in_parallel(out.size(), 2, [&](std::size_t i) {
+  simulation::run_in_parallel(out.size(), 2, [&](std::size_t i) {
     const ClusterScenario& scenario = all[i / seeds];
     std::uint64_t seed = 1 + i % seeds;
-    lab::ClusterResult result =
-        lab::ClusterSimulation(scenario, lab::SimulationVariant::with_reconciliation, seed).run();
+    simulation::ClusterResult result =
+        simulation::ClusterSimulation(scenario, simulation::SimulationVariant::with_reconciliation, seed)
+            .run();
     if (!result.violations.empty())
-      out[i] = result.violations[0] + ", seed " + std::to_string(seed) + "\n" + lab::to_script(scenario);
+      out[i] =
+          result.violations[0] + ", seed " + std::to_string(seed) + "\n" + simulation::to_script(scenario);
     // A history in which nothing was asked or done shows nothing.
     if (result.answers < 50 || result.done_by_class[0] + result.done_by_class[1] == 0)
       out[i] += "hardly anything was done or answered: " +
                 std::to_string(result.done_by_class[0] + result.done_by_class[1]) + " tasks, " +
-                std::to_string(result.answers) + " answers\n" + lab::to_script(scenario);
+                std::to_string(result.answers) + " answers\n" + simulation::to_script(scenario);
   });
   out.erase(std::remove(out.begin(), out.end(), ""), out.end());
   return out;
@@ -542,7 +543,7 @@
   FaultCombination combination = fault_combinations()[GetParam()];
   std::vector<ClusterScenario> all;
   for (double moment : {0.0, 0.3, 0.9, 1.7, 2.6, 3.8, 5.5, 9.0}) {
-    ClusterScenario scenario = lab::fault_combination_scenario();
+    ClusterScenario scenario = simulation::fault_combination_scenario();
     if (combination.configure) combination.configure(scenario);
     scenario.faults = combination.first_faults;
     for (Fault f : combination.second_faults) {
@@ -550,7 +551,7 @@
       scenario.faults.push_back(f);
     }
     for (Fault& f : scenario.faults) f.at_s += scenario.warm_up_s;
-    lab::extend_for_settling(scenario);
+    simulation::extend_for_settling(scenario);
     all.push_back(scenario);
   }
   for (const std::string& b : broken_invariants(all, 6)) ADD_FAILURE() << b;
@@ -583,7 +584,7 @@
     for (double cancel_after : {0.2, 1.5, 4.5}) {
       if (cancel_after >= outage_after) continue;
       for (double longer : {2.0, 40.0}) {
-        ClusterScenario scenario = lab::fault_combination_scenario();
+        ClusterScenario scenario = simulation::fault_combination_scenario();
         scenario.lease_s = times.lease_s;
         scenario.cancel_timeout_s = times.cancel_s;
         scenario.controller_lease_s = times.controller_lease_s;
@@ -593,7 +594,7 @@
             make_fault(Kind::jobs_cancelled, at + cancel_after, 0, 0.8),
             make_fault(Kind::jobs_cancelled, at + outage_after - 0.3, 0, 0.8),
             make_fault(Kind::state_outage, at + outage_after, scenario.cancel_timeout_s + longer)};
-        lab::extend_for_settling(scenario);
+        simulation::extend_for_settling(scenario);
         all.push_back(scenario);
       }
     }
@@ -619,14 +620,14 @@
          make_fault(Kind::all_controllers_down, moment + 0.4, 0.1, 0, 0.1),
          make_fault(Kind::all_controllers_down, moment + 1.1, 0.3)}};
     for (const std::vector<Fault>& then : ways) {
-      ClusterScenario scenario = lab::fault_combination_scenario();
+      ClusterScenario scenario = simulation::fault_combination_scenario();
       scenario.controllers = GetParam();
       // Old messages come late, requests that were carried out are repeated.
       scenario.faults = {make_fault(Kind::duplicate_reports, -5, 30, 0.3),
                          make_fault(Kind::delayed_writes, -5, 30, 0.3), make_fault(Kind::owner_down, 0, 0.2)};
       scenario.faults.insert(scenario.faults.end(), then.begin(), then.end());
       for (Fault& f : scenario.faults) f.at_s += scenario.warm_up_s;
-      lab::extend_for_settling(scenario);
+      simulation::extend_for_settling(scenario);
       all.push_back(scenario);
     }
   }
@@ -637,16 +638,16 @@
 
 TEST(FaultHistories, FourSingleTaskJobsPerSecondStayWithinTheLowestWriteLimit) {
   // Each takes a submission, a placement and its end (three keys): a fifth of the limit is left for the rest.
-  ClusterScenario scenario = lab::fault_combination_scenario();
+  ClusterScenario scenario = simulation::fault_combination_scenario();
   four_jobs_per_second(scenario);
   scenario.write_rps = 35;
   scenario.duration_s = 260;
-  lab::ClusterResult result =
-      lab::ClusterSimulation(scenario, lab::SimulationVariant::with_reconciliation, 1).run();
+  simulation::ClusterResult result =
+      simulation::ClusterSimulation(scenario, simulation::SimulationVariant::with_reconciliation, 1).run();
   EXPECT_TRUE(result.violations.empty()) << result.violations[0];
   EXPECT_EQ(result.late_starts, 0U);
   double changes = 0;
-  for (const lab::SecondSample& second : result.samples) changes += second.changes;
+  for (const simulation::SecondSample& second : result.samples) changes += second.changes;
   EXPECT_GT(result.done_by_class[1], 500U);
   // Of owners; a job that is called off has been placed and removed, or never placed.
   EXPECT_LT(changes / (scenario.arrays_per_s * scenario.duration_s), 4.5);
@@ -656,12 +657,13 @@
 
 TEST(FaultHistories, RandomFaultsKeepInvariants) {
   std::vector<std::string> broken(240);
-  lab::run_in_parallel(broken.size(), 2, [&](std::size_t i) {
+  simulation::run_in_parallel(broken.size(), 2, [&](std::size_t i) {
     std::uint64_t seed = 1 + i;
-    ClusterScenario s = lab::random_history(seed);
-    lab::ClusterResult r = lab::ClusterSimulation(s, lab::SimulationVariant::with_reconciliation, seed).run();
+    ClusterScenario s = simulation::random_history(seed);
+    simulation::ClusterResult r =
+        simulation::ClusterSimulation(s, simulation::SimulationVariant::with_reconciliation, seed).run();
     if (!r.violations.empty())
-      broken[i] = r.violations[0] + "; needs\n" + lab::to_script(lab::shrunk(s, seed));
+      broken[i] = r.violations[0] + "; needs\n" + simulation::to_script(simulation::shrunk(s, seed));
   });
   for (std::size_t i = 0; i < broken.size(); ++i) EXPECT_EQ(broken[i], "") << "seed " << 1 + i;
 }
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -3,15 +3,15 @@
 
 #include <algorithm>
 
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::Json;
-using lab::SimulatedCluster;
-using lab::test_job;
-using lab::WriteOutcome;
+using simulation::Json;
+using simulation::SimulatedCluster;
+using simulation::test_job;
+using simulation::WriteOutcome;
 using Kind = ReportAnswer::Kind;
 
 constexpr PartitionIndex red_partition{1};
@@ -145,13 +145,13 @@
     cluster.add_machine("m1");
     cluster.run(2);
     ASSERT_NO_FATAL_FAILURE(delay_placement_transaction(cluster, 1));
-    lab::Json change = {{"delete", "o/m/m1"}};
+    simulation::Json change = {{"delete", "o/m/m1"}};
     if (!gone) {
-      lab::Json marked = cluster.store.keys().at("o/m/m1").value;
+      simulation::Json marked = cluster.store.keys().at("o/m/m1").value;
       marked["del"] = true;
       change = {{"put", "o/m/m1"}, {"value", marked}};
     }
-    ASSERT_EQ(cluster.store.txn({{"guards", lab::Json::array()}, {"apply", {change}}}).status, 200);
+    ASSERT_EQ(cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {change}}}).status, 200);
     EXPECT_EQ(cluster.store.txn(cluster.controller(0).lost_writes[0]).status, 409) << gone;
     EXPECT_TRUE(cluster.machines_of_task("run-1", 0).empty()) << gone;
   }
@@ -190,7 +190,7 @@
   cluster.add_machine("m1");
   cluster.run(2);
   ASSERT_NO_FATAL_FAILURE(delay_placement_transaction(cluster, 1));
-  cluster.store.txn({{"guards", lab::Json::array()}, {"apply", {{{"delete", "o/j/run-1"}}}}});
+  cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {{{"delete", "o/j/run-1"}}}}});
   cluster.controller(0).write_outcome = WriteOutcome::answered;
   cluster.store.set_outage(true, cluster.now);
   cluster.now += 0.5;
@@ -389,7 +389,7 @@
 }
 
 TEST(Fencing, AuthorityExpiresAfterTheLastRenewalAndWatchResponse) {
-  Settings settings = lab::test_settings("n");
+  Settings settings = simulation::test_settings("n");
   double life = settings.operator_settings.controller_lease_s, grace = settings.read_only_period_s();
   struct Case {
     double renewed_at, watch_answered_at, now;
@@ -560,7 +560,7 @@
 }
 
 TEST(Fencing, PartitionsSpreadOverLiveControllers) {
-  ClusterState model(lab::test_settings("n0"), lab::test_names());
+  ClusterState model(simulation::test_settings("n0"), simulation::test_names());
   auto record_ownership = [&model](std::uint32_t partition, const std::string& node, Revision revision) {
     model.apply({OwnershipKey{PartitionIndex{partition}}, OwnershipRecord{node, 1}, 1}, revision, 100);
   };
@@ -581,7 +581,7 @@
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 2));
   cluster.run(3);
-  lab::SimulatedController late("node-9", cluster.store, lab::test_settings("node-9"));
+  simulation::SimulatedController late("node-9", cluster.store, simulation::test_settings("node-9"));
   std::vector<std::string> keys;
   for (const auto& [key, e] : cluster.store.keys()) keys.push_back(key);
   std::sort(keys.begin(), keys.end());
--- a/tests/free_capacity_test.cpp
+++ b/tests/free_capacity_test.cpp
@@ -1,28 +1,28 @@
 // The index of free capacity: the same choices as a full scan makes, and what it costs.
-#include "oxbowmill/core/free_capacity.h"
+#include "oxbowmill/scheduling/free_capacity.h"
 
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "full_scan.h"
-#include "oxbowmill/lab/cluster.h"
+#include "full_scan_placement.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
 /// A partition's machines at random, as the index and as a full scan see them.
 class RandomCluster {
  public:
   explicit RandomCluster(std::uint32_t seed)
-      : random_(seed), state_(lab::test_settings("n"), lab::test_names()), index_(state_) {
+      : random_(seed), state_(simulation::test_settings("n"), simulation::test_names()), index_(state_) {
     state_.names.types.intern("big");
     state_.names.images.intern("img-2");
     state_.names.zones.intern("c");
-    MachineType small = lab::test_catalog().front(), big = small;
+    MachineType small = simulation::test_catalog().front(), big = small;
     small.fetch_gb_per_s = 0.5;
     big.fetch_gb_per_s = 1;
     big.capacity = {96, 8, 512};
@@ -119,8 +119,8 @@
 
 /// Machines of 4 GPUs in two zones, all free but for a few, and what a selection among them visits.
 std::uint64_t count_visits(std::uint32_t machines, std::uint32_t free, std::uint32_t tasks, double gpus) {
-  ClusterState model(lab::test_settings("n"), lab::test_names());
-  model.catalog = lab::test_catalog();
+  ClusterState model(simulation::test_settings("n"), simulation::test_names());
+  model.catalog = simulation::test_catalog();
   FreeCapacity index(model);
   for (std::uint32_t i = 0; i < machines; ++i) {
     MachineIndex machine = model.intern_machine("m" + std::to_string(i));
@@ -150,8 +150,8 @@
 }
 
 TEST(FreeCapacity, ProvisionalReservationsAreReleasedByTheNextUpdate) {
-  ClusterState model(lab::test_settings("n"), lab::test_names());
-  model.catalog = lab::test_catalog();
+  ClusterState model(simulation::test_settings("n"), simulation::test_names());
+  model.catalog = simulation::test_catalog();
   FreeCapacity index(model);
   MachineIndex machine = model.intern_machine("m");
   MachineCapacity capacity;
@@ -210,9 +210,9 @@
   cluster.run(3);
   cluster.submit(test_job("run-1", 1, 4));
   cluster.controller(0).sync(cluster.now);
-  cluster.controller(0).write_outcome = lab::WriteOutcome::not_arrived;
+  cluster.controller(0).write_outcome = simulation::WriteOutcome::not_arrived;
   cluster.controller(0).run_cycle(cluster.now);
-  cluster.controller(0).write_outcome = lab::WriteOutcome::answered;
+  cluster.controller(0).write_outcome = simulation::WriteOutcome::answered;
   JobSpec second = test_job("run-2", 1, 4);
   second.partition = PartitionIndex{1};
   cluster.submit(second);
--- a/tests/full_scan.h
+++ b/tests/full_scan_placement.h
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "oxbowmill/core/free_capacity.h"
+#include "oxbowmill/scheduling/free_capacity.h"
 
 namespace oxbowmill::full_scan {
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -11,10 +11,10 @@
 #include <sstream>
 
 #include "oxbowmill/config/config.h"
-#include "oxbowmill/lab/cluster.h"
 #include "oxbowmill/service/admission.h"
-#include "oxbowmill/service/outbox.h"
 #include "oxbowmill/service/peers.h"
+#include "oxbowmill/service/write_queue.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 #include "oxbowmill/wire/market_codec.h"
 
 namespace oxbowmill {
@@ -94,7 +94,7 @@
 }
 
 JobSpec full_job() {
-  JobSpec spec = lab::test_job("run-1", 70, 0.5);
+  JobSpec spec = simulation::test_job("run-1", 70, 0.5);
   spec.shape = JobShape::gang;
   spec.priority = Priority::high;
   spec.image_gb = 6.25;
@@ -111,14 +111,14 @@
 
 /// Only what a submission must have.
 JobSpec bare_job() {
-  JobSpec spec = lab::test_job("run-2", 1);
+  JobSpec spec = simulation::test_job("run-2", 1);
   spec.submitted_at = 1700000001;
   return spec;
 }
 
 /// Tables that know the jobs, machines and markets which the records name.
 struct Tables {
-  Tables() : model(lab::test_settings("node-0"), lab::test_names()) {
+  Tables() : model(simulation::test_settings("node-0"), simulation::test_names()) {
     for (const JobSpec& spec : {full_job(), bare_job()}) {
       model.apply({JobKey{model.intern_job(spec.ref)}, JobRecord{spec, JobPhase::open}, 0}, 1, 0);
     }
@@ -262,9 +262,9 @@
   lines.expect_same("transactions.txt");
 }
 
-void add_kind(GoldenLines& lines, const accord::DecisionKind& kind) {
+void add_kind(GoldenLines& lines, const decisions::DecisionKind& kind) {
   lines.add(kind.name, kind.key("x"));
-  for (const accord::DecisionKind::Transition& step : kind.transitions)
+  for (const decisions::DecisionKind::Transition& step : kind.transitions)
     lines.add(kind.name + " step", step.from + " > " + step.to);
 }
 
@@ -275,8 +275,8 @@
   return names;
 }
 
-release::ReleaseCalendar one_release() {
-  release::ReleaseSpec terms;
+release_calendar::ReleaseCalendar one_release() {
+  release_calendar::ReleaseSpec terms;
   terms.name = "manual";
   terms.revision = "r1";
   terms.editions = {{"ar", {{"run-ar", "", "", 1}}, {"run-pub-ar", "", "", 1}},
@@ -284,8 +284,8 @@
   return {3, {terms}};
 }
 
-models::Settings one_model() {
-  models::ModelSpec terms;
+serving::Settings one_model() {
+  serving::ModelSpec terms;
   terms.name = "chat";
   terms.job_class = "class";
   terms.call_classes = {"call"};
@@ -295,17 +295,17 @@
 
 TEST(Golden, DurableDecisions) {
   GoldenLines lines;
-  for (const accord::DecisionKind* kind :
-       {&release::spec_kind(), &release::decision_kind(), &models::decision_kind()})
+  for (const decisions::DecisionKind* kind :
+       {&release_calendar::spec_kind(), &release_calendar::decision_kind(), &serving::decision_kind()})
     add_kind(lines, *kind);
   // Names of the notes and counts in the records that controllers write.
-  lab::SimulatedCluster cluster(1);
+  simulation::SimulatedCluster cluster(1);
   cluster.controller(0).enable_decisions(one_release(), one_model());
   cluster.add_machine("m1");
-  JobSpec standing = lab::test_job("run-1", 1);
+  JobSpec standing = simulation::test_job("run-1", 1);
   standing.shape = JobShape::service;
   cluster.submit(standing);
-  cluster.submit(lab::test_job("run-ar", 1));
+  cluster.submit(simulation::test_job("run-ar", 1));
   cluster.run(15);
   for (const auto& [key, entry] : cluster.store.keys()) {
     if (key.rfind("o/d/", 0) == 0)
@@ -316,24 +316,24 @@
 
 TEST(Golden, ReleaseTerms) {
   GoldenLines lines;
-  release::ReleaseSpec terms = one_release().releases[0];
-  lines.add("bare", release::to_text(terms));
+  release_calendar::ReleaseSpec terms = one_release().releases[0];
+  lines.add("bare", release_calendar::to_text(terms));
   terms.publish_time =
-      release::ScheduledTime{"Africa/Tunis", {1, 4}, "", 21600, 7200, {"2027-01-01", "2027-03-20"}};
-  lines.add("weekly", release::to_text(terms));
-  terms.publish_time = release::ScheduledTime{"UTC", {}, "2026-12-24", 5, 0, {}};
-  lines.add("dated", release::to_text(terms));
+      release_calendar::ScheduledTime{"Africa/Tunis", {1, 4}, "", 21600, 7200, {"2027-01-01", "2027-03-20"}};
+  lines.add("weekly", release_calendar::to_text(terms));
+  terms.publish_time = release_calendar::ScheduledTime{"UTC", {}, "2026-12-24", 5, 0, {}};
+  lines.add("dated", release_calendar::to_text(terms));
   for (const auto& [name, body] : read_inputs("input_terms.txt")) {
-    auto read = release::from_text(body.dump());
+    auto read = release_calendar::from_text(body.dump());
     ASSERT_TRUE(read) << name;
-    lines.add("read " + name, release::to_text(*read));
+    lines.add("read " + name, release_calendar::to_text(*read));
   }
   lines.expect_same("terms.txt");
 }
 
 TEST(Golden, JobBodiesWritten) {
   GoldenLines lines;
-  Names names = lab::test_names();
+  Names names = simulation::test_names();
   lines.add_body("submission full", wire::write_submission(full_job(), names));
   lines.add_body("submission bare", wire::write_submission(bare_job(), names));
   JobSpec spec = bare_job();
@@ -365,7 +365,7 @@
 
 TEST(Golden, CloudBodiesWritten) {
   GoldenLines lines;
-  Names names = lab::test_names();
+  Names names = simulation::test_names();
   MachineType type{{32, 4, 128}, 200, 0.5, 10, 3, 20, {}};
   lines.add_body("catalog", wire::write_catalog({{"std", type, {"a", "b"}}}));
   lines.add_body("rental", wire::write_scale_out({"hire-1", TypeIndex{0}, ZoneIndex{1}, true, 3, {}}, names));
@@ -376,7 +376,7 @@
 TEST(Golden, SubmissionsRead) {
   GoldenLines lines;
   for (const auto& [name, body] : read_inputs("input_submissions.txt")) {
-    Names names = lab::test_names();
+    Names names = simulation::test_names();
     JobSpec spec;
     auto rejection = wire::read_submission(body, names, spec);
     lines.add(name, rejection ? std::to_string(rejection->status) + " " + rejection->reason
@@ -387,7 +387,7 @@
 
 TEST(Golden, SubmissionFieldsReachTheirMeaning) {
   Json body = input("input_submissions.txt", "full");
-  Names names = lab::test_names();
+  Names names = simulation::test_names();
   JobSpec spec;
   ASSERT_FALSE(wire::read_submission(body, names, spec));
   EXPECT_EQ(spec.ref, "run-000412");
@@ -510,7 +510,7 @@
       {"charges", Kind::charges},
   };
   for (const auto& [name, kind] : calls) {
-    wire::MarketRequest request = wire::write_market_call(market_call(kind), lab::test_names());
+    wire::MarketRequest request = wire::write_market_call(market_call(kind), simulation::test_names());
     lines.add(std::string(name) + " path", (request.is_post ? "POST " : "GET ") + request.path);
     lines.add_body(name, request.body);
   }
@@ -519,7 +519,7 @@
 
 market::Answer market_answer(market::CallKind kind, const std::string& name) {
   std::string body = wire::encode(input("input_market.txt", name));
-  return wire::read_market_answer(market_call(kind), 200, body, 0, lab::test_names());
+  return wire::read_market_answer(market_call(kind), 200, body, 0, simulation::test_names());
 }
 
 TEST(Golden, MarketQuotesAndChargesRead) {
@@ -668,17 +668,18 @@
 }
 
 TEST(Golden, CalendarRead) {
-  const release::ReleaseCalendar calendar = golden_config().calendar;
+  const release_calendar::ReleaseCalendar calendar = golden_config().calendar;
   GoldenLines lines;
   lines.add("version", std::to_string(calendar.version));
-  for (const release::ReleaseSpec& terms : calendar.releases) lines.add(terms.name, release::to_text(terms));
+  for (const release_calendar::ReleaseSpec& terms : calendar.releases)
+    lines.add(terms.name, release_calendar::to_text(terms));
   lines.expect_same("calendar.txt");
 }
 
 TEST(Golden, ModelsProgressAndRecoveryRead) {
   const config::Config config = golden_config();
   ASSERT_EQ(config.models.models.size(), 1U);
-  const models::ModelSpec& m = config.models.models[0];
+  const serving::ModelSpec& m = config.models.models[0];
   EXPECT_EQ(m.name, "translate");
   EXPECT_EQ(m.job_class, "serve-translate");
   EXPECT_EQ(m.image, "translate-70b");
@@ -691,7 +692,7 @@
   EXPECT_TRUE(config.settings.progress.enabled);
   EXPECT_EQ(config.settings.progress.min_speed, 0.25);
   EXPECT_EQ(config.settings.progress.max_speed, 1.5);
-  const recovery::Settings& r = config.recovery;
+  const reconciliation::Settings& r = config.recovery;
   EXPECT_TRUE(r.enabled);
   EXPECT_EQ(r.reported_fraction, 0.65);
   EXPECT_EQ(r.sufficient_fraction, 0.95);
@@ -767,11 +768,12 @@
 
 TEST(Golden, ProgramArguments) {
   GoldenLines lines;
-  add_help(lines, PROGRAM, "oxbowmill", {});
+  add_help(lines, CONTROLLER_PROGRAM, "oxbowmill", {});
   // Defaults from the surroundings must not matter.
-  add_help(lines, std::string("env -u OXBOW_CONFIG -u OXBOW_NODES -u OXBOW_TEAM ") + OXBOW, "oxbow",
-           {"submit", "status", "wait", "withdraw"});
-  add_help(lines, OXBOW_LAB, "oxbow-lab", {"markets", "cluster", "agreed", "histories", "scale", "market"});
+  add_help(lines, std::string("env -u OXBOW_CONFIG -u OXBOW_NODES -u OXBOW_TEAM ") + CLIENT_PROGRAM,
+           "oxbowctl", {"submit", "status", "wait", "withdraw"});
+  add_help(lines, SIMULATION_PROGRAM, "oxbowmill-sim",
+           {"markets", "cluster", "agreed", "histories", "scale", "market"});
   lines.expect_same("arguments.txt");
 }
 
--- a/tests/market_safety_test.cpp
+++ b/tests/market_safety_test.cpp
@@ -2,17 +2,17 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
-using lab::WriteOutcome;
+using simulation::SimulatedCluster;
+using simulation::test_job;
+using simulation::WriteOutcome;
 
-lab::MarketBehavior north_market() {
-  lab::MarketBehavior profile;
+simulation::MarketBehavior north_market() {
+  simulation::MarketBehavior profile;
   profile.name = "north";
   profile.price = 8;
   profile.capacity = 20;
@@ -22,7 +22,7 @@
 }
 
 struct MarketCluster : SimulatedCluster {
-  explicit MarketCluster(const lab::MarketBehavior& c) {
+  explicit MarketCluster(const simulation::MarketBehavior& c) {
     market_settings.total_limit = {market::to_money_amount(1000), market::to_money_amount(1000)};
     market_settings.trial_fraction = 1;
     add_market(c);
@@ -63,7 +63,7 @@
 TEST(MarketSafety, ReturnedMachineStillRunningBlocksItsTaskFromStartingElsewhere) {
   // Its record is marked as to be returned while a task may be on it, and the market says that it is back.
   // The machine runs on and its worker cannot be heard: only the lease proves that the task is off.
-  lab::MarketBehavior liar = north_market();
+  simulation::MarketBehavior liar = north_market();
   liar.runs_after_return = true;
   MarketCluster cluster(liar);
   std::string machine_name = cluster.machine_of_first_job();
@@ -72,7 +72,7 @@
   auto record = cluster.store.keys().at("o/m/" + machine_name);
   record.value["del"] = true;
   record.value["part"] = state::idle_pool_name;
-  cluster.store.txn({{"guards", lab::Json::array()},
+  cluster.store.txn({{"guards", simulation::Json::array()},
                      {"apply", {{{"put", "o/m/" + machine_name}, {"value", record.value}}}}});
   double lease = cluster.controller(0).cluster_state.settings.lease_s;
   for (double t = 0; t + 1 < lease; t += 0.5) {
@@ -87,7 +87,7 @@
 }
 
 TEST(MarketSafety, ReturnedMachineThatStillReportsIsNotUsedUnderItsOldRecord) {
-  lab::MarketBehavior liar = north_market();
+  simulation::MarketBehavior liar = north_market();
   liar.runs_after_return = true;
   MarketCluster cluster(liar);
   std::string machine_name = cluster.machine_of_first_job();
@@ -113,7 +113,7 @@
   JobSpec spec = test_job("run-1", 1, 4);
   spec.zone = ZoneIndex{0};
   cluster.submit(spec);
-  cluster.store.txn({{"guards", lab::Json::array()},
+  cluster.store.txn({{"guards", simulation::Json::array()},
                      {"apply",
                       {{{"put", "o/m/north.x1"},
                         {"value",
@@ -133,7 +133,7 @@
 }
 
 TEST(MarketSafety, FailoverDuringAnAuctionNeitherLosesTheMachineNorRunsTwice) {
-  lab::MarketBehavior slow = north_market();
+  simulation::MarketBehavior slow = north_market();
   slow.auction_s = 6;
   slow.delivery_s = 10;
   MarketCluster cluster(slow);
@@ -154,10 +154,10 @@
 }
 
 TEST(MarketSafety, MachinesOfAnOverchargingMarketAreVacatedAndReturned) {
-  lab::MarketBehavior liar = north_market();
+  simulation::MarketBehavior liar = north_market();
   liar.overcharge_factor = 100;
   MarketCluster cluster(liar);
-  lab::MarketBehavior honest = north_market();
+  simulation::MarketBehavior honest = north_market();
   honest.name = "south";
   honest.price = 9;
   cluster.add_market(honest);
@@ -172,9 +172,9 @@
 }
 
 RC_GTEST_PROP(MarketSafetyProperties, NoTaskRunsTwiceUnderAnyMixtureOfFaults, ()) {
-  lab::MarketBehavior first_market = north_market(), second_market = north_market();
+  simulation::MarketBehavior first_market = north_market(), second_market = north_market();
   second_market.name = "south";
-  for (lab::MarketBehavior* profile : {&first_market, &second_market}) {
+  for (simulation::MarketBehavior* profile : {&first_market, &second_market}) {
     profile->runs_after_return = *rc::gen::arbitrary<bool>();
     profile->never_delivers_chance = *rc::gen::inRange(0, 3) / 5.0;
     profile->late_chance = *rc::gen::inRange(0, 3) / 5.0;
--- a/tests/market_test.cpp
+++ b/tests/market_test.cpp
@@ -8,7 +8,7 @@
 #include <limits>
 #include <random>
 
-#include "oxbowmill/market/venue.h"
+#include "oxbowmill/market/market_client.h"
 #include "oxbowmill/state/keys.h"
 #include "oxbowmill/wire/market_codec.h"
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,14 +1,14 @@
 // Where tasks may go, and gangs: all or none, and what their members say together.
 #include <gtest/gtest.h>
 
-#include "oxbowmill/core/token_bucket.h"
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/cluster/token_bucket.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
 CandidateMachine make_candidate(std::uint32_t zone, double gpus, bool image = false, bool spot = false) {
   return {MachineIndex{}, TypeIndex{0}, ZoneIndex{zone}, spot, 0, {32, gpus, 128}, 0, image ? 0.0 : 10.0};
@@ -314,7 +314,7 @@
   cluster.now += 0.5;
   cluster.exchange_report("m1", 0);
   cluster.controller(0).write_outcome =
-      lab::WriteOutcome::answer_lost;  // the end is written, and its answer is waited for
+      simulation::WriteOutcome::answer_lost;  // the end is written, and its answer is waited for
   cluster.controller(0).run_cycle(cluster.now);
   EXPECT_TRUE(cluster.machines_of_task("run-0", 0).empty());
 }
@@ -525,7 +525,7 @@
 TEST(Autoscaler, UnregisteredMachineIsAdopted) {
   SimulatedCluster cluster;
   cluster.add_machine("m1", "a", ".pool");
-  lab::Worker unregistered_worker("host-9", "b", cluster.run_log);
+  simulation::Worker unregistered_worker("host-9", "b", cluster.run_log);
   auto a = cluster.controller(0).handle_report(unregistered_worker.report(cluster.now), cluster.now);
   EXPECT_EQ(a.kind, ReportAnswer::Kind::ok);
   EXPECT_TRUE(a.commands.empty());
@@ -538,7 +538,7 @@
   SimulatedCluster cluster;
   cluster.submit(test_job("run-1", 1));
   cluster.controller(0).sync(cluster.now);
-  lab::Worker unregistered_worker("host-9", "b", cluster.run_log);
+  simulation::Worker unregistered_worker("host-9", "b", cluster.run_log);
   cluster.controller(0).handle_report(unregistered_worker.report(cluster.now), cluster.now);
   std::size_t before = cluster.store.events().size();
   cluster.run(0.5);
--- a/tests/troubles.h
+++ b/tests/random_faults.h
@@ -1,7 +1,7 @@
 // Troubles that the random histories of releases and models share.
 #pragma once
 
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 
@@ -10,15 +10,16 @@
 /// `world` has a cluster of three controllers, one of which owns; `pick(n)` draws from 0 to n - 1.
 template <class World, class Pick>
 void inject_fault(World& world, RandomFault what, Pick&& pick) {
-  lab::SimulatedController& owner = world.cluster.controller(world.owner);
+  simulation::SimulatedController& owner = world.cluster.controller(world.owner);
   switch (what) {
     case RandomFault::owner_crash:
       world.change_owner();
       break;
     case RandomFault::responses_lost:
-      owner.write_outcome = pick(2) == 0 ? lab::WriteOutcome::answer_lost : lab::WriteOutcome::not_arrived;
+      owner.write_outcome =
+          pick(2) == 0 ? simulation::WriteOutcome::answer_lost : simulation::WriteOutcome::not_arrived;
       world.run(0.5);
-      owner.write_outcome = lab::WriteOutcome::answered;
+      owner.write_outcome = simulation::WriteOutcome::answered;
       break;
     case RandomFault::state_outage:
       world.cluster.store.set_outage(true, world.cluster.now);
@@ -27,7 +28,8 @@
       break;
     case RandomFault::delayed_duplicates:
       for (std::size_t i = 0; i < 3; ++i) {
-        for (const lab::Json& body : world.cluster.controller(i).lost_writes) world.cluster.store.txn(body);
+        for (const simulation::Json& body : world.cluster.controller(i).lost_writes)
+          world.cluster.store.txn(body);
       }
       break;
   }
--- a/tests/recovery_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -1,22 +1,22 @@
-// Starts that are squared and machines that are doubted (docs/start.md), with several machines and the
-// failures they are meant for.
+// Starts that are squared and machines that are doubted (docs/reconciliation.md), with several machines and
+// the failures they are meant for.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <filesystem>
 
-#include "oxbowmill/lab/cluster.h"
-#include "oxbowmill/lab/fleet_experiment.h"
+#include "oxbowmill/simulation/cluster_experiment.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::Json;
-using lab::SimulatedCluster;
-using lab::test_job;
-using recovery::AgentLiveness;
-using recovery::Difference;
-using recovery::PartitionPhase;
+using reconciliation::AgentLiveness;
+using reconciliation::Difference;
+using reconciliation::PartitionPhase;
+using simulation::Json;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
 constexpr PartitionIndex red_partition{1};
 
@@ -35,7 +35,7 @@
     cluster.run(4);
   }
   /// `anew`: every controller has ended and begun again, so that no earlier owner can answer anybody.
-  void fail_over(recovery::Settings s = {}, bool all_restarted = true) {
+  void fail_over(reconciliation::Settings s = {}, bool all_restarted = true) {
     cluster.kill_controller(0);
     cluster.now += 4;
     cluster.controller(1).enable_reconciliation(s);
@@ -46,7 +46,7 @@
     for (std::size_t n : {0, 1}) cluster.register_controller(n);
     cluster.controller(1).sync(cluster.now);
   }
-  recovery::Reconciler& reconciler() { return *cluster.controller(1).reconciler; }
+  reconciliation::Reconciler& reconciler() { return *cluster.controller(1).reconciler; }
   MachineIndex machine(const std::string& m) {
     return cluster.controller(1).cluster_state.names.machines.find(m);
   }
@@ -123,9 +123,9 @@
       if (t.job == "run-1" && t.attempt == 5) t.task = 1 - here;
     }
     auto differences =
-        recovery::compare(fixture.cluster.controller(1).cluster_state, fixture.machine("m0"), report);
+        reconciliation::compare(fixture.cluster.controller(1).cluster_state, fixture.machine("m0"), report);
     EXPECT_EQ(differences[test_case.kind], 1U) << test_case.description;
-    for (std::size_t i = 0; i < recovery::difference_kind_count; ++i) {
+    for (std::size_t i = 0; i < reconciliation::difference_kind_count; ++i) {
       if (static_cast<Difference>(i) == test_case.kind) continue;
       EXPECT_EQ(differences.count[i], 0U) << test_case.description << ": " << i;
     }
@@ -149,16 +149,16 @@
   report.fencing_token = ~0ULL;
   MachineIndex machine_index = cluster.controller(1).cluster_state.names.machines.find("m0");
   ASSERT_EQ(report.tasks.size(), 1U);
-  EXPECT_FALSE(recovery::compare(cluster.controller(1).cluster_state, machine_index, report).any());
+  EXPECT_FALSE(reconciliation::compare(cluster.controller(1).cluster_state, machine_index, report).any());
   report.tasks[0].phase = TaskPhase::ended;
   report.tasks[0].cause = EndCause::peers_lost;
-  EXPECT_EQ(
-      recovery::compare(cluster.controller(1).cluster_state, machine_index, report)[Difference::gang_broken],
-      1U);
+  EXPECT_EQ(reconciliation::compare(cluster.controller(1).cluster_state, machine_index,
+                                    report)[Difference::gang_broken],
+            1U);
   report.tasks.clear();
-  EXPECT_EQ(
-      recovery::compare(cluster.controller(1).cluster_state, machine_index, report)[Difference::gang_broken],
-      1U);
+  EXPECT_EQ(reconciliation::compare(cluster.controller(1).cluster_state, machine_index,
+                                    report)[Difference::gang_broken],
+            1U);
 }
 
 TEST(SuspicionThreshold, IsRelativeWithFloorAndCap) {
@@ -167,17 +167,17 @@
     std::uint32_t expected_machines;
     double threshold_s;
   };
-  recovery::Settings s;  // 0.6 of the machines, times 1.5
+  reconciliation::Settings s;  // 0.6 of the machines, times 1.5
   for (const Case& k : {Case{{}, 10, -1}, Case{{1, 1, 1, 1, 1}, 10, -1}, Case{{1, 1, 1, 1, 1, 2}, 10, 6},
                         Case{{1, 1, 1, 1, 1, 6}, 10, 9}, Case{{1, 1, 1, 1, 1, 9}, 10, 12}, Case{{1}, 1, 6}}) {
-    EXPECT_DOUBLE_EQ(recovery::suspicion_threshold(k.report_delays_s, k.expected_machines, 6, 12, s),
+    EXPECT_DOUBLE_EQ(reconciliation::suspicion_threshold(k.report_delays_s, k.expected_machines, 6, 12, s),
                      k.threshold_s)
         << k.report_delays_s.size();
   }
 }
 
 TEST(SuspicionStatistics, OutcomesShiftProbabilitiesAndDecay) {
-  recovery::SuspicionStatistics statistics;
+  reconciliation::SuspicionStatistics statistics;
   EXPECT_DOUBLE_EQ(statistics.return_probability(), 0.75);
   for (int i = 0; i < 8; ++i) statistics.record_loss();
   EXPECT_DOUBLE_EQ(statistics.return_probability(), 0.25);
@@ -188,11 +188,11 @@
   for (int i = 0; i < 60; ++i) statistics.record_return();
   EXPECT_GT(statistics.return_probability(), 0.6);
   // The longer it has lasted the longer it lasts, and what is proved need not be guessed.
-  recovery::SuspicionStatistics none;
-  EXPECT_DOUBLE_EQ(recovery::report_probability(none, 0, 10), 0.75);
-  EXPECT_DOUBLE_EQ(recovery::report_probability(none, 10, 10), 0.375);
-  EXPECT_DOUBLE_EQ(recovery::report_probability(none, 30, 10), 0.1875);
-  EXPECT_DOUBLE_EQ(recovery::report_probability(none, 10, 0), 0);
+  reconciliation::SuspicionStatistics none;
+  EXPECT_DOUBLE_EQ(reconciliation::report_probability(none, 0, 10), 0.75);
+  EXPECT_DOUBLE_EQ(reconciliation::report_probability(none, 10, 10), 0.375);
+  EXPECT_DOUBLE_EQ(reconciliation::report_probability(none, 30, 10), 0.1875);
+  EXPECT_DOUBLE_EQ(reconciliation::report_probability(none, 10, 0), 0);
 }
 
 TEST(Reconciler, CollectsReportsReconcilesAndServes) {
@@ -218,7 +218,7 @@
 TEST(Reconciler, SingleSilentMachineIsSuspectedUntilItReports) {
   ReconciliationFixture fixture(8);
   fixture.cluster.silenced_workers.insert("m3");
-  recovery::Settings settings;
+  reconciliation::Settings settings;
   settings.delete_suspects = false;
   fixture.fail_over(settings);
   fixture.cluster.run(5, 1);
@@ -367,7 +367,7 @@
                                 Case{"switched off", false, false, 40, false},
                                 Case{"a market's word is no proof", true, true, 40, false}}) {
     ReconciliationFixture fixture(8);
-    recovery::Settings settings;
+    reconciliation::Settings settings;
     settings.delete_suspects = test_case.delete_suspects;
     fixture.cluster.silenced_workers.insert("m3");
     fixture.fail_over(settings);
@@ -381,7 +381,8 @@
       fixture.cluster.controller(1).sync(fixture.cluster.now);
     }
     for (int i = 0; i < test_case.losses; ++i)
-      const_cast<recovery::SuspicionStatistics&>(fixture.reconciler().suspicion_statistics()).record_loss();
+      const_cast<reconciliation::SuspicionStatistics&>(fixture.reconciler().suspicion_statistics())
+          .record_loss();
     fixture.cluster.run(8, 1);
     EXPECT_TRUE(fixture.reconciler().suspected(fixture.machine("m3"))) << test_case.description;
     EXPECT_EQ(fixture.marked_for_deletion("m3"), test_case.deleted) << test_case.description;
@@ -394,7 +395,7 @@
   cluster.run(2);
   cluster.kill_controller(0);
   cluster.now += 4;
-  recovery::Settings settings;
+  reconciliation::Settings settings;
   cluster.controller(1).enable_reconciliation(settings);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   auto marked = [&cluster] {
@@ -416,7 +417,7 @@
   fixture.cluster.silenced_workers.insert("m0");
   fixture.fail_over();
   fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
-  recovery::Reconciler& start = fixture.reconciler();
+  reconciliation::Reconciler& start = fixture.reconciler();
   ASSERT_EQ(start.phase(red_partition), PartitionPhase::awaiting_reports);
   EXPECT_FALSE(start.may_scale_out(red_partition, JobIndex{0}, false, fixture.cluster.now));
   EXPECT_TRUE(start.may_scale_out(red_partition, JobIndex{0}, true, fixture.cluster.now));
@@ -449,7 +450,8 @@
   for (int i = 0; i < 10; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
   fixture.fail_over();
   for (int i = 0; i < 40; ++i)
-    const_cast<recovery::SuspicionStatistics&>(fixture.reconciler().suspicion_statistics()).record_loss();
+    const_cast<reconciliation::SuspicionStatistics&>(fixture.reconciler().suspicion_statistics())
+        .record_loss();
   fixture.cluster.run(7, 1);
   ASSERT_EQ(fixture.reconciler().suspects(100).size(), 10U);
   // 20 changes a second here: two deletions a second, and a burst of as many.
@@ -471,7 +473,7 @@
   fixture.cluster.controller(0).acquire_partition(red_partition, fixture.cluster.now);
   fixture.cluster.controller(1).sync(fixture.cluster.now);
   fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
-  recovery::Reconciler& start = fixture.reconciler();
+  reconciliation::Reconciler& start = fixture.reconciler();
   Revision ownership_revision = fixture.cluster.controller(1).cluster_state.ownership(red_partition).revision;
   ASSERT_NE(ownership_revision, 0U);
   double arrival = fixture.cluster.controller(1).cluster_state.settings.first_report_timeout_s();
@@ -501,7 +503,7 @@
   ReconciliationFixture fixture(20);
   fixture.fail_over();
   fixture.cluster.run(2, 1);
-  recovery::Reconciler& start = fixture.reconciler();
+  reconciliation::Reconciler& start = fixture.reconciler();
   std::size_t asked = 0;
   for (int round = 0; round < 5; ++round) {
     for (int i = 0; i < 4; ++i) start.on_peer_suspect(fixture.machine(machine_name(i)), fixture.cluster.now);
@@ -521,7 +523,7 @@
   cluster.run(2);
   cluster.kill_controller(0);
   cluster.now += 4;
-  recovery::Settings settings;
+  reconciliation::Settings settings;
   cluster.controller(1).enable_reconciliation(settings);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   // It was up, nothing is on it, and it stays silent: no lease speaks for it.
@@ -537,7 +539,7 @@
 TEST(Reconciler, ReplacementsAreBoundedAndRequestedOnce) {
   ReconciliationFixture fixture(20);
   for (int i = 0; i < 5; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
-  recovery::Settings settings;
+  reconciliation::Settings settings;
   settings.delete_suspects = false;
   fixture.fail_over(settings);
   fixture.cluster.run(7, 1);
@@ -561,16 +563,17 @@
 
 TEST_P(ReconciliationScenarioTest, KeepsInvariantsAndReconciles) {
   std::string dir = std::string(DEPLOY_DIR) + "/lab/";
-  auto s = lab::load_cluster_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
-  for (lab::Fault& f : s.faults) f.count = f.count / 10;  // a tenth of the fleet they were written for
-  auto rows = lab::play(s, 2, 1);
-  for (const lab::ClusterSummary& x : lab::summarise(s, rows)) {
+  auto s =
+      simulation::load_cluster_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
+  for (simulation::Fault& f : s.faults) f.count = f.count / 10;  // a tenth of the fleet they were written for
+  auto rows = simulation::play(s, 2, 1);
+  for (const simulation::ClusterSummary& x : simulation::summarise(s, rows)) {
     EXPECT_EQ(x.violations, 0) << name_of(x.variant) << ": " << x.first_violation;
-    if (x.variant != lab::SimulationVariant::with_reconciliation) continue;
+    if (x.variant != simulation::SimulationVariant::with_reconciliation) continue;
     EXPECT_GE(x.lowest_served_fraction, 0.5);
   }
-  for (const lab::ClusterRow& r : rows) {
-    if (r.variant != lab::SimulationVariant::with_reconciliation) continue;
+  for (const simulation::ClusterRow& r : rows) {
+    if (r.variant != simulation::SimulationVariant::with_reconciliation) continue;
     EXPECT_GE(r.result.reconciled_s, 0) << "seed " << r.seed;
   }
 }
@@ -596,12 +599,14 @@
 
 TEST_P(ReconciliationAcceptanceTest, HalfOfEachGroupIsServedAndAllStartInTime) {
   std::string dir = std::string(DEPLOY_DIR) + "/lab/";
-  auto s = lab::load_cluster_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
-  for (lab::Fault& f : s.faults) f.count = f.count / 10;
+  auto s =
+      simulation::load_cluster_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
+  for (simulation::Fault& f : s.faults) f.count = f.count / 10;
   s.duration_s = 420;
-  lab::ClusterResult result = lab::ClusterSimulation(s, lab::SimulationVariant::with_reconciliation, 1).run();
+  simulation::ClusterResult result =
+      simulation::ClusterSimulation(s, simulation::SimulationVariant::with_reconciliation, 1).run();
   for (std::size_t i : {0, 1}) {
-    for (const lab::ServedJobs& x :
+    for (const simulation::ServedJobs& x :
          {result.class_served[i], result.team_served[i], result.largest_served[i]}) {
       EXPECT_GT(x.jobs, 0U) << i;
       EXPECT_GE(2 * x.started, x.jobs) << i;
