--- a/tests/release_test.cpp
+++ b/tests/release_calendar_test.cpp
@@ -1,19 +1,19 @@
-// Paired editions (docs/release.md): publishing waits for all twins of a revision, through failing
+// Paired editions (docs/release-calendar.md): publishing waits for all twins of a revision, through failing
 // controllers.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <random>
 
-#include "troubles.h"
+#include "random_faults.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
-using release::ReleaseCalendar;
-using release::ReleaseSpec;
+using release_calendar::ReleaseCalendar;
+using release_calendar::ReleaseSpec;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
 ReleaseSpec manual_terms(const std::string& revision = "r1", const std::string& job_suffix = "") {
   ReleaseSpec terms;
@@ -281,7 +281,7 @@
   fixture.run(20);
   EXPECT_EQ(fixture.state(), "rendering");  // the second Arabic one has not come yet
   submit("run-6", "render", "img-ar");
-  lab::SimulatedController& controller = fixture.cluster.controller(fixture.owner);
+  simulation::SimulatedController& controller = fixture.cluster.controller(fixture.owner);
   controller.sync(fixture.cluster.now);
   EXPECT_EQ(controller.cluster_state.placement_limits(controller.cluster_state.find_job("run-6")).max_tasks,
             0U);  // not written down yet
@@ -303,21 +303,21 @@
   fixture.run(3);
   ASSERT_EQ(fixture.state(), "decided");
   fixture.submit("run-pub-ar");
-  lab::SimulatedController& controller = fixture.cluster.controller(0);
+  simulation::SimulatedController& controller = fixture.cluster.controller(0);
   controller.sync(fixture.cluster.now);
   JobIndex job = controller.cluster_state.find_job("run-pub-ar");
   EXPECT_EQ(controller.cluster_state.placement_limits(job).max_tasks, PlacementLimits::unlimited);
-  lab::Json rec = fixture.cluster.store.keys().at("o/d/release/manual").value;
+  simulation::Json rec = fixture.cluster.store.keys().at("o/d/release/manual").value;
   rec["s"] = "rendering";
   fixture.cluster.store.txn(
-      {{"guards", lab::Json::array()}, {"apply", {{{"put", "o/d/release/manual"}, {"value", rec}}}}});
+      {{"guards", simulation::Json::array()}, {"apply", {{{"put", "o/d/release/manual"}, {"value", rec}}}}});
   controller.sync(fixture.cluster.now);
   EXPECT_EQ(controller.cluster_state.placement_limits(job).max_tasks, 0U);
 }
 
 TEST(Release, NothingIsPublishedBeforeItsTime) {
   ReleaseSpec terms = manual_terms();
-  release::ScheduledTime a;
+  release_calendar::ScheduledTime a;
   a.date = "1970-01-01";
   a.second_of_day = 1100;  // the cluster's clock begins at 1000
   terms.publish_time = a;
@@ -367,22 +367,24 @@
        mar29 + 7 * 86400 - 7200},
   };
   for (const Case& test_case : cases) {
-    release::ScheduledTime schedule;
+    release_calendar::ScheduledTime schedule;
     schedule.zone = test_case.zone;
     schedule.weekdays = test_case.weekdays;
     schedule.date = test_case.date;
     schedule.second_of_day = test_case.second;
     schedule.excluded_dates = test_case.holidays;
-    ASSERT_EQ(release::validation_error(schedule), "") << test_case.description;
-    auto next = release::next_occurrence(schedule, test_case.from_s);
+    ASSERT_EQ(release_calendar::validation_error(schedule), "") << test_case.description;
+    auto next = release_calendar::next_occurrence(schedule, test_case.from_s);
     ASSERT_TRUE(next.has_value()) << test_case.description;
     EXPECT_EQ(*next, test_case.next_s) << test_case.description;
-    EXPECT_FALSE(release::is_open(schedule, test_case.from_s, test_case.next_s - 1)) << test_case.description;
-    EXPECT_TRUE(release::is_open(schedule, test_case.from_s, test_case.next_s)) << test_case.description;
+    EXPECT_FALSE(release_calendar::is_open(schedule, test_case.from_s, test_case.next_s - 1))
+        << test_case.description;
+    EXPECT_TRUE(release_calendar::is_open(schedule, test_case.from_s, test_case.next_s))
+        << test_case.description;
     schedule.window_s = 600;
-    EXPECT_TRUE(release::is_open(schedule, test_case.from_s, test_case.next_s + 599))
+    EXPECT_TRUE(release_calendar::is_open(schedule, test_case.from_s, test_case.next_s + 599))
         << test_case.description;
-    EXPECT_FALSE(release::is_open(schedule, test_case.from_s, test_case.next_s + 601))
+    EXPECT_FALSE(release_calendar::is_open(schedule, test_case.from_s, test_case.next_s + 601))
         << test_case.description;
   }
 }
@@ -390,18 +392,18 @@
 TEST(Release, TermsRoundTrip) {
   ReleaseSpec terms = manual_terms();
   terms.editions[0].render_jobs.push_back({"", "render", "img-ar", 3});
-  release::ScheduledTime schedule;
+  release_calendar::ScheduledTime schedule;
   schedule.zone = "Africa/Tunis";
   schedule.weekdays = {1, 4};
   schedule.second_of_day = 21600;
   schedule.window_s = 3600;
   schedule.excluded_dates = {"2026-12-25"};
   terms.publish_time = schedule;
-  auto back = release::from_text(release::to_text(terms));
+  auto back = release_calendar::from_text(release_calendar::to_text(terms));
   ASSERT_TRUE(back.has_value());
-  EXPECT_EQ(release::to_text(*back), release::to_text(terms));
+  EXPECT_EQ(release_calendar::to_text(*back), release_calendar::to_text(terms));
   for (const char* bad : {"", "[]", "{\"name\":\"x\"}", "{\"name\":1,\"revision\":\"r\",\"editions\":[]}"})
-    EXPECT_FALSE(release::from_text(bad).has_value()) << bad;
+    EXPECT_FALSE(release_calendar::from_text(bad).has_value()) << bad;
 }
 
 /// Random histories: jobs come in any order, owners end at any moment, answers and transactions are lost, the
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -7,11 +7,11 @@
 #include <filesystem>
 #include <fstream>
 
-#include "oxbowmill/lab/scale_judge.h"
-#include "oxbowmill/lab/scale_run.h"
+#include "oxbowmill/simulation/scale_evaluator.h"
+#include "oxbowmill/simulation/scale_run.h"
 #include "oxbowmill/yaml/map.h"
 
-namespace oxbowmill::lab {
+namespace oxbowmill::simulation {
 namespace {
 
 std::string temporary_file(const std::string& name) {
@@ -108,7 +108,7 @@
 TEST(ScaleRun, FiftyWorkersSurviveAControllerCrash) {
   ScaleSettings settings = load_scale_settings(std::string(DEPLOY_DIR) + "/lab/scale/small.yaml");
   ScaleOptions options;
-  options.program = PROGRAM;
+  options.program = CONTROLLER_PROGRAM;
   options.directory = temporary_file("logs");
   options.progress = false;
   ScaleReport report = play_scale(settings, options);
@@ -121,4 +121,4 @@
 }
 
 }  // namespace
-}  // namespace oxbowmill::lab
+}  // namespace oxbowmill::simulation
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,13 +1,13 @@
 // Services: replicas that run until their job is cancelled, and how they share machines with other work.
 #include <gtest/gtest.h>
 
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
 JobSpec service_job(const std::string& ref, std::uint32_t replicas) {
   JobSpec job_spec = test_job(ref, replicas);
@@ -40,7 +40,7 @@
          cluster.add_machine("m2");
          cluster.run(2);
          cluster.silenced_workers.insert("m1");
-         cluster.store.txn({{"guards", lab::Json::array()}, {"apply", {{{"delete", "o/m/m1"}}}}});
+         cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {{{"delete", "o/m/m1"}}}}});
          cluster.worker("m1").tick(cluster.now + 100);  // it is gone
          cluster.run(3);
        },
@@ -144,8 +144,8 @@
 
 TEST(MachineSharing, ShortAndLongRunningTasksAreSeparated) {
   // One lasting replica on a machine keeps it from every gang and from being returned.
-  MachineType type = lab::test_catalog()[0];
-  ClusterState model(lab::test_settings("node-0"), lab::test_names());
+  MachineType type = simulation::test_catalog()[0];
+  ClusterState model(simulation::test_settings("node-0"), simulation::test_names());
   model.catalog = {type};
   auto whole = [&](bool spot) {
     CandidateMachine b{MachineIndex{}, TypeIndex{0}, ZoneIndex{0}, spot, 0, type.capacity};
@@ -289,8 +289,8 @@
   cluster.run(3);
   ASSERT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   cluster.kill_controller(0);
-  cluster.store.txn({{"guards", lab::Json::array()}, {"apply", {{{"delete", "o/m/m1"}}}}});
-  lab::SimulatedController started("node-9", cluster.store, lab::test_settings("node-9"));
+  cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {{{"delete", "o/m/m1"}}}}});
+  simulation::SimulatedController started("node-9", cluster.store, simulation::test_settings("node-9"));
   started.load_state(cluster.now);
   ASSERT_TRUE(started.acquire_partition(PartitionIndex{1}, cluster.now));
   started.run_cycle(cluster.now);
@@ -303,7 +303,7 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
-  cluster.controller(0).write_outcome = lab::WriteOutcome::not_arrived;
+  cluster.controller(0).write_outcome = simulation::WriteOutcome::not_arrived;
   cluster.submit(test_job("run-1", 1));
   cluster.run(8 * cluster.controller(0).cluster_state.settings.operator_settings.release_to_pool_s);
   ASSERT_FALSE(cluster.controller(0).lost_writes.empty());
--- a/tests/models_test.cpp
+++ b/tests/serving_test.cpp
@@ -1,20 +1,20 @@
-// Models that scale to zero and come back (docs/models.md): one cold start an epoch, through failing
+// Models that scale to zero and come back (docs/model-serving.md): one cold start an epoch, through failing
 // controllers.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <random>
 
-#include "troubles.h"
+#include "random_faults.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
-models::Settings chat_settings(double floor_s = 10, std::uint32_t least = 0) {
-  models::ModelSpec terms;
+serving::Settings chat_settings(double floor_s = 10, std::uint32_t least = 0) {
+  serving::ModelSpec terms;
   terms.name = "chat";
   terms.job_class = "serve";
   terms.call_classes = {"call"};
@@ -31,18 +31,18 @@
     std::vector<double> starts_at_s;
     double idle_s;
   };
-  models::ModelSpec terms = chat_settings().models[0];
+  serving::ModelSpec terms = chat_settings().models[0];
   terms.idle_floor_s = 30;
   const Case cases[] = {{"nothing seen", {}, 30},
                         {"floored", {10, 12}, 30},
                         {"median of an odd count", {100, 40, 60}, 90},
                         {"median of an even count", {100, 40, 60, 80}, 105}};
   for (const Case& k : cases)
-    EXPECT_DOUBLE_EQ(models::idle_timeout(k.starts_at_s, terms), k.idle_s) << k.description;
+    EXPECT_DOUBLE_EQ(serving::idle_timeout(k.starts_at_s, terms), k.idle_s) << k.description;
 }
 
 struct ModelServingFixture {
-  explicit ModelServingFixture(const models::Settings& settings = chat_settings()) : cluster(3) {
+  explicit ModelServingFixture(const serving::Settings& settings = chat_settings()) : cluster(3) {
     for (std::size_t i = 0; i < 3; ++i) {
       cluster.controller(i).cluster_state.settings.teams[1].limit = {};
       cluster.controller(i).cluster_state.settings.operator_settings.release_to_pool_s = 2;
@@ -93,7 +93,7 @@
     }
     return false;
   }
-  const lab::Json* record() const {
+  const simulation::Json* record() const {
     auto it = cluster.store.keys().find("o/d/model/chat");
     return it == cluster.store.keys().end() ? nullptr : &it->second.value;
   }
--- a/tests/detector_test.cpp
+++ b/tests/slow_task_detector_test.cpp
@@ -1,14 +1,15 @@
 // The source's detector and what this project does on its flags.
+#include "oxbowmill/scheduling/slow_task_detector.h"
+
 #include <gtest/gtest.h>
 
-#include "oxbowmill/core/slow_tasks.h"
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
 TEST(Detector, BaselineBoundaryCases) {
   OperatorSettings operator_settings;
--- a/tests/promise_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -1,14 +1,14 @@
-// The promise that every job begins (docs/begin.md).
+// The promise that every job begins (docs/start-deadlines.md).
 #include <gtest/gtest.h>
 
-#include "oxbowmill/core/waiting.h"
-#include "oxbowmill/lab/cluster.h"
+#include "oxbowmill/scheduling/pending_reason.h"
+#include "oxbowmill/simulation/simulated_cluster.h"
 
 namespace oxbowmill {
 namespace {
 
-using lab::SimulatedCluster;
-using lab::test_job;
+using simulation::SimulatedCluster;
+using simulation::test_job;
 
 TEST(StartDeadline, UrgencyGrowsWithAgeAndImageFetchTime) {
   struct Case {
@@ -100,7 +100,7 @@
        }},
       {PendingReason::transaction_pending, 2, test_job("run-1", 2),
        [](SimulatedCluster& cluster) {
-         cluster.controller(0).write_outcome = lab::WriteOutcome::not_arrived;
+         cluster.controller(0).write_outcome = simulation::WriteOutcome::not_arrived;
          cluster.run(1);
        }},
       {PendingReason::error_backoff, 1, test_job("run-1", 1),
--- a/tests/store_test.cpp
+++ b/tests/state_service_client_test.cpp
@@ -1,11 +1,11 @@
 // The client of the state service when that service does not answer.
-#include "oxbowmill/state/store.h"
-
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include "oxbowmill/state/store.h"
+
 namespace oxbowmill {
 namespace {
 
