--- a/include/oxbowmill/simulation/market_simulation.h
+++ b/include/oxbowmill/simulation/market_simulation.h
@@ -1,5 +1,5 @@
-// Leaders trading with stand-in markets on a simulated clock: needs come, machines are bought, work and go
-// back.
+// Leaders that bid on simulated markets on a simulated clock: demand arrives, machines are bought, used and
+// returned.
 #pragma once
 
 #include <memory>
@@ -41,29 +41,33 @@
   std::uint32_t jobs = 0, in_time = 0, guaranteed = 0, guaranteed_in_time = 0;
   std::uint32_t bought = 0, unused = 0;  // machines of markets
   double cost = 0;
-  int breaches = 0;   // moments at which paid and committed stood above the ceiling
-  int suspended = 0;  // markets that the last leader had shut out
+  int breaches = 0;   // steps in which paid and committed were above the limit
+  int suspended = 0;  // markets that the last leader had suspended
 };
 
 class MarketSimulation {
  public:
   MarketSimulation(const MarketScenario& scenario, Policy policy, std::uint64_t seed);
-  void step();  // half a second
+  /// Advances the clock by half a second.
+  void step();
   MarketResult run();
   MarketResult result() const;
 
   // Faults.
-  void end_leader();  // ends at once; another one claims a second later
+  /// The leader ends at once; another one acquires ownership a second later.
+  void end_leader();
   void set_state_down(bool down) { state_down_ = down; }
-  /// What becomes of the next transactions: applied without an answer, or held back until `release_writes`.
-  void lose_write_responses(int position) { write_responses_to_lose_ = position; }
+  /// The next `count` transactions are applied without a response.
+  void lose_write_responses(int count) { write_responses_to_lose_ = count; }
+  /// Transactions are withheld until `release_writes`.
   void delay_writes(bool delay) { delaying_writes_ = delay; }
   void release_writes();
-  /// Calls that are held back reach their market later, though their leader has given them up.
+  /// Calls are withheld until `release_calls`, when their leader may have given them up.
   void delay_calls(bool delay) { delaying_calls_ = delay; }
   void release_calls();
 
-  double now = 1000;
+  static constexpr double start_s = 1000;  // the clock at the start; scenarios count from it
+  double now = start_s;
   market::Settings settings;
   std::vector<SimulatedMarket> markets;
   std::vector<JobArrival> arrivals;
@@ -71,7 +75,7 @@
   ClusterState* state() { return leader_ ? &leader_->cluster_state : nullptr; }
   /// Highest sum of what was paid and what open records may cost, over the ceiling of the window; at most 1.
   double highest_use = 0, max_hourly_spend = 0;
-  /// Most machines that were on their way or there for a part, over what it needed then and the spare.
+  /// Most machines that were on their way or there for a part, over what it needed then and the extra ones.
   double most_bought = 0;
   std::set<std::string> bid_names;
   int reused_names = 0;
@@ -110,7 +114,23 @@
   void publish(const Change& change, Revision revision);
   void send(const market::Call& call);
   market::Answer ask_market(const market::Call& call);
+  /// Makes machines of jobs that have arrived pending.
+  void admit_arrivals();
+  /// A new leader takes over from what the store holds.
+  void begin_leader();
+  /// The policy's plan; keeps the highest ratio of bought to wanted machines.
+  market::Plan plan_and_measure(const std::vector<market::Demand>& demands,
+                                const std::vector<market::Offer>& offers, const market::Ledger& ledger,
+                                double reference, const market::Settings& planner_settings);
+  void adopt_delivered(const market::HostUpdate& delivery, const MachineRecord& record);
+  /// Takes the work off a machine, so that it is returned in this step.
+  void vacate(MachineIndex machine_index);
+  void deliver_due_answers();
+  void run_leader_cycle();
   void advance_jobs();
+  void end_runs_and_lost_machines();
+  void start_runs();
+  void return_idle_machines();
   void scale_out(const std::vector<UnmetDemand>& needs, const std::vector<std::uint32_t>& tasks);
   void check();
   std::vector<CloudOffer> cloud_offers() const;
@@ -141,7 +161,7 @@
   std::uint32_t machines_used_ = 0;
 };
 
-/// The allocations that the planner is held against.
+/// The plan by the given policy: the planner, one of its baselines, or the planner with perfect knowledge.
 market::Plan baseline(Policy policy, const std::vector<MarketBehavior>& truth, double now,
                       const std::vector<market::Demand>& demands, std::vector<market::Offer> offers,
                       const market::Ledger& ledger, double reference, const market::Settings& settings);
--- a/src/simulation/cluster_faults.cpp
+++ b/src/simulation/cluster_faults.cpp
@@ -1,4 +1,4 @@
-// Troubles of the fleet's world.
+// Fault injection of the simulated cluster: what goes wrong, when, and until when.
 #include "cluster_simulation_impl.h"
 
 namespace oxbowmill::simulation {
@@ -36,148 +36,203 @@
 }
 
 void ClusterSimulation::Impl::apply(const Fault& fault_spec) {
-  auto count =
-      fault_spec.count != 0 ? fault_spec.count : static_cast<std::uint32_t>(fault_spec.fraction * created);
+  if (apply_to_controllers(fault_spec) || apply_to_services(fault_spec) || apply_to_machines(fault_spec) ||
+      apply_to_jobs(fault_spec))
+    return;
+  apply_to_messages(fault_spec);
+}
+
+bool ClusterSimulation::Impl::apply_to_controllers(const Fault& fault_spec) {
+  double until = now + fault_spec.duration_s;
   switch (fault_spec.kind) {
     case FaultKind::all_controllers_down:
       for (std::size_t i = 0; i < controllers.size(); ++i)
-        stop_controller(i, now + fault_spec.duration_s + fault_spec.stagger_s * static_cast<double>(i));
-      break;
+        stop_controller(i, until + fault_spec.stagger_s * static_cast<double>(i));
+      return true;
     case FaultKind::owner_down:
-      stop_controller(busiest_owner(), now + fault_spec.duration_s);
-      break;
+      stop_controller(busiest_owner(), until);
+      return true;
     case FaultKind::owner_without_state:
-      controllers[busiest_owner()].without_state_until = now + fault_spec.duration_s;
-      break;
+      controllers[busiest_owner()].without_state_until = until;
+      return true;
+    case FaultKind::owner_frozen:
+      controllers[busiest_owner()].frozen_until = until;
+      return true;
+    case FaultKind::owner_refused_by_state:
+      controllers[busiest_owner()].refused_until = until;
+      return true;
+    case FaultKind::owner_isolated:
+      controllers[busiest_owner()].isolated_until = until;
+      return true;
+    default:
+      return false;
+  }
+}
+
+bool ClusterSimulation::Impl::apply_to_services(const Fault& fault_spec) {
+  double until = now + fault_spec.duration_s;
+  switch (fault_spec.kind) {
     case FaultKind::state_outage:
       store.set_outage(true, now);
-      outage_until = now + fault_spec.duration_s;
-      break;
+      outage_until = until;
+      return true;
     case FaultKind::state_slow:
       write_budget.set_rate(fault_spec.fraction * scenario_.write_rps,
                             fault_spec.fraction * scenario_.write_rps);
-      slow_until = now + fault_spec.duration_s;
-      break;
+      slow_until = until;
+      return true;
+    case FaultKind::state_delay:
+      state_delay = fault_spec.stagger_s;
+      delay_until = until;
+      return true;
     case FaultKind::cloud_outage:
-      cloud_down_until = now + fault_spec.duration_s;
-      break;
+      cloud_down_until = until;
+      return true;
+    case FaultKind::fast_boots:
+      fast_boots_until = until;
+      return true;
+    default:
+      return false;
+  }
+}
+
+bool ClusterSimulation::Impl::apply_to_machines(const Fault& fault_spec) {
+  double until = now + fault_spec.duration_s;
+  auto count = machine_count(fault_spec);
+  switch (fault_spec.kind) {
     case FaultKind::machines_die:
-      for (const std::string& m : pick_machines(count)) kill_machine(m);
-      break;
+      for (const std::string& name : pick_machines(count)) kill_machine(name);
+      return true;
     case FaultKind::machines_hang:
-      for (const std::string& m : pick_machines(count))
-        machines.at(m).hung_until = now + fault_spec.duration_s;
-      break;
+      for (const std::string& name : pick_machines(count)) machines.at(name).hung_until = until;
+      return true;
+    case FaultKind::machines_receive_nothing:
+      for (const std::string& name : pick_machines(count)) machines.at(name).receives_nothing_until = until;
+      return true;
+    case FaultKind::machines_send_nothing:
+      for (const std::string& name : pick_machines(count)) machines.at(name).sends_nothing_until = until;
+      return true;
     case FaultKind::zone_workers_cut_off:
       cut_zone = fault_spec.zone;
-      cut_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::owner_frozen:
-      controllers[busiest_owner()].frozen_until = now + fault_spec.duration_s;
-      break;
+      cut_until = until;
+      return true;
+    case FaultKind::zone_isolated:
+      isolated_zone = fault_spec.zone.empty() ? zone_names[pick(scenario_.zones)] : fault_spec.zone;
+      isolated_until = until;
+      return true;
+    case FaultKind::gang_member_dies:
+      kill_gang_members(fault_spec.count);
+      return true;
+    default:
+      return false;
+  }
+}
+
+bool ClusterSimulation::Impl::apply_to_jobs(const Fault& fault_spec) {
+  switch (fault_spec.kind) {
     case FaultKind::all_tasks_finish:
-      for (auto& [ref, job] : jobs) {
-        if (job.class_index == 0 && job.gang_started < 0) continue;
-        std::vector<TaskNumber> all;
-        for (auto& [t, r] : job.runs) {
-          if (r.machine->worker->has(r.task_id)) all.push_back(t);
-        }
-        for (TaskNumber t : all) finish(job, t, EndCause::done);
-      }
-      break;
+      finish_all_tasks();
+      return true;
     case FaultKind::jobs_cancelled:
-      for (auto& [ref, j] : jobs) {
-        if (j.runs.empty() || uniform(0, 1) >= fault_spec.fraction) continue;
-        for (User& u : users) {
-          if (u.ref == ref && !u.finished) u.withdraws_at = u.next_request_at = now;
-        }
-      }
-      break;
-    case FaultKind::gang_member_dies: {
-      std::uint32_t left = fault_spec.count;
-      for (auto& [ref, j] : jobs) {
-        if (left == 0 || j.class_index != 0 || j.gang_started < 0 || j.runs.size() < 2) continue;
-        std::string victim = j.runs.begin()->second.machine_name;
-        if (!machines.at(victim).alive) continue;
-        kill_machine(victim);
-        --left;
-      }
-      break;
-    }
+      cancel_jobs(fault_spec.fraction);
+      return true;
+    case FaultKind::jobs_cancelled_and_machines_hang:
+      cancel_jobs_and_hang_machines(fault_spec);
+      return true;
+    case FaultKind::jobs_cancelled_at_end:
+      end_cancels_fraction = fault_spec.fraction;
+      end_cancels_until = now + fault_spec.duration_s;
+      return true;
+    case FaultKind::repeated_queries:
+      repeated_queries_until = now + fault_spec.duration_s;
+      return true;
+    case FaultKind::invalid_requests:
+      invalid_requests_until = now + fault_spec.duration_s;
+      return true;
+    default:
+      return false;
+  }
+}
+
+void ClusterSimulation::Impl::apply_to_messages(const Fault& fault_spec) {
+  constexpr double default_response_delay_s = 6;
+  double until = now + fault_spec.duration_s;
+  switch (fault_spec.kind) {
     case FaultKind::duplicate_reports:
       report_copies_fraction = fault_spec.fraction;
-      report_copies_until = now + fault_spec.duration_s;
+      report_copies_until = until;
       break;
     case FaultKind::delayed_writes:
       delayed_writes_fraction = fault_spec.fraction;
-      delayed_writes_until = now + fault_spec.duration_s;
+      delayed_writes_until = until;
       break;
     case FaultKind::delayed_responses:
       delayed_responses_fraction = fault_spec.fraction;
-      delayed_responses_until = now + fault_spec.duration_s;
-      max_response_delay = fault_spec.stagger_s > 0 ? fault_spec.stagger_s : 6;
-      break;
-    case FaultKind::machines_receive_nothing:
-      for (const std::string& m : pick_machines(count))
-        machines.at(m).receives_nothing_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::owner_refused_by_state:
-      controllers[busiest_owner()].refused_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::owner_isolated:
-      controllers[busiest_owner()].isolated_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::state_delay:
-      state_delay = fault_spec.stagger_s;
-      delay_until = now + fault_spec.duration_s;
+      delayed_responses_until = until;
+      max_response_delay = fault_spec.stagger_s > 0 ? fault_spec.stagger_s : default_response_delay_s;
       break;
     case FaultKind::lost_write_responses:
       lost_answers_fraction = fault_spec.fraction;
-      lost_answers_until = now + fault_spec.duration_s;
+      lost_answers_until = until;
       break;
     case FaultKind::replayed_reports:
       replay_fraction = fault_spec.fraction;
-      replay_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::machines_send_nothing:
-      for (const std::string& m : pick_machines(count))
-        machines.at(m).sends_nothing_until = now + fault_spec.duration_s;
+      replay_until = until;
       break;
-    case FaultKind::zone_isolated:
-      isolated_zone = fault_spec.zone.empty() ? zone_names[pick(scenario_.zones)] : fault_spec.zone;
-      isolated_until = now + fault_spec.duration_s;
+    case FaultKind::delayed_reports:
+      reports_to_delay = machine_count(fault_spec);
+      delayed_reports_due_at = until;
       break;
-    case FaultKind::jobs_cancelled_and_machines_hang: {
-      std::uint32_t left = fault_spec.count;
-      for (auto& [ref, job] : jobs) {
-        if (job.runs.empty() || !chance(fault_spec.fraction)) continue;
-        User* u = user_of(ref);
-        if (u == nullptr || u->finished) continue;
-        u->withdraws_at = u->next_request_at = now;
-        SimulatedMachine& h = *job.runs.begin()->second.machine;
-        if (left == 0 || now < h.hung_until) continue;
-        h.hung_until = now + fault_spec.duration_s;
-        --left;
-      }
+    default:
       break;
+  }
+}
+
+std::uint32_t ClusterSimulation::Impl::machine_count(const Fault& fault_spec) const {
+  return fault_spec.count != 0 ? fault_spec.count : static_cast<std::uint32_t>(fault_spec.fraction * created);
+}
+
+void ClusterSimulation::Impl::finish_all_tasks() {
+  for (auto& [ref, job] : jobs) {
+    if (job.class_index == 0 && job.gang_started < 0) continue;
+    std::vector<TaskNumber> running;
+    for (auto& [task, run] : job.runs) {
+      if (run.machine->worker->has(run.task_id)) running.push_back(task);
     }
-    case FaultKind::jobs_cancelled_at_end:
-      end_cancels_fraction = fault_spec.fraction;
-      end_cancels_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::repeated_queries:
-      repeated_queries_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::invalid_requests:
-      invalid_requests_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::fast_boots:
-      fast_boots_until = now + fault_spec.duration_s;
-      break;
-    case FaultKind::delayed_reports:
-      reports_to_delay = count;
-      delayed_reports_due_at = now + fault_spec.duration_s;
-      break;
+    for (TaskNumber task : running) finish(job, task, EndCause::done);
+  }
+}
+
+void ClusterSimulation::Impl::cancel_jobs(double fraction) {
+  for (auto& [ref, job] : jobs) {
+    if (job.runs.empty() || uniform(0, 1) >= fraction) continue;
+    for (User& user : users) {
+      if (user.ref == ref && !user.finished) user.withdraws_at = user.next_request_at = now;
+    }
+  }
+}
+
+void ClusterSimulation::Impl::cancel_jobs_and_hang_machines(const Fault& fault_spec) {
+  std::uint32_t machines_left = fault_spec.count;
+  for (auto& [ref, job] : jobs) {
+    if (job.runs.empty() || !chance(fault_spec.fraction)) continue;
+    User* user = user_of(ref);
+    if (user == nullptr || user->finished) continue;
+    user->withdraws_at = user->next_request_at = now;
+    SimulatedMachine& machine = *job.runs.begin()->second.machine;
+    if (machines_left == 0 || now < machine.hung_until) continue;
+    machine.hung_until = now + fault_spec.duration_s;
+    --machines_left;
+  }
+}
+
+void ClusterSimulation::Impl::kill_gang_members(std::uint32_t count) {
+  for (auto& [ref, job] : jobs) {
+    if (count == 0 || job.class_index != 0 || job.gang_started < 0 || job.runs.size() < 2) continue;
+    std::string victim = job.runs.begin()->second.machine_name;
+    if (!machines.at(victim).alive) continue;
+    kill_machine(victim);
+    --count;
   }
 }
 
@@ -192,7 +247,7 @@
     write_budget.set_rate(scenario_.write_rps, scenario_.write_rps);
   }
   each_due(delayed_writes, [this](const Delayed<Json>& w) {
-    if (store.outage()) return false;  // later still
+    if (store.outage()) return false;  // stays delayed until the outage is over
     store.txn(w.value);
     return true;
   });
@@ -215,7 +270,7 @@
   if (delayed_reports_due_at > 0 && now >= delayed_reports_due_at) {
     for (const WorkerReport& r : delayed_reports) {
       for (ControllerProcess& n : controllers) {
-        // The worker has given these up long ago: whatever is answered does not reach it.
+        // The agent timed these out long ago: no response reaches it.
         if (acts(n) && n.state_loaded) n.controller->handle_report(r, now);
       }
     }
--- a/src/simulation/cluster_simulation_impl.h
+++ b/src/simulation/cluster_simulation_impl.h
@@ -1,4 +1,4 @@
-// The cluster's parts and what each does in a step; a source file for each subject.
+// State of the simulated cluster and what each of its parts does in a step; one source file per subject.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 constexpr double step_s = 0.1;
 constexpr double image_gb[] = {4, 6, 8, 10, 12};
 constexpr double save_every_s = 30, flush_s = 3;
-constexpr double wasted_within_s = 60;  // a return is undone by a rental within this time
+constexpr double wasted_within_s = 60;  // a return followed by a scale-out within this time was wasted
 constexpr double listed_dead_s = 30;
 constexpr double list_lag_s = 4;
 
@@ -35,13 +35,13 @@
     std::deque<WriteResponse> write_responses;
     TokenBucket change_budget{1, 1};
     std::set<std::uint32_t> lost_partitions;
-    struct PendingWatch {  // a watch under way
+    struct PendingWatch {
       double at, opened_at;
       std::size_t events;
       std::uint64_t revision;
     };
     std::deque<PendingWatch> pending_watches;
-    std::map<std::string, JobPhase> final_phases;  // told or read here
+    std::map<std::string, JobPhase> final_phases;  // answered or read by this process
     service::FirstAttempts first_attempts;
   };
   struct SimulatedMachine {
@@ -52,7 +52,7 @@
            receives_nothing_until = -1, sends_nothing_until = -1, waits_until = -1;
     std::size_t controller = 0;
     std::uint64_t agent_epoch = 1;
-    std::map<std::uint32_t, double> images;  // and when fetched
+    std::map<std::uint32_t, double> images;  // by image: when it was fetched
   };
   struct TaskRun {
     std::string machine_name, task_id;
@@ -98,16 +98,16 @@
   bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(fault_random) < share; }
   double draw(double a, double b) { return std::uniform_real_distribution<double>(a, b)(fault_random); }
 
-  /// The transaction gets no answer, and is carried out after newer ones.
+  /// The transaction gets no response and is applied after newer ones.
   bool delays_write(const Json& body);
   bool delays_next_write() { return now < delayed_writes_until && chance(delayed_writes_fraction); }
-  /// It is carried out, and its answer lost.
+  /// The transaction is applied and its response lost.
   bool loses_write_response() { return now < lost_answers_until && chance(lost_answers_fraction); }
-  /// Both are on the same side of a cut.
   std::uint32_t zone_of(std::size_t node) const { return static_cast<std::uint32_t>(node) % scenario_.zones; }
   bool is_isolated(std::uint32_t zone) const {
     return now < isolated_until && zone_names[zone] == isolated_zone;
   }
+  /// Controller and machine are on the same side of a network partition.
   bool linked(std::size_t node, const SimulatedMachine& h) const {
     return is_isolated(zone_of(node)) == is_isolated(h.zone);
   }
@@ -131,7 +131,7 @@
 
   void serve_calls();
   void scale_out(const ScaleOutRequest& request, Autoscaler& fleet);
-  /// As many as the cloud has of these.
+  /// Creates as many of the requested machines as the cloud has.
   std::vector<std::string> create_machines(const ScaleOutRequest& request);
   void delete_machine(const std::string& name);
   std::vector<ListedMachine> list_machines();
@@ -139,7 +139,8 @@
   // --- Users.
 
   void submit(std::uint32_t class_index);
-  /// A user of one job: submits it, asks each 5 s, perhaps withdraws it. Each time through any node.
+  /// The user of one job: submits it, polls it every 5 s, may withdraw it; each request goes to any
+  /// controller.
   struct User {
     std::string ref;
     Json body;  // as it is sent
@@ -148,7 +149,7 @@
   };
 
   void tick_users();
-  /// What the user asks of node `k`, and hears.
+  /// Sends a request of the user to controller `k` and returns what the user is told.
   enum class RequestKind { submission, status, withdrawal };
   JobAnswer send_request(std::size_t k, User& user, RequestKind what);
   void record_answer(User& user, JobAnswer what) const;
@@ -167,7 +168,7 @@
   JobAnswer submit(ControllerProcess& process, const User& user);
   JobAnswer withdraw(ControllerProcess& process, const User& user);
 
-  // --- Workers.
+  // --- Agents.
 
   static std::pair<std::string, TaskNumber> split(const std::string& id);
   bool reachable(const SimulatedMachine& h) const;
@@ -175,10 +176,10 @@
   void command(std::map<std::string, SimulatedMachine>::iterator machine_it, const DirectCommands& commands);
   void report(const std::string& name, SimulatedMachine& machine);
   void take_answer(const std::string& name, SimulatedMachine& machine, const ReportAnswer& answer);
-  /// Tasks that have just started or stopped on this worker.
+  /// Takes note of tasks that have just started or stopped on this agent.
   void after_commands(const std::string& name, SimulatedMachine& machine);
   double progress(const SimulatedJob& job, const TaskRun& r) const;
-  /// The task is off its machine; what it had not saved is lost.
+  /// The task has left its machine; progress since its last checkpoint is lost.
   void on_task_stopped(SimulatedJob& job, TaskNumber task, bool saved);
   void lose_all_tasks(const std::string& name, SimulatedMachine& machine);
   void tick_workers();
@@ -187,15 +188,27 @@
   void finish(SimulatedJob& job, TaskNumber task, EndCause cause);
   void count_gpus(const SimulatedJob& job, std::size_t tasks);
 
-  // --- Faults and rules.
+  // --- Faults and invariants.
 
   std::size_t busiest_owner() const;
   /// Machines that are up, in an order of this seed's.
   std::vector<std::string> pick_machines(std::uint32_t count);
   void kill_machine(const std::string& name);
   void apply(const Fault& fault_spec);
+  /// Each returns whether the fault is of its kind and was injected.
+  bool apply_to_controllers(const Fault& fault_spec);
+  bool apply_to_services(const Fault& fault_spec);
+  bool apply_to_machines(const Fault& fault_spec);
+  bool apply_to_jobs(const Fault& fault_spec);
+  void apply_to_messages(const Fault& fault_spec);
+  /// Machines that the fault hits: its count, else its fraction of those created so far.
+  std::uint32_t machine_count(const Fault& fault_spec) const;
+  void finish_all_tasks();
+  void cancel_jobs(double fraction);
+  void cancel_jobs_and_hang_machines(const Fault& fault_spec);
+  void kill_gang_members(std::uint32_t count);
   void tick_faults();
-  /// What was kept of reports, as a part's new owner begins.
+  /// Sends retained reports again when a partition gets a new owner.
   void replay_reports();
   template <class T>
   struct Delayed {
@@ -213,7 +226,7 @@
     std::string machine_name;
     T message;
   };
-  /// Those whose time has come are done with; those that `fn` puts off stay.
+  /// Handles every item that is due; an item whose handler returns false stays.
   template <class T, class Fn>
   void each_due(std::vector<T>& all, Fn handler) {
     auto due = std::move(all);
@@ -223,12 +236,12 @@
     }
   }
 
-  /// When the last trouble is over.
+  /// When the last fault is over, in seconds of simulated time.
   double faults_end() const;
   SecondSample& current_sample() { return result.samples.back(); }
 
   ClusterResult play();
-  /// By job, from outside: who was served, and how late the last of their tasks began.
+  /// By job, as its user saw it: whether it was served and how late its last task started.
   void count_served();
   void record_reconciled();
 
@@ -241,7 +254,7 @@
   StateStore store;
   RunLog run_log;
   std::mt19937_64
-      fault_random;  // of users and of what goes wrong on the way: the days' jobs do not depend on it
+      fault_random;  // separate from `random`, so that faults do not change which jobs are submitted
   TokenBucket write_budget, cloud_budget;
   InvariantChecker invariants;
   std::vector<User> users;
@@ -253,7 +266,7 @@
          isolated_until = -1, end_cancels_fraction = 0, end_cancels_until = -1, repeated_queries_until = -1,
          invalid_requests_until = -1, fast_boots_until = -1, next_invalid_request = 0, max_response_delay = 6;
   std::vector<WorkerReport> retained_reports;
-  std::map<std::uint32_t, Revision> ownership_revisions;  // by part: of the owner that was last seen to begin
+  std::map<std::uint32_t, Revision> ownership_revisions;  // by partition: of the owner seen last
   std::uint64_t invalid_request_count = 0;
   std::string isolated_zone;
   double delayed_writes_fraction = 0, delayed_writes_until = -1, report_copies_fraction = 0,
