--- a/include/oxbowmill/simulation/decision_simulation.h
+++ b/include/oxbowmill/simulation/decision_simulation.h
@@ -1,4 +1,4 @@
-// Releases and models played on a simulated clock, with controllers that end, beside simpler ways.
+// Releases and models played on a simulated clock, with controllers that fail, beside simpler variants.
 #pragma once
 
 #include "oxbowmill/simulation/simulated_cluster.h"
@@ -9,7 +9,7 @@
   std::string name;
   bool is_release_scenario = false;  // else a model and its calls
   double duration_s = 7200;
-  double owner_failure_interval_s = 0;  // mean time between two ends of the owner; 0: never
+  double owner_failure_interval_s = 0;  // mean time between failures of the owner; 0: never
   std::uint32_t machines = 12;
   double arrival_interval_s = 600;           // mean time between bursts of calls, or between revisions
   std::uint32_t calls_per_burst = 5;         // calls a burst
@@ -29,11 +29,11 @@
   // Releases: from "all rendered" to "both publishing run", the share of time with one edition stale.
   double to_publish_median = 0, to_publish_max = 0, stale_fraction = 0;
   double changes_per_minute = 0;  // of decisions, a minute
-  int violations = 0;  // a task on two machines, a publishing task before its twins, work left undone
+  int violations = 0;  // a task on two machines, a publishing task before all renderings, work left undone
 };
 
-/// Every way on seeds 1 to `seeds`: a model always on, with a fixed idle time, as it is, and by one that
-/// knows the future; releases unpaired, held by hand, and as they are.
+/// Every variant on seeds 1 to `seeds`: a model always on, with a fixed idle time, as it is, and with perfect
+/// knowledge of the calls; releases unpaired, coordinated by hand, and as they are.
 std::vector<DecisionRow> play_decisions(const DecisionScenario& scenario, unsigned seeds, unsigned threads);
 std::string table(const DecisionScenario& scenario, const std::vector<DecisionRow>& rows);
 
--- a/include/oxbowmill/simulation/simulated_market.h
+++ b/include/oxbowmill/simulation/simulated_market.h
@@ -1,5 +1,5 @@
-// Stand-in for a market: answers docs/market-protocol.md as honestly as its character allows. One model for
-// the simulated clock and for loopback.
+// Simulated market: speaks docs/market-protocol.md, with faults as its behavior says. Serves both the
+// simulated clock and loopback.
 #pragma once
 
 #include <map>
@@ -13,23 +13,23 @@
 
 namespace oxbowmill::simulation {
 
-/// How a market behaves; chances are per bid or per answer.
+/// How a market behaves; chances are per bid or per response.
 struct MarketBehavior {
   std::string name;
   double price = 8;  // per machine and hour, around which its quotes lie
   std::uint32_t capacity = 40;
   double delivery_s = 45, delivery_spread = 0.15;
   double valid_s = 12, auction_s = 2;
-  double faults_from_s = 0, faults_to_s = 1e9;  // what follows holds only then
+  double faults_from_s = 0, faults_to_s = 1e9;  // the faults below occur only in this time
   double raise_chance = 0, raise_factor = 1.2;
-  double never_delivers_chance = 0;  // accepts and never delivers
+  double never_delivers_chance = 0;  // wins the bid and never delivers
   double late_chance = 0, late_factor = 4;
-  double delivered_fraction = 1;  // of what it accepts it delivers so much
+  double delivered_fraction = 1;  // of the machines of a bid
   double wrong_delivery_chance = 0, double_delivery_chance = 0;
   double throttle_chance = 0, garbled_response_chance = 0, absurd_response_chance = 0;
-  double stall_chance = 0;         // gets the request, gives no answer
-  double lost_request_chance = 0;  // does not even get it
-  bool runs_after_return = false;  // says returned, and the machine runs on
+  double stall_chance = 0;         // handles the request and does not respond
+  double lost_request_chance = 0;  // does not receive the request
+  bool runs_after_return = false;  // confirms the return, and the machine keeps running
   double overcharge_factor = 1;
 };
 
@@ -45,22 +45,22 @@
                   std::vector<std::string> zones);
 
   MarketReply handle(const std::string& method, const std::string& path, const std::string& body, double now);
-  /// The same by a desk's call, through the codec both ways.
+  /// The same for a call of the bidding service, encoded and decoded.
   market::Answer call(const market::Call& c, const Names& names, double now);
-  /// Auctions end, machines are delivered, terms run out.
+  /// Decides auctions, delivers machines and ends those whose paid time is over.
   void tick(double now);
 
   struct Host {
     std::string name, bid, type, zone;
-    double since = 0, until = -1;  // charged; below 0: still
+    double since = 0, until = -1;  // charged from, to; below 0: still charged
     bool alive = true;
     bool returned = false;
   };
   const std::map<std::string, Host>& hosts() const { return hosts_; }
-  /// What it says it has charged up to now.
+  /// Sum of the charges that it reports.
   double charged(double now) const;
   const MarketBehavior& behavior() const { return behavior_; }
-  /// Bids that it got under this name with different contents.
+  /// Bids that arrived under a known name with different contents.
   int reused_bid_names = 0;
 
  private:
@@ -70,7 +70,7 @@
     double limit = 0, rate = 0, raise = 0, decides_at = 0, duration_s = 0;
     std::uint64_t round = 0;
     std::uint32_t count = 0, expected_count = 0;
-    std::vector<double> deliveries;  // times to come
+    std::vector<double> deliveries;  // times of outstanding deliveries, the earliest last
     std::set<std::string> hosts;
     bool delivers_wrong_machines = false, delivers_twice = false;
     double overcharge_factor = 1;
@@ -79,6 +79,13 @@
     return now >= behavior_.faults_from_s && now < behavior_.faults_to_s;
   }
   bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(random_) < p; }
+  MarketReply route(const std::string& method, const std::string& path, const std::string& body, double now);
+  MarketReply handle_bid(const std::string& method, const std::string& name_and_verb,
+                         const wire::Json& request, double now);
+  void withdraw(const std::string& name);
+  MarketReply confirm(const std::string& name, Bid& bid, const wire::Json& request, double now);
+  wire::Json return_hosts(const wire::Json& request, double now);
+  wire::Json charges(double now) const;
   wire::Json quotes(const wire::Json& body, double now);
   MarketReply bid(const wire::Json& body, double now);
   wire::Json state_of(const std::string& name, double now);
--- a/src/simulation/decision_simulation.cpp
+++ b/src/simulation/decision_simulation.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <cmath>
 #include <random>
+#include <tuple>
 
 #include "oxbowmill/simulation/parallel.h"
 #include "oxbowmill/yaml/map.h"
@@ -14,8 +15,12 @@
 namespace {
 
 constexpr double step_s = 0.5, failover_s = 4;
-const std::vector<std::string> model_variants = {"always on", "fixed idle", "as it is", "bound"};
-const std::vector<std::string> release_variants = {"unpaired", "by hand", "as it is"};
+constexpr double seconds_per_minute = 60, seconds_per_hour = 3600;
+constexpr std::size_t controller_count = 3;
+constexpr const char *always_on = "always on", *fixed_idle = "fixed idle", *as_it_is = "as it is",
+                     *oracle = "bound", *unpaired = "unpaired", *by_hand = "by hand";
+const std::vector<std::string> model_variants = {always_on, fixed_idle, as_it_is, oracle};
+const std::vector<std::string> release_variants = {unpaired, by_hand, as_it_is};
 
 double quantile(std::vector<double> values, double q) {
   if (values.empty()) return 0;
@@ -24,15 +29,15 @@
                          static_cast<std::size_t>(q * static_cast<double>(values.size())))];
 }
 
-/// Controllers in turn over one cluster, and tasks that end by themselves.
+/// Three controllers, one of which owns all partitions at a time, and tasks that end by themselves.
 struct DecisionSimulation {
   DecisionSimulation(const DecisionScenario& scenario, std::uint64_t seed)
-      : scenario_(scenario), cluster(3), random(seed) {
+      : scenario_(scenario), cluster(controller_count), random(seed) {
     for (std::uint32_t i = 0; i < scenario_.machines; ++i) {
       machine_names.push_back("m" + std::to_string(100 + i));
       cluster.add_machine(machine_names.back(), i % 2 == 0 ? "a" : "b", i % 3 == 0 ? "blue" : "red");
     }
-    for (std::size_t i = 0; i < 3; ++i) {
+    for (std::size_t i = 0; i < controller_count; ++i) {
       Settings& x = cluster.controller(i).cluster_state.settings;
       x.teams[1].limit = {};
       x.operator_settings.release_to_pool_s = 2;
@@ -56,11 +61,11 @@
     submitted_at[ref] = cluster.now;
     cluster.submit(spec);
   }
-  /// Half a second: controllers, workers, and what runs long enough ends.
+  /// Plays half a second; tasks that have run for their time end.
   void step(const std::function<double(const std::string&)>& runs_s) {
     if (cluster.now >= owner_fails_at) {
-      cluster.fail_over(owner, (owner + 1) % 3, failover_s);
-      owner = (owner + 1) % 3;
+      cluster.fail_over(owner, (owner + 1) % controller_count, failover_s);
+      owner = (owner + 1) % controller_count;
       owner_fails_at = cluster.now + exponential(scenario_.owner_failure_interval_s);
     }
     cluster.run(step_s, owner);
@@ -89,160 +94,250 @@
   double owner_fails_at = 1e18;
 };
 
-DecisionRow play_model(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed) {
-  DecisionRow row{variant, seed};
-  DecisionSimulation simulation(scenario, seed);
-  serving::ModelSpec terms = scenario.terms;
-  if (variant == "always on") terms.min_replicas = 1;
-  if (variant == "fixed idle") terms.idle_factor = 0;
-  for (std::size_t i = 0; i < 3; ++i) simulation.cluster.controller(i).enable_decisions({}, {1, {terms}});
-  simulation.submit("run-model", terms.job_class, JobShape::service, terms.max_replicas, 4, false);
-  for (const std::string& m : simulation.machine_names)
-    simulation.cluster.worker(m).first_phase = TaskPhase::fetching;
-  simulation.on_task_ended = [](const std::string& id, Worker& worker) {
-    bool replica = id.compare(0, 10, "run-model/") == 0;
-    if (!replica) return worker.finish(id, EndCause::done);
-    if (worker.phase(id) == TaskPhase::fetching) worker.set_phase(id, TaskPhase::running);
-  };
-  std::vector<std::pair<double, std::string>> calls;
-  double end = simulation.cluster.now + scenario.duration_s,
-         next = simulation.cluster.now + simulation.exponential(scenario.arrival_interval_s), replicas_s = 0;
-  std::uint64_t epoch = 0, wrong_epochs = 0;
-  std::map<std::uint64_t, std::set<std::string>> before_serving;
-  while (simulation.cluster.now < end) {
-    if (simulation.cluster.now >= next && simulation.cluster.now < end - 300) {
-      for (std::uint32_t i = 0; i < scenario.calls_per_burst; ++i) {
-        calls.emplace_back(simulation.cluster.now, "run-call" + std::to_string(calls.size()));
-        simulation.submit(calls.back().second, terms.call_classes.at(0), JobShape::array, 1, 1, i % 2 == 1);
+std::uint64_t changes_sent(DecisionSimulation& simulation) {
+  std::uint64_t changes = 0;
+  for (std::size_t i = 0; i < controller_count; ++i)
+    changes += simulation.cluster.controller(i).decision_log->changes_sent();
+  return changes;
+}
+
+/// A model that scales to zero, with calls that arrive in bursts.
+class ModelPlay {
+ public:
+  ModelPlay(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed)
+      : scenario_(scenario), row_{variant, seed}, simulation_(scenario, seed), spec_(scenario.terms) {
+    if (variant == always_on) spec_.min_replicas = 1;
+    if (variant == fixed_idle) spec_.idle_factor = 0;
+    for (std::size_t i = 0; i < controller_count; ++i)
+      simulation_.cluster.controller(i).enable_decisions({}, {1, {spec_}});
+    simulation_.submit(service_job, spec_.job_class, JobShape::service, spec_.max_replicas, replica_gpus,
+                       false);
+    for (const std::string& name : simulation_.machine_names)
+      simulation_.cluster.worker(name).first_phase = TaskPhase::fetching;
+    simulation_.on_task_ended = [](const std::string& id, Worker& worker) {
+      bool replica = id.rfind(std::string(service_job) + "/", 0) == 0;
+      if (!replica) return worker.finish(id, EndCause::done);
+      if (worker.phase(id) == TaskPhase::fetching) worker.set_phase(id, TaskPhase::running);
+    };
+  }
+
+  DecisionRow run() {
+    double end = simulation_.cluster.now + scenario_.duration_s;
+    double next_burst_at = simulation_.cluster.now + simulation_.exponential(scenario_.arrival_interval_s);
+    while (simulation_.cluster.now < end) {
+      if (simulation_.cluster.now >= next_burst_at &&
+          simulation_.cluster.now < end - last_calls_before_end_s) {
+        submit_calls();
+        next_burst_at = simulation_.cluster.now + simulation_.exponential(scenario_.arrival_interval_s);
       }
-      next = simulation.cluster.now + simulation.exponential(scenario.arrival_interval_s);
+      simulation_.step([&](const std::string& job) {
+        return job == service_job ? scenario_.weights_fetch_s : scenario_.call_s;
+      });
+      observe_replicas();
     }
-    simulation.step([&](const std::string& job) {
-      return job == "run-model" ? scenario.weights_fetch_s : scenario.call_s;
-    });
-    auto record = simulation.cluster.store.keys().find("o/d/model/" + terms.name);
-    if (record == simulation.cluster.store.keys().end()) continue;
-    std::uint64_t current_round = record->second.value.value("e", std::uint64_t{0});
-    wrong_epochs += current_round > epoch + 1 ? 1 : 0;
-    epoch = current_round;
-    bool warms = record->second.value.at("s") == serving::warming;
-    for (const std::string& m : simulation.machine_names) {
-      for (const auto& [id, task] : simulation.cluster.worker(m).tasks()) {
-        if (task.job != "run-model" || task.phase == TaskPhase::ended) continue;
-        replicas_s += step_s;
-        if (warms) before_serving[current_round].insert(id + "@" + std::to_string(task.attempt));
+    return summarise();
+  }
+
+ private:
+  static constexpr double last_calls_before_end_s = 300;
+  static constexpr double replica_gpus = 4;
+  static constexpr const char* service_job = "run-model";
+
+  struct Call {
+    double at = 0;
+    std::string ref;
+  };
+  struct Interval {
+    double from = 0, to = 0;
+  };
+
+  void submit_calls() {
+    for (std::uint32_t i = 0; i < scenario_.calls_per_burst; ++i) {
+      calls_.push_back({simulation_.cluster.now, "run-call" + std::to_string(calls_.size())});
+      simulation_.submit(calls_.back().ref, spec_.call_classes.at(0), JobShape::array, 1, 1, i % 2 == 1);
+    }
+  }
+
+  /// Counts the time of running replicas, and those that started in an epoch before the model served.
+  void observe_replicas() {
+    auto record = simulation_.cluster.store.keys().find("o/d/model/" + spec_.name);
+    if (record == simulation_.cluster.store.keys().end()) return;
+    std::uint64_t current_epoch = record->second.value.value("e", std::uint64_t{0});
+    wrong_epochs_ += current_epoch > epoch_ + 1 ? 1 : 0;
+    epoch_ = current_epoch;
+    bool is_warming = record->second.value.at("s") == serving::warming;
+    for (const std::string& name : simulation_.machine_names) {
+      for (const auto& [id, task] : simulation_.cluster.worker(name).tasks()) {
+        if (task.job != service_job || task.phase == TaskPhase::ended) continue;
+        replicas_s_ += step_s;
+        if (is_warming)
+          started_before_serving_[current_epoch].insert(id + "@" + std::to_string(task.attempt));
       }
     }
   }
-  std::vector<double> waits;
-  std::vector<std::pair<double, double>> busy;
-  for (const auto& [called_at, ref] : calls) {
-    auto began = simulation.first_started_at.find(ref);
-    if (began == simulation.first_started_at.end()) {
-      ++row.violations;
-      continue;
+
+  DecisionRow summarise() {
+    std::vector<double> waits;
+    std::vector<Interval> busy;
+    for (const Call& call : calls_) {
+      auto started = simulation_.first_started_at.find(call.ref);
+      if (started == simulation_.first_started_at.end()) {
+        ++row_.violations;
+        continue;
+      }
+      waits.push_back(row_.variant == oracle ? 0 : started->second - call.at);
+      busy.push_back({call.at, call.at + scenario_.call_s});
     }
-    waits.push_back(variant == "bound" ? 0 : began->second - called_at);
-    busy.emplace_back(called_at, called_at + scenario.call_s);
+    row_.rounds = static_cast<double>(epoch_);
+    for (const auto& [epoch, ids] : started_before_serving_)
+      row_.starts_before_serving = std::max(row_.starts_before_serving, static_cast<double>(ids.size()));
+    row_.gpu_hours = replicas_s_ * replica_gpus / seconds_per_hour;
+    if (row_.variant == oracle) {
+      row_.gpu_hours = oracle_active_s(std::move(busy)) * replica_gpus / seconds_per_hour;
+      row_.rounds = row_.starts_before_serving = 0;
+    }
+    row_.wait_median = quantile(waits, 0.5);
+    row_.wait_p95 = quantile(waits, 0.95);
+    row_.changes_per_minute =
+        static_cast<double>(changes_sent(simulation_)) * seconds_per_minute / scenario_.duration_s;
+    row_.violations += static_cast<int>(simulation_.cluster.run_log.duplicated_tasks.size() + wrong_epochs_);
+    return row_;
   }
-  row.rounds = static_cast<double>(epoch);
-  std::vector<double> starts;
-  for (const auto& [e, ids] : before_serving) starts.push_back(static_cast<double>(ids.size()));
-  row.starts_before_serving = starts.empty() ? 0 : *std::max_element(starts.begin(), starts.end());
-  row.gpu_hours = replicas_s * 4 / 3600;
-  if (variant == "bound") {
-    // Knows when calls come: a replica is there as they do, and stays where a cold start would cost more.
+
+  /// Knows when calls arrive: a replica is there for each, and stays where a cold start would cost more.
+  double oracle_active_s(std::vector<Interval> busy) const {
+    std::sort(busy.begin(), busy.end(), [](const Interval& a, const Interval& b) {
+      return std::tie(a.from, a.to) < std::tie(b.from, b.to);
+    });
     double active_s = 0, until = -1e9;
-    std::sort(busy.begin(), busy.end());
-    for (const auto& [from, to] : busy) {
-      active_s += from - until <= scenario.weights_fetch_s
-                      ? std::max(0.0, to - std::max(until, from)) + std::max(0.0, from - until)
-                      : scenario.weights_fetch_s + to - from;
-      until = std::max(until, to);
+    for (const Interval& call : busy) {
+      active_s += call.from - until <= scenario_.weights_fetch_s
+                      ? std::max(0.0, call.to - std::max(until, call.from)) + std::max(0.0, call.from - until)
+                      : scenario_.weights_fetch_s + call.to - call.from;
+      until = std::max(until, call.to);
     }
-    row.gpu_hours = active_s * 4 / 3600;
-    row.rounds = row.starts_before_serving = 0;
+    return active_s;
   }
-  row.wait_median = quantile(waits, 0.5);
-  row.wait_p95 = quantile(waits, 0.95);
-  std::uint64_t changes = 0;
-  for (std::size_t i = 0; i < 3; ++i)
-    changes += simulation.cluster.controller(i).decision_log->changes_sent();
-  row.changes_per_minute = static_cast<double>(changes) * 60 / scenario.duration_s;
-  row.violations += static_cast<int>(simulation.cluster.run_log.duplicated_tasks.size() + wrong_epochs);
-  return row;
-}
 
-DecisionRow play_release(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed) {
-  DecisionRow row{variant, seed};
-  DecisionSimulation simulation(scenario, seed);
-  bool paired = variant == "as it is";
-  for (std::size_t i = 0; i < 3; ++i) simulation.cluster.controller(i).enable_decisions({});
-  std::map<std::string, double> runs;
-  simulation.on_task_ended = [](const std::string& id, Worker& worker) { worker.finish(id, EndCause::done); };
-  const std::vector<std::string> editions = {"ar", "fr"};
-  std::vector<double> to_publish;
-  double stale = 0, total = 0;
-  auto revisions = static_cast<std::uint64_t>(scenario.duration_s / scenario.arrival_interval_s);
-  auto step = [&] { simulation.step([&](const std::string& job) { return runs.at(job); }); };
-  auto done = [&](const std::string& ref) { return simulation.cluster.phase(ref) == "done"; };
-  for (std::uint64_t revision_number = 1; revision_number <= revisions; ++revision_number) {
-    std::string tag = std::to_string(revision_number);
-    release_calendar::ReleaseSpec terms;
-    terms.name = "manual";
-    terms.revision = "r" + tag;
-    for (const std::string& e : editions)
-      terms.editions.push_back({e, {{"run-" + e + tag, "", "", 1}}, {"run-pub-" + e + tag, "", "", 1}});
-    for (std::size_t i = 0; i < 3 && paired; ++i)
-      simulation.cluster.controller(i).release_planner->load({revision_number, {terms}});
+  const DecisionScenario& scenario_;
+  DecisionRow row_;
+  DecisionSimulation simulation_;
+  serving::ModelSpec spec_;
+  std::vector<Call> calls_;
+  double replicas_s_ = 0;
+  std::uint64_t epoch_ = 0, wrong_epochs_ = 0;
+  std::map<std::uint64_t, std::set<std::string>> started_before_serving_;  // by epoch
+};
+
+/// Revisions of two editions that are to be published together, one after the other.
+class ReleasePlay {
+ public:
+  ReleasePlay(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed)
+      : scenario_(scenario), row_{variant, seed}, simulation_(scenario, seed) {
+    for (std::size_t i = 0; i < controller_count; ++i) simulation_.cluster.controller(i).enable_decisions({});
+    simulation_.on_task_ended = [](const std::string& id, Worker& worker) {
+      worker.finish(id, EndCause::done);
+    };
+  }
+
+  DecisionRow run() {
+    auto revisions = static_cast<std::uint64_t>(scenario_.duration_s / scenario_.arrival_interval_s);
+    for (std::uint64_t number = 1; number <= revisions; ++number) {
+      tag_ = std::to_string(number);
+      if (is_coordinated()) load_release(number);
+      submit_revision();
+      follow_revision();
+    }
+    row_.to_publish_median = quantile(to_publish_, 0.5);
+    row_.to_publish_max = quantile(to_publish_, 1);
+    row_.stale_fraction = total_s_ > 0 ? stale_s_ / total_s_ : 0;
+    row_.changes_per_minute =
+        static_cast<double>(changes_sent(simulation_)) * seconds_per_minute / std::max(1.0, total_s_);
+    row_.violations += static_cast<int>(simulation_.cluster.run_log.duplicated_tasks.size());
+    return row_;
+  }
+
+ private:
+  bool is_coordinated() const { return row_.variant == as_it_is; }
+  std::string render_job(const std::string& edition) const { return "run-" + edition + tag_; }
+  std::string publish_job(const std::string& edition) const { return "run-pub-" + edition + tag_; }
+  bool is_done(const std::string& ref) { return simulation_.cluster.phase(ref) == "done"; }
+  bool is_submitted(const std::string& ref) const { return simulation_.submitted_at.count(ref) != 0; }
+
+  void load_release(std::uint64_t number) {
+    release_calendar::ReleaseSpec spec;
+    spec.name = "manual";
+    spec.revision = "r" + tag_;
+    for (const std::string& edition : editions)
+      spec.editions.push_back(
+          {edition, {{render_job(edition), "", "", 1}}, {publish_job(edition), "", "", 1}});
+    for (std::size_t i = 0; i < controller_count; ++i)
+      simulation_.cluster.controller(i).release_planner->load({number, {spec}});
+  }
+
+  void submit_revision() {
     for (const std::string& edition : editions) {
-      runs["run-" + edition + tag] = simulation.log_uniform(scenario.render_s);
-      runs["run-pub-" + edition + tag] = simulation.log_uniform(scenario.publish_s);
-      simulation.submit("run-" + edition + tag, "render", JobShape::array, 1, 4, edition == "fr");
-      if (paired)
-        simulation.submit("run-pub-" + edition + tag, "publish", JobShape::array, 1, 1, edition == "fr");
+      run_s_[render_job(edition)] = simulation_.log_uniform(scenario_.render_s);
+      run_s_[publish_job(edition)] = simulation_.log_uniform(scenario_.publish_s);
+      simulation_.submit(render_job(edition), "render", JobShape::array, 1, 4, edition == "fr");
+      if (is_coordinated()) submit_publish_job(edition);
     }
-    double rendered = -1, begun = simulation.cluster.now, looked = begun + scenario.manual_check_interval_s;
-    std::map<std::string, double> published;
-    while (published.size() < 2 && simulation.cluster.now < begun + 4 * scenario.arrival_interval_s +
-                                                                scenario.manual_check_interval_s) {
-      step();
-      bool all = done("run-ar" + tag) && done("run-fr" + tag);
-      if (all && rendered < 0) rendered = simulation.cluster.now;
-      bool looks = simulation.cluster.now >= looked;
-      if (looks) looked += scenario.manual_check_interval_s;
+  }
+
+  void submit_publish_job(const std::string& edition) {
+    simulation_.submit(publish_job(edition), "publish", JobShape::array, 1, 1, edition == "fr");
+  }
+
+  /// Plays until both editions are published, or for as long as that may take.
+  void follow_revision() {
+    double begun_at = simulation_.cluster.now, rendered_at = -1;
+    double give_up_at = begun_at + 4 * scenario_.arrival_interval_s + scenario_.manual_check_interval_s;
+    double next_check_at = begun_at + scenario_.manual_check_interval_s;
+    std::set<std::string> published;
+    while (published.size() < editions.size() && simulation_.cluster.now < give_up_at) {
+      simulation_.step([&](const std::string& job) { return run_s_.at(job); });
+      bool all_rendered = std::all_of(editions.begin(), editions.end(), [this](const std::string& edition) {
+        return is_done(render_job(edition));
+      });
+      if (all_rendered && rendered_at < 0) rendered_at = simulation_.cluster.now;
+      bool checks = simulation_.cluster.now >= next_check_at;
+      if (checks) next_check_at += scenario_.manual_check_interval_s;
       for (const std::string& edition : editions) {
-        std::string publish_job = "run-pub-" + edition + tag;
-        bool go = variant == "unpaired" ? done("run-" + edition + tag) : variant == "by hand" && all && looks;
-        if (go && simulation.submitted_at.count(publish_job) == 0)
-          simulation.submit(publish_job, "publish", JobShape::array, 1, 1, edition == "fr");
-        if (simulation.first_started_at.count(publish_job) != 0 && !all && variant != "unpaired")
-          ++row.violations;
-        if (simulation.submitted_at.count(publish_job) != 0 && done(publish_job))
-          published.emplace(edition, simulation.cluster.now);
+        if (advance_edition(edition, all_rendered, checks)) published.insert(edition);
       }
-      total += step_s;
-      stale += published.size() == 1 ? step_s : 0;
+      total_s_ += step_s;
+      stale_s_ += published.size() == 1 ? step_s : 0;
     }
-    if (published.size() < 2) {
-      ++row.violations;  // stranded
-      continue;
+    if (published.size() < editions.size()) {
+      ++row_.violations;  // left unpublished
+      return;
     }
-    if (variant != "unpaired")
-      to_publish.push_back(std::max(simulation.first_started_at.at("run-pub-ar" + tag),
-                                    simulation.first_started_at.at("run-pub-fr" + tag)) -
-                           rendered);
+    if (row_.variant == unpaired) return;
+    to_publish_.push_back(std::max(simulation_.first_started_at.at(publish_job("ar")),
+                                   simulation_.first_started_at.at(publish_job("fr"))) -
+                          rendered_at);
   }
-  row.to_publish_median = quantile(to_publish, 0.5);
-  row.to_publish_max = quantile(to_publish, 1);
-  row.stale_fraction = total > 0 ? stale / total : 0;
-  std::uint64_t changes = 0;
-  for (std::size_t i = 0; i < 3; ++i)
-    changes += simulation.cluster.controller(i).decision_log->changes_sent();
-  row.changes_per_minute = static_cast<double>(changes) * 60 / std::max(1.0, total);
-  row.violations += static_cast<int>(simulation.cluster.run_log.duplicated_tasks.size());
-  return row;
-}
+
+  /// Submits the publishing job where somebody does so by hand; returns whether the edition is published.
+  bool advance_edition(const std::string& edition, bool all_rendered, bool checks) {
+    std::string job = publish_job(edition);
+    bool submits = row_.variant == unpaired ? is_done(render_job(edition))
+                                            : row_.variant == by_hand && all_rendered && checks;
+    if (submits && !is_submitted(job)) submit_publish_job(edition);
+    if (simulation_.first_started_at.count(job) != 0 && !all_rendered && row_.variant != unpaired)
+      ++row_.violations;
+    return is_submitted(job) && is_done(job);
+  }
+
+  const std::vector<std::string> editions = {"ar", "fr"};
+  const DecisionScenario& scenario_;
+  DecisionRow row_;
+  DecisionSimulation simulation_;
+  std::string tag_;                      // of the present revision, in the names of its jobs
+  std::map<std::string, double> run_s_;  // by job
+  std::vector<double> to_publish_;       // by revision: from rendered until both publishing jobs run
+  double stale_s_ = 0, total_s_ = 0;
+};
 
 }  // namespace
 
@@ -277,8 +372,8 @@
       rows.push_back({w, seed});
   }
   run_in_parallel(rows.size(), threads, [&](std::size_t i) {
-    rows[i] = scenario.is_release_scenario ? play_release(scenario, rows[i].variant, rows[i].seed)
-                                           : play_model(scenario, rows[i].variant, rows[i].seed);
+    rows[i] = scenario.is_release_scenario ? ReleasePlay(scenario, rows[i].variant, rows[i].seed).run()
+                                           : ModelPlay(scenario, rows[i].variant, rows[i].seed).run();
   });
   return rows;
 }
--- a/src/simulation/simulated_market.cpp
+++ b/src/simulation/simulated_market.cpp
@@ -8,6 +8,12 @@
 
 using wire::Json;
 
+namespace {
+MarketReply ok(const Json& body) {
+  return {200, wire::encode(body), 0};
+}
+}  // namespace
+
 SimulatedMarket::SimulatedMarket(MarketBehavior profile, std::uint64_t seed, std::vector<std::string> types,
                                  std::vector<std::string> zones)
     : behavior_(std::move(profile)), random_(seed), types_(std::move(types)), zones_(std::move(zones)) {}
@@ -22,80 +28,97 @@
 
 MarketReply SimulatedMarket::handle(const std::string& method, const std::string& path,
                                     const std::string& body, double now) {
-  bool bad_now = faults_active(now);
-  if (bad_now && chance(behavior_.lost_request_chance)) return {0, "", 0};
-  if (bad_now && chance(behavior_.throttle_chance)) return {chance(0.5) ? 429 : 503, "", 2};
+  bool faulty = faults_active(now);
+  if (faulty && chance(behavior_.lost_request_chance)) return {0, "", 0};
+  if (faulty && chance(behavior_.throttle_chance)) return {chance(0.5) ? 429 : 503, "", 2};
   tick(now);
-  Json request = body.empty() ? Json::object() : Json::from_cbor(body, true, false);
-  MarketReply reply{404, "", 0};
-  auto respond = [&reply](const Json& json) { reply = {200, wire::encode(json), 0}; };
-  const std::string bids = "/bids/";
-  if (!request.is_object()) {
-    reply.status = 400;
-  } else if (path == "/quotes") {
-    respond(quotes(request, now));
-  } else if (path == "/bids") {
-    reply = bid(request, now);
-  } else if (path.rfind(bids, 0) == 0) {
-    std::string name = path.substr(bids.size());
-    std::size_t slash = name.find('/');
-    std::string verb = slash == std::string::npos ? "" : name.substr(slash + 1);
-    name = name.substr(0, slash);
-    auto it = bids_.find(name);
-    if (verb == "withdraw") {
-      // Uses the name up, also of a bid that has not come yet.
-      Bid& bid = bids_[name];
-      if (it == bids_.end() || bid.phase == "open" || bid.phase == "raised") {
-        bid.phase = "withdrawn";
-        bid.expected_count = 0;
-      }
-      if (bid.phase == "won") bid.expected_count = 0, bid.deliveries.clear();
-      maybe_close(bid);
-      respond(state_of(name, now));
-    } else if (it == bids_.end()) {
-      reply.status = 404;
-    } else if (verb == "confirm") {
-      Bid& bid = it->second;
-      if (bid.phase == "raised" && request.value("round", 0ULL) == bid.round &&
-          std::abs(request.value("rate", 0.0) - bid.raise) < 1e-4) {
-        accept(bid, bid.raise, now);
-        respond(state_of(name, now));
-      } else if (bid.phase == "raised" || bid.phase == "open") {
-        reply.status = 409;
-      } else {
-        respond(state_of(name, now));
-      }
-    } else if (verb.empty() && method == "GET") {
-      respond(state_of(name, now));
-    }
-  } else if (path == "/returns") {
-    Json back = Json::array();
-    for (const Json& h : request.value("hosts", Json::array())) {
-      auto it = h.is_string() ? hosts_.find(h.get<std::string>()) : hosts_.end();
-      back.push_back(h);
-      if (it == hosts_.end() || it->second.returned) continue;
-      Host& host = it->second;
-      host.returned = true;
-      if (host.until < 0) host.until = now;
-      host.alive = behavior_.runs_after_return && bad_now;
-      maybe_close(bids_[host.bid]);
-    }
-    respond({{"returned", back}});
-  } else if (path.rfind("/charges", 0) == 0) {
-    std::uint64_t no = 0;
-    Json list = Json::array();
-    for (const auto& [name, b] : bids_) {
-      if (!b.hosts.empty()) list.push_back({{"no", ++no}, {"bid", name}, {"amount", charge(b, now)}});
-    }
-    respond({{"charges", list}});
-  }
-  if (bad_now && chance(behavior_.stall_chance)) return {0, "", 0};
-  if (bad_now && reply.status == 200 && chance(behavior_.garbled_response_chance)) {
+  MarketReply reply = route(method, path, body, now);
+  if (faulty && chance(behavior_.stall_chance)) return {0, "", 0};
+  if (faulty && reply.status == 200 && chance(behavior_.garbled_response_chance)) {
     reply.body = chance(0.5) ? reply.body.substr(0, reply.body.size() / 2) : "\xbf\x61";
   }
   return reply;
 }
 
+MarketReply SimulatedMarket::route(const std::string& method, const std::string& path,
+                                   const std::string& body, double now) {
+  static const std::string bids = "/bids/";
+  Json request = body.empty() ? Json::object() : Json::from_cbor(body, true, false);
+  if (!request.is_object()) return {400, "", 0};
+  if (path == "/quotes") return ok(quotes(request, now));
+  if (path == "/bids") return bid(request, now);
+  if (path.rfind(bids, 0) == 0) return handle_bid(method, path.substr(bids.size()), request, now);
+  if (path == "/returns") return ok(return_hosts(request, now));
+  if (path.rfind("/charges", 0) == 0) return ok(charges(now));
+  return {404, "", 0};
+}
+
+MarketReply SimulatedMarket::handle_bid(const std::string& method, const std::string& name_and_verb,
+                                        const Json& request, double now) {
+  std::size_t slash = name_and_verb.find('/');
+  std::string verb = slash == std::string::npos ? "" : name_and_verb.substr(slash + 1);
+  std::string name = name_and_verb.substr(0, slash);
+  if (verb == "withdraw") {
+    withdraw(name);
+    return ok(state_of(name, now));
+  }
+  auto known = bids_.find(name);
+  if (known == bids_.end()) return {404, "", 0};
+  if (verb == "confirm") return confirm(name, known->second, request, now);
+  if (verb.empty() && method == "GET") return ok(state_of(name, now));
+  return {404, "", 0};
+}
+
+void SimulatedMarket::withdraw(const std::string& name) {
+  // The name is used up, also by the withdrawal of a bid that has not arrived yet.
+  bool is_new = bids_.find(name) == bids_.end();
+  Bid& bid = bids_[name];
+  if (is_new || bid.phase == "open" || bid.phase == "raised") {
+    bid.phase = "withdrawn";
+    bid.expected_count = 0;
+  }
+  if (bid.phase == "won") {
+    bid.expected_count = 0;
+    bid.deliveries.clear();
+  }
+  maybe_close(bid);
+}
+
+MarketReply SimulatedMarket::confirm(const std::string& name, Bid& bid, const Json& request, double now) {
+  constexpr double rate_tolerance = 1e-4;
+  if (bid.phase == "raised" && request.value("round", 0ULL) == bid.round &&
+      std::abs(request.value("rate", 0.0) - bid.raise) < rate_tolerance) {
+    accept(bid, bid.raise, now);
+    return ok(state_of(name, now));
+  }
+  if (bid.phase == "raised" || bid.phase == "open") return {409, "", 0};
+  return ok(state_of(name, now));
+}
+
+Json SimulatedMarket::return_hosts(const Json& request, double now) {
+  Json returned = Json::array();
+  for (const Json& name : request.value("hosts", Json::array())) {
+    auto it = name.is_string() ? hosts_.find(name.get<std::string>()) : hosts_.end();
+    returned.push_back(name);
+    if (it == hosts_.end() || it->second.returned) continue;
+    Host& host = it->second;
+    host.returned = true;
+    if (host.until < 0) host.until = now;
+    host.alive = behavior_.runs_after_return && faults_active(now);
+    maybe_close(bids_[host.bid]);
+  }
+  return {{"returned", returned}};
+}
+
+Json SimulatedMarket::charges(double now) const {
+  std::uint64_t number = 0;
+  Json list = Json::array();
+  for (const auto& [name, bid] : bids_) {
+    if (!bid.hosts.empty()) list.push_back({{"no", ++number}, {"bid", name}, {"amount", charge(bid, now)}});
+  }
+  return {{"charges", list}};
+}
+
 market::Answer SimulatedMarket::call(const market::Call& call, const Names& names, double now) {
   wire::MarketRequest r = wire::write_market_call(call, names);
   MarketReply reply =
