--- a/app/oxbowmill_sim.cpp
+++ b/app/oxbowmill_sim.cpp
@@ -1,4 +1,4 @@
-// The laboratory: experiments on a simulated clock. Nothing of it is part of a controller.
+// oxbowmill-sim: experiments on a simulated clock or on loopback. Nothing of it is part of a controller.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -8,9 +8,12 @@
 #include <chrono>
 #include <filesystem>
 #include <fstream>
+#include <functional>
 #include <iostream>
+#include <map>
 #include <thread>
 
+#include "oxbowmill/error.h"
 #include "oxbowmill/simulation/cluster_experiment.h"
 #include "oxbowmill/simulation/decision_simulation.h"
 #include "oxbowmill/simulation/market_experiment.h"
@@ -38,7 +41,7 @@
   } else {
     out << simulation::csv(name, rows);
   }
-  if (!out) throw std::runtime_error(report + ": cannot be written");
+  if (!out) throw Error(report + ": cannot be written");
   return 0;
 }
 
@@ -48,7 +51,7 @@
   if (single_seed != 0) {
     const auto* p = std::find_if(std::begin(simulation::policies), std::end(simulation::policies),
                                  [&](simulation::Policy x) { return policy == simulation::name_of(x); });
-    if (p == std::end(simulation::policies)) throw std::runtime_error("--policy: none is named " + policy);
+    if (p == std::end(simulation::policies)) throw Error("--policy: none is named " + policy);
     std::cout << simulation::table(
         scenario.name,
         simulation::summarise(
@@ -66,8 +69,7 @@
     const auto* w =
         std::find_if(std::begin(simulation::simulation_variants), std::end(simulation::simulation_variants),
                      [&](simulation::SimulationVariant x) { return variant == simulation::name_of(x); });
-    if (w == std::end(simulation::simulation_variants))
-      throw std::runtime_error("--way: none is named " + variant);
+    if (w == std::end(simulation::simulation_variants)) throw Error("--way: none is named " + variant);
     std::cout << simulation::csv(
         scenario.name, {{*w, single_seed, simulation::ClusterSimulation(scenario, *w, single_seed).run()}});
     return 0;
@@ -75,7 +77,7 @@
   auto rows = simulation::play(scenario, seeds, threads);
   auto summary = simulation::summarise(scenario, rows);
   write_results(scenario.name + " on " + scenario.cluster, rows, summary, report);
-  // A broken rule is a failure whatever the figures say.
+  // A broken invariant is a failure whatever the figures say.
   return std::any_of(summary.begin(), summary.end(), [](const auto& x) { return x.violations != 0; }) ? 1 : 0;
 }
 
@@ -99,9 +101,9 @@
 }
 
 int run_decisions(const std::string& file, unsigned seeds, unsigned threads) {
-  simulation::DecisionScenario s = simulation::load_decision_scenario(file);
-  auto rows = simulation::play_decisions(s, seeds, threads);
-  std::cout << simulation::table(s, rows);
+  simulation::DecisionScenario scenario = simulation::load_decision_scenario(file);
+  auto rows = simulation::play_decisions(scenario, seeds, threads);
+  std::cout << simulation::table(scenario, rows);
   return std::any_of(rows.begin(), rows.end(), [](const auto& r) { return r.violations != 0; }) ? 1 : 0;
 }
 
@@ -115,16 +117,16 @@
   if (!report_file.empty()) {
     std::ofstream out(report_file);
     out << report.figures.dump(2) << '\n';
-    if (!out) throw std::runtime_error(report_file + ": cannot be written");
+    if (!out) throw Error(report_file + ": cannot be written");
   }
   return report.violations.empty() ? 0 : 1;
 }
 
 int serve_market(const std::string& file, const std::string& name, const std::string& listen) {
-  simulation::MarketScenario s = simulation::load_scenario(file);
-  auto market = std::find_if(s.markets.begin(), s.markets.end(),
+  simulation::MarketScenario scenario = simulation::load_scenario(file);
+  auto market = std::find_if(scenario.markets.begin(), scenario.markets.end(),
                              [&](const simulation::MarketBehavior& x) { return x.name == name; });
-  if (market == s.markets.end()) throw std::runtime_error(file + ": markets: none is named " + name);
+  if (market == scenario.markets.end()) throw Error(file + ": markets: none is named " + name);
   auto base = net::make_event_base();
   auto start = std::chrono::steady_clock::now();
   simulation::MarketServer server(
@@ -135,75 +137,115 @@
   return 0;
 }
 
-}  // namespace
+/// Options that several commands share; each command reads those it adds.
+struct Options {
+  std::string file, report;
+  unsigned seeds = 200, threads = std::max(1U, std::thread::hardware_concurrency());
+  unsigned long long single_seed = 0, first_seed = 1;
+  std::string policy = "planner";              // of markets
+  std::string variant = "now", fleet;          // of cluster
+  simulation::ScaleOptions scale;              // of scale
+  std::string market, listen = "127.0.0.1:0";  // of market
+};
 
-int main(int argc, char** argv) {
+using Command = std::function<int()>;
+
+void add_seeds(CLI::App& command, Options& options) {
+  command.add_option("--seeds", options.seeds, "how many seeds, from 1 on");
+  command.add_option("--threads", options.threads, "how many at a time");
+}
+
+Command add_markets(CLI::App& command, Options& options) {
+  command.add_option("scenario", options.file, "scenario file (YAML)")->required();
+  add_seeds(command, options);
+  command.add_option("--report", options.report, "file for the figures: .json by policy, else CSV by seed");
+  command.add_option("--one", options.single_seed,
+                     "play this seed alone (LOG_LEVEL=info tells what happens)");
+  command.add_option("--policy", options.policy, "with --one: planner, cheapest, one, even or bound");
+  return [&options] {
+    return run_markets(options.file, options.seeds, options.threads, options.report, options.single_seed,
+                       options.policy);
+  };
+}
+
+Command add_cluster(CLI::App& command, Options& options) {
+  command.add_option("scenario", options.file, "scenario file (YAML)")->required();
+  command.add_option("--fleet", options.fleet, "the cluster that has its faults (YAML)")->required();
+  add_seeds(command, options);
+  command.add_option("--report", options.report, "file for the figures: .json by way, else CSV by second");
+  command.add_option("--one", options.single_seed,
+                     "play this seed alone, second by second (LOG_LEVEL=info tells what happens)");
+  command.add_option("--way", options.variant, "with --one: twin, before, now or bound");
+  return [&options] {
+    return run_cluster(options.file, options.fleet, options.seeds, options.threads, options.report,
+                       options.single_seed, options.variant);
+  };
+}
+
+Command add_decisions(CLI::App& command, Options& options) {
+  command.add_option("scenario", options.file, "scenario file (YAML)")->required();
+  add_seeds(command, options);
+  return [&options] { return run_decisions(options.file, options.seeds, options.threads); };
+}
+
+Command add_histories(CLI::App& command, Options& options) {
+  command.add_option("--from", options.first_seed, "the first seed");
+  command.add_option("--seeds", options.seeds, "how many seeds");
+  command.add_option("--threads", options.threads, "how many at a time");
+  return [&options] { return run_histories(options.first_seed, options.seeds, options.threads); };
+}
+
+Command add_scale(CLI::App& command, Options& options) {
+  command.add_option("settings", options.file, "what is played (YAML)")->required();
+  command.add_option("--program", options.scale.program, "the controller; the one beside this program");
+  command.add_option("--operator", options.scale.operators, "its operators' settings; several may be given");
+  command.add_option("--logs", options.scale.directory, "where settings and logs go; a new directory");
+  command.add_option("--report", options.report, "file for the figures (JSON)");
+  return [&options] { return run_scale(options.file, options.scale, options.report); };
+}
+
+Command add_market(CLI::App& command, Options& options) {
+  command.add_option("scenario", options.file, "scenario file (YAML)")->required();
+  command.add_option("name", options.market, "which of its markets")->required();
+  command.add_option("--listen", options.listen, "IPv4:port; port 0: the system's choice");
+  return [&options] { return serve_market(options.file, options.market, options.listen); };
+}
+
+void set_up_logging() {
   spdlog::set_default_logger(spdlog::stderr_logger_mt("oxbowmill-sim"));
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(level == nullptr ? spdlog::level::off : spdlog::level::from_str(level));
   spdlog::set_pattern("%l %v");
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  constexpr int usage_error = 2;
+  set_up_logging();
+  Options options;
+  options.scale.program = (std::filesystem::path(argv[0]).parent_path() / "oxbowmill").string();
   CLI::App app{"oxbowmill-sim: experiments with oxbowmill on a simulated clock"};
   app.require_subcommand(1);
-  std::string file, report, policy = "planner";
-  unsigned seeds = 200, threads = std::max(1U, std::thread::hardware_concurrency());
-  unsigned long long single_seed = 0, from = 1;
-  auto* markets_command = app.add_subcommand("markets", "bidding on stand-in markets, beside its baselines");
-  markets_command->add_option("scenario", file, "scenario file (YAML)")->required();
-  markets_command->add_option("--seeds", seeds, "how many seeds, from 1 on");
-  markets_command->add_option("--threads", threads, "how many at a time");
-  markets_command->add_option("--report", report, "file for the figures: .json by policy, else CSV by seed");
-  markets_command->add_option("--one", single_seed,
-                              "play this seed alone (LOG_LEVEL=info tells what happens)");
-  markets_command->add_option("--policy", policy, "with --one: planner, cheapest, one, even or bound");
-  std::string variant = "now", fleet;
-  auto* cluster_command =
-      app.add_subcommand("cluster", "a whole cluster through a start, beside its undisturbed twin");
-  cluster_command->add_option("scenario", file, "scenario file (YAML)")->required();
-  cluster_command->add_option("--fleet", fleet, "the cluster that has its faults (YAML)")->required();
-  cluster_command->add_option("--seeds", seeds, "how many seeds, from 1 on");
-  cluster_command->add_option("--threads", threads, "how many at a time");
-  cluster_command->add_option("--report", report, "file for the figures: .json by way, else CSV by second");
-  cluster_command->add_option("--one", single_seed,
-                              "play this seed alone, second by second (LOG_LEVEL=info tells what happens)");
-  cluster_command->add_option("--way", variant, "with --one: twin, before, now or bound");
-  auto* decisions_command =
-      app.add_subcommand("agreed", "releases or a model with its calls, beside simpler ways");
-  decisions_command->add_option("scenario", file, "scenario file (YAML)")->required();
-  decisions_command->add_option("--seeds", seeds, "how many seeds, from 1 on");
-  decisions_command->add_option("--threads", threads, "how many at a time");
-  auto* histories_command =
-      app.add_subcommand("histories", "random troubles for a small cluster; what breaks a rule is shrunk");
-  histories_command->add_option("--from", from, "the first seed");
-  histories_command->add_option("--seeds", seeds, "how many seeds");
-  histories_command->add_option("--threads", threads, "how many at a time");
-  simulation::ScaleOptions scale_options;
-  scale_options.program = (std::filesystem::path(argv[0]).parent_path() / "oxbowmill").string();
-  auto* cell =
-      app.add_subcommand("scale", "real controllers beside thousands of hollow workers, on loopback");
-  cell->add_option("settings", file, "what is played (YAML)")->required();
-  cell->add_option("--program", scale_options.program, "the controller; the one beside this program");
-  cell->add_option("--operator", scale_options.operators, "its operators' settings; several may be given");
-  cell->add_option("--logs", scale_options.directory, "where settings and logs go; a new directory");
-  cell->add_option("--report", report, "file for the figures (JSON)");
-  std::string name, listen = "127.0.0.1:0";
-  auto* one_market =
-      app.add_subcommand("market", "one stand-in market of a scenario on a socket, until it is ended");
-  one_market->add_option("scenario", file, "scenario file (YAML)")->required();
-  one_market->add_option("name", name, "which of its markets")->required();
-  one_market->add_option("--listen", listen, "IPv4:port; port 0: the system's choice");
+  std::map<CLI::App*, Command> commands;
+  auto add = [&](const char* name, const char* description, Command (*add_options)(CLI::App&, Options&)) {
+    CLI::App* command = app.add_subcommand(name, description);
+    commands[command] = add_options(*command, options);
+  };
+  add("markets", "bidding on simulated markets, beside its baselines", add_markets);
+  add("cluster", "a whole cluster through a start, beside its undisturbed twin", add_cluster);
+  add("agreed", "releases or a model with its calls, beside simpler variants", add_decisions);
+  add("histories", "random faults in a small cluster; one that breaks an invariant is reduced",
+      add_histories);
+  add("scale", "real controllers beside thousands of simulated agents, on loopback", add_scale);
+  add("market", "one simulated market of a scenario on a socket, until it is ended", add_market);
   try {
     app.parse(argc, argv);
-    if (one_market->parsed()) return serve_market(file, name, listen);
-    if (cell->parsed()) return run_scale(file, scale_options, report);
-    if (histories_command->parsed()) return run_histories(from, seeds, threads);
-    if (decisions_command->parsed()) return run_decisions(file, seeds, threads);
-    if (cluster_command->parsed())
-      return run_cluster(file, fleet, seeds, threads, report, single_seed, variant);
-    return run_markets(file, seeds, threads, report, single_seed, policy);
+    return commands.at(app.get_subcommands().front())();
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : 2;
+    return app.exit(e) == 0 ? 0 : usage_error;
   } catch (const std::exception& e) {
     std::cerr << "oxbowmill-sim: " << e.what() << '\n';
-    return 2;
+    return usage_error;
   }
 }
--- a/include/oxbowmill/simulation/market_simulation.h
+++ b/include/oxbowmill/simulation/market_simulation.h
@@ -34,7 +34,7 @@
   market::Settings settings;  // without markets: these come from the characters
   std::vector<MarketBehavior> markets;
 };
-/// Reads a scenario file (YAML); throws std::runtime_error with file, key and reason.
+/// Reads a scenario file (YAML); throws Error with file, key and reason.
 MarketScenario load_scenario(const std::string& file);
 
 struct MarketResult {
--- a/include/oxbowmill/simulation/scale_run.h
+++ b/include/oxbowmill/simulation/scale_run.h
@@ -22,7 +22,7 @@
   std::vector<std::string> missing_figures;  // why the machine, and not the service, was the limit
 };
 
-/// Throws std::runtime_error with one line where a process cannot be started.
+/// Throws Error with one line where a process cannot be started.
 ScaleReport play_scale(const ScaleSettings& settings, const ScaleOptions& options);
 std::string table(const ScaleReport& report);
 
--- a/src/simulation/market_scenario.cpp
+++ b/src/simulation/market_scenario.cpp
@@ -1,4 +1,5 @@
 // Scenario files of the market simulation.
+#include "oxbowmill/error.h"
 #include "oxbowmill/market/ledger.h"
 #include "oxbowmill/simulation/market_simulation.h"
 #include "oxbowmill/yaml/map.h"
@@ -60,7 +61,7 @@
   root.reject_unknown_keys();
   for (std::size_t i = 0; markets && i < markets.size(); ++i)
     scenario.markets.push_back(read_behavior(root.child("markets[" + std::to_string(i) + "]", markets[i])));
-  if (scenario.markets.empty()) throw std::runtime_error(file + ": markets: missing");
+  if (scenario.markets.empty()) throw Error(file + ": markets: missing");
   return scenario;
 }
 
--- /dev/null
+++ b/src/simulation/scale_process.cpp
@@ -0,0 +1,168 @@
+#include "scale_process.h"
+
+#include <fcntl.h>
+#include <sys/prctl.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <chrono>
+#include <csignal>
+#include <filesystem>
+#include <fstream>
+#include <iostream>
+#include <sstream>
+#include <utility>
+
+#include "oxbowmill/error.h"
+#include "oxbowmill/net/http.h"
+
+namespace oxbowmill::simulation {
+
+namespace {
+
+/// What a process has used, from /proc; zero where it has gone.
+struct Usage {
+  double processor_s = 0, resident_mb = 0;
+  std::size_t sockets = 0;
+};
+
+Usage usage_of(pid_t pid) {
+  Usage usage;
+  std::string directory = "/proc/" + std::to_string(pid);
+  std::ifstream stat(directory + "/stat");
+  std::string text((std::istreambuf_iterator<char>(stat)), {});
+  std::size_t after_name = text.rfind(')');
+  if (after_name == std::string::npos) return usage;
+  std::istringstream fields(text.substr(after_name + 1));
+  std::string skipped;
+  constexpr int before_times = 11;
+  for (int i = 0; i < before_times; ++i) fields >> skipped;
+  double user = 0, system = 0;
+  fields >> user >> system;
+  usage.processor_s = (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
+  std::ifstream statm(directory + "/statm");
+  double total = 0, resident = 0;
+  statm >> total >> resident;
+  usage.resident_mb = resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1024 * 1024);
+  std::error_code ignored;
+  for (const auto& entry : std::filesystem::directory_iterator(directory + "/fd", ignored)) {
+    usage.sockets += std::filesystem::read_symlink(entry, ignored).string().rfind("socket:", 0) == 0 ? 1 : 0;
+  }
+  return usage;
+}
+
+[[noreturn]] void run_simulator(const std::string& role, int events, const ScaleProcess::Serve& serve) {
+  try {
+    auto base = net::make_event_base();
+    ScaleEventWriter writer(events, steady_now);
+    serve(base.get(), writer);
+  } catch (const std::exception& e) {
+    std::cerr << "oxbowmill-sim: " << role << ": " << e.what() << std::endl;
+  }
+  ::_exit(1);
+}
+
+[[noreturn]] void run_program(std::vector<std::string> command_line, const std::string& log_path) {
+  constexpr int log_mode = 0644, cannot_run = 127;
+  int out = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, log_mode);
+  if (out >= 0) ::dup2(out, STDERR_FILENO);
+  std::vector<char*> arguments;
+  for (std::string& argument : command_line) arguments.push_back(argument.data());
+  arguments.push_back(nullptr);
+  ::execv(arguments.front(), arguments.data());
+  ::_exit(cannot_run);
+}
+
+}  // namespace
+
+double steady_now() {
+  return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
+}
+
+ScaleProcess::ScaleProcess(ScaleProcess&& other) noexcept
+    : role_(std::move(other.role_)),
+      pid_(std::exchange(other.pid_, -1)),
+      events_(std::exchange(other.events_, -1)),
+      is_simulator_(other.is_simulator_),
+      unread_(std::move(other.unread_)),
+      processor_s_(other.processor_s_),
+      last_processor_s_(other.last_processor_s_),
+      max_resident_mb_(other.max_resident_mb_),
+      max_sockets_(other.max_sockets_) {}
+
+void ScaleProcess::start_simulator(const Serve& serve) {
+  int ends[2];
+  if (::pipe(ends) != 0) throw Error("no pipe for " + role_);
+  pid_t pid = ::fork();
+  if (pid < 0) throw Error("cannot start " + role_);
+  if (pid == 0) {
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+    ::close(ends[0]);
+    ::signal(SIGPIPE, SIG_IGN);
+    run_simulator(role_, ends[1], serve);
+  }
+  ::close(ends[1]);
+  ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
+  pid_ = pid;
+  events_ = ends[0];
+  is_simulator_ = true;
+}
+
+void ScaleProcess::start_program(const std::vector<std::string>& command_line, const std::string& log_path) {
+  pid_t pid = ::fork();
+  if (pid < 0) throw Error("cannot start " + role_);
+  if (pid == 0) {
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+    run_program(command_line, log_path);
+  }
+  pid_ = pid;
+  last_processor_s_ = 0;
+}
+
+void ScaleProcess::end() {
+  if (pid_ <= 0) return;
+  ::kill(pid_, SIGKILL);
+  ::waitpid(pid_, nullptr, 0);
+  pid_ = -1;
+  if (events_ >= 0) ::close(events_);
+  events_ = -1;
+}
+
+void ScaleProcess::signal(int number) const {
+  if (pid_ > 0) ::kill(pid_, number);
+}
+
+bool ScaleProcess::has_ended_by_itself() {
+  if (pid_ <= 0 || ::waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
+  pid_ = -1;
+  return true;
+}
+
+void ScaleProcess::read_events(std::vector<ScaleEvent>& events) {
+  char buffer[1 << 16];
+  while (events_ >= 0) {
+    ssize_t bytes_read = ::read(events_, buffer, sizeof buffer);
+    if (bytes_read == 0) throw Error(role_ + " ended by itself");
+    if (bytes_read < 0) break;
+    unread_.append(buffer, static_cast<std::size_t>(bytes_read));
+  }
+  std::size_t from = 0;
+  for (std::size_t to = 0; (to = unread_.find('\n', from)) != std::string::npos; from = to + 1) {
+    if (auto event = parse_event(unread_.substr(from, to - from))) events.push_back(std::move(*event));
+  }
+  unread_.erase(0, from);
+}
+
+void ScaleProcess::sample_usage(bool counted) {
+  if (pid_ <= 0) return;
+  Usage usage = usage_of(pid_);
+  if (counted) {
+    processor_s_ += std::max(0.0, usage.processor_s - last_processor_s_);
+    max_resident_mb_ = std::max(max_resident_mb_, usage.resident_mb);
+    max_sockets_ = std::max(max_sockets_, usage.sockets);
+  }
+  last_processor_s_ = usage.processor_s;
+}
+
+}  // namespace oxbowmill::simulation
--- /dev/null
+++ b/src/simulation/scale_report.cpp
@@ -0,0 +1,137 @@
+#include "scale_report.h"
+
+#include <algorithm>
+#include <iomanip>
+#include <sstream>
+
+namespace oxbowmill::simulation {
+
+using Json = nlohmann::json;
+
+namespace {
+
+// Beyond these a simulator, not the service, was the limit, and the run gives no figures.
+constexpr double max_processor_fraction = 0.85, max_lateness_s = 0.5;
+
+Json distribution_json(const Distribution& distribution) {
+  return {{"n", distribution.count()},
+          {"p50", distribution.quantile(0.5)},
+          {"p99", distribution.quantile(0.99)},
+          {"worst", distribution.quantile(1)}};
+}
+
+Json processes_json(const std::vector<ScaleProcess>& processes, double seconds) {
+  Json json = Json::array();
+  for (const ScaleProcess& process : processes) {
+    json.push_back({{"role", process.role()},
+                    {"processor", process.processor_s() / seconds},
+                    {"resident_mb", process.max_resident_mb()},
+                    {"sockets", process.max_sockets()}});
+  }
+  return json;
+}
+
+Json classes_json(const ScaleSettings& settings, const ScaleEvaluator& evaluator) {
+  Json json = Json::object();
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    const ScaleEvaluator::ClassWaits& waits = evaluator.waits()[i];
+    json[settings.classes[i].name] = {{"jobs", waits.jobs},
+                                      {"begun", waits.begun},
+                                      {"first_s", distribution_json(waits.first_s)},
+                                      {"all_s", distribution_json(waits.all_s)}};
+  }
+  return json;
+}
+
+/// Why a simulator was the limit of this run; empty: none was.
+std::vector<std::string> limits_of_simulators(const ScaleEvaluator& evaluator,
+                                              const std::vector<ScaleProcess>& processes, double seconds) {
+  std::vector<std::string> reasons;
+  for (const ScaleProcess& process : processes) {
+    double fraction = process.processor_s() / seconds;
+    if (process.is_simulator() && fraction > max_processor_fraction)
+      reasons.push_back(process.role() + " used " + std::to_string(fraction) + " of a core");
+  }
+  for (const char* counter : {"workers_late_s", "users_late_s", "state_late_s"}) {
+    if (evaluator.maximum_of(counter) > max_lateness_s)
+      reasons.push_back(std::string(counter) + " " + std::to_string(evaluator.maximum_of(counter)));
+  }
+  return reasons;
+}
+
+}  // namespace
+
+ScaleReport make_report(const ScaleSettings& settings, const ScaleEvaluator& evaluator,
+                        const std::vector<ScaleProcess>& processes, const std::vector<std::string>& ended,
+                        double measured_s) {
+  ScaleReport out;
+  out.violations = evaluator.violations();
+  for (const std::string& role : ended) out.violations.push_back("ended by itself: " + role);
+  double seconds = std::max(1.0, measured_s);
+  out.missing_figures = limits_of_simulators(evaluator, processes, seconds);
+  double controllers = 0;
+  for (const ScaleProcess& process : processes)
+    controllers += process.is_simulator() ? 0 : process.processor_s();
+  double starts = std::max<double>(1, static_cast<double>(evaluator.starts()));
+  out.figures = {
+      {"run", settings.name},
+      {"seed", settings.seed},
+      {"workers", settings.workers},
+      {"controllers", settings.controllers},
+      {"measured_s", seconds},
+      {"processes", processes_json(processes, seconds)},
+      {"starts", evaluator.starts()},
+      {"starts_a_s", static_cast<double>(evaluator.starts()) / seconds},
+      {"most_running", evaluator.max_running()},
+      {"lost", evaluator.lost()},
+      {"controllers_ms_a_start", 1000 * controllers / starts},
+      {"controllers_processor", controllers / seconds},
+      {"changes_a_start", evaluator.increase_of("state_changes") / starts},
+      {"state_requests_a_s", evaluator.increase_of("state_requests") / seconds},
+      {"state_refused", evaluator.increase_of("state_refused")},
+      {"state_failed", evaluator.increase_of("state_failed")},
+      {"state_bytes_in_a_start", evaluator.increase_of("state_bytes_in") / starts},
+      {"watch_bytes_a_s", evaluator.increase_of("state_watch_bytes") / seconds},
+      {"state_keys", evaluator.maximum_of("state_keys")},
+      {"reports_a_s", evaluator.increase_of("reports") / seconds},
+      {"report_bytes_a_worker_s", evaluator.increase_of("report_bytes") / seconds / settings.workers},
+      {"answer_bytes_a_worker_s", evaluator.increase_of("answer_bytes") / seconds / settings.workers},
+      {"command_bytes_a_worker_s", evaluator.increase_of("command_bytes") / seconds / settings.workers},
+      {"commands_a_s", evaluator.increase_of("commands") / seconds},
+      {"reports_unanswered", evaluator.increase_of("reports_unanswered")},
+      {"users_asked", evaluator.increase_of("users_asked")},
+      {"users_refused", evaluator.increase_of("users_refused")},
+      {"submit_ms", distribution_json(evaluator.submit_ms())},
+      {"classes", classes_json(settings, evaluator)},
+      {"broken", out.violations},
+      {"no_figure", out.missing_figures}};
+  return out;
+}
+
+std::string table(const ScaleReport& report) {
+  std::ostringstream out;
+  const Json& figures = report.figures;
+  out << std::fixed << std::setprecision(2);
+  auto row = [&](const std::string& name, const Json& value) {
+    out << "  " << std::left << std::setw(28) << name << value << '\n';
+  };
+  out << figures.at("run").get<std::string>() << ", seed " << figures.at("seed") << ", "
+      << figures.at("workers") << " workers, " << figures.at("controllers") << " controllers, "
+      << figures.at("measured_s").get<double>() << " s measured\n";
+  if (!report.missing_figures.empty()) {
+    out << "  the machine was the limit, so these are no figures of the service:\n";
+    for (const std::string& why : report.missing_figures) out << "    " << why << '\n';
+  }
+  for (const char* key :
+       {"starts", "starts_a_s", "most_running", "lost", "controllers_ms_a_start", "controllers_processor",
+        "changes_a_start", "state_requests_a_s", "state_bytes_in_a_start", "watch_bytes_a_s", "reports_a_s",
+        "report_bytes_a_worker_s", "answer_bytes_a_worker_s", "submit_ms"})
+    row(key, figures.at(key));
+  for (const auto& [name, waits] : figures.at("classes").items()) row(name, waits);
+  for (const Json& p : figures.at("processes")) row(p.at("role").get<std::string>(), p);
+  out << "  " << report.violations.size() << " rules broken\n";
+  for (const std::string& rule : report.violations) out << "    " << rule << '\n';
+  return out.str();
+}
+
+}  // namespace oxbowmill::simulation
