--- a/tests/bench/placement_bench.cpp
+++ b/tests/bench/placement_bench.cpp
@@ -1,4 +1,4 @@
-// What a scheduling cycle costs as the fleet grows: machines visited for a placed task, and time beside a
+// Cost of a scheduling cycle as the fleet grows: machines visited per placed task, and time compared with a
 // full scan.
 #include <benchmark/benchmark.h>
 
@@ -9,7 +9,7 @@
 
 using namespace oxbowmill;
 
-/// A fleet of which one machine in twenty has room, and jobs of 18 tasks that want it.
+/// A fleet in which one machine in twenty has free capacity, and jobs of 18 tasks that need it.
 class PartlyFreeCluster {
  public:
   explicit PartlyFreeCluster(std::uint32_t machines)
--- a/tests/bench/reconciliation_bench.cpp
+++ b/tests/bench/reconciliation_bench.cpp
@@ -1,5 +1,5 @@
-// What a start costs its controller at 1,213 machines and 300 jobs, squared and as it was: to be read as
-// ratios of one run.
+// Cost of a failover for the new owner at 1,213 machines and 300 jobs, with and without reconciliation: to be
+// read as ratios within one run.
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
@@ -33,7 +33,7 @@
   std::vector<WorkerReport> reports;
 };
 
-/// Every worker's first word to its new owner, and the pass that follows.
+/// Every agent's first report to its new owner, and the cycle that follows.
 void first_reports_after_failover(benchmark::State& state) {
   for (auto _ : state) {
     state.PauseTiming();
@@ -45,7 +45,7 @@
   }
 }
 
-/// A pass in ordinary service, all machines squared.
+/// A cycle in steady state, all machines reconciled.
 void steady_state_cycle(benchmark::State& state) {
   FailoverFixture fixture(state.range(0) != 0);
   fixture.cluster.run(3, 1);
@@ -61,7 +61,7 @@
   }
 }
 
-/// One report in ordinary service.
+/// One report in steady state.
 void steady_state_report(benchmark::State& state) {
   FailoverFixture fixture(state.range(0) != 0);
   fixture.cluster.run(3, 1);
--- a/tests/bidding_service_test.cpp
+++ b/tests/bidding_service_test.cpp
@@ -1,4 +1,5 @@
-// The desk against stand-in markets on the simulated clock: the hard cases, each caused, and random mixtures.
+// The bidding service against simulated markets on the simulated clock: the hard cases, each caused, and
+// random mixtures.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -10,7 +11,7 @@
 using market::BidState;
 using market::MarketState;
 
-/// One job of four machines wanted at once, and markets of this character.
+/// One job that needs four machines at once, and markets of this behaviour.
 MarketScenario market_scenario(std::vector<MarketBehavior> markets) {
   MarketScenario scenario;
   scenario.jobs = 0;
@@ -72,12 +73,13 @@
 }
 
 TEST(BiddingService, BidSurvivesLeaderCrashAtEveryStep) {
-  // Killed before the send, between send and answer, after the answer, in the auction, after deliveries: the
-  // money stays committed, the name is never used for another bid, and the work is done with four machines
-  // bought, or eight where the first bid had to be given up and its market delivered all the same.
+  // Ended before sending, between sending and the response, after the response, during the auction, after
+  // deliveries: the money stays committed, the bid's name is never used again, and the job completes with
+  // four machines bought, or eight where the first bid had to be given up and its market delivered all the
+  // same.
   struct Case {
     BidState crash_state;
-    bool response_lost;  // the market gets the bid, its answer is lost with the leader
+    bool response_lost;  // the market gets the bid, its response is lost with the leader
     std::uint32_t min_machines, max_machines;
   };
   const Case cases[] = {
@@ -96,14 +98,14 @@
     world.end_leader();
     if (committing) {
       world.run_steps(3);
-      world.release_writes();  // late: the claim's guard is gone
+      world.release_writes();  // late: its guard on the earlier ownership fails
     }
     world.run_steps(400);
     world.expect_invariants();
     EXPECT_GE(delivered_machines(world), test_case.min_machines) << market::name_of(test_case.crash_state);
     EXPECT_LE(delivered_machines(world), test_case.max_machines) << market::name_of(test_case.crash_state);
     EXPECT_EQ(world.result().in_time, 1U) << market::name_of(test_case.crash_state);
-    world.run_steps(4000);  // and in the end nothing is held
+    world.run_steps(4000);  // and in the end no money is reserved
     ASSERT_NE(world.bidding_service(), nullptr);
     EXPECT_EQ(world.bidding_service()->ledger().usage().per_hour, 0)
         << market::name_of(test_case.crash_state);
@@ -115,14 +117,14 @@
   world.add_job(5, 4);
   world.delay_calls(true);
   ASSERT_FALSE(world.run_until(BidState::won, 40));
-  world.delay_calls(false);  // nothing has arrived yet; quotes neither
+  world.delay_calls(false);  // nothing has arrived yet, not even quotes
   ASSERT_TRUE(world.run_until(BidState::committed));
   world.delay_calls(true);
   ASSERT_TRUE(world.run_until(BidState::submitted));
   std::string name = world.bidding_service()->bids().begin()->first;
   world.end_leader();
   world.delay_calls(false);
-  // The new leader asks, is told that nobody knows the name, and uses it up.
+  // The new leader queries the bid, learns that the market does not know its name, and uses the name up.
   world.run_steps(20);
   world.release_calls();
   world.run_steps(500);
@@ -154,8 +156,8 @@
     Priority rank;
     bool accepted;
   };
-  // The platform's price is 10, limits are at most 1.5 times that, and at first about 1.2 times the quote
-  // of 8.
+  // The platform's price is 10; limits are at most 1.5 times that, and initially about 1.2 times the quote of
+  // 8.
   const Case cases[] = {
       {1.1, Priority::high, true}, {1.25, Priority::high, false}, {1.1, Priority::low, false}};
   for (const Case& test_case : cases) {
@@ -179,7 +181,8 @@
 }
 
 TEST(BiddingService, CeilingReachedWithUnmetGuarantee) {
-  // Room for five machines at their limits; best-effort work asks first, the guarantee comes later.
+  // The ceiling covers five machines at their price limits; best-effort work bids first, guaranteed work
+  // comes later.
   MarketScenario s = market_scenario({market_named("north")});
   s.settings.total_limit = {market::to_money_amount(50), market::to_money_amount(400)};
   TestMarketWorld world(s);
@@ -188,10 +191,10 @@
   world.arrivals.back().due_s = 500;
   world.run_steps(160);
   ASSERT_NE(world.bidding_service(), nullptr);
-  EXPECT_GT(world.bidding_service()->unmet_guarantee(), 0U);  // said plainly
-  world.expect_invariants();                                  // and nothing broken
+  EXPECT_GT(world.bidding_service()->unmet_guarantee(), 0U);  // the shortfall is reported
+  world.expect_invariants();                                  // and no invariant is violated
   EXPECT_GT(world.max_hourly_spend, 0.6);
-  world.run_steps(1200);  // with the money that comes free it is served all the same
+  world.run_steps(1200);  // once committed money is released, the guarantee is met after all
   EXPECT_EQ(world.result().guaranteed_in_time, 1U);
 }
 
@@ -234,10 +237,9 @@
   world.run_steps(1500);
   EXPECT_EQ(world.bidding_service()->market_client(MarketIndex{0}).state(), MarketState::unresponsive);
   EXPECT_GE(world.bidding_service()->ledger().usage().in_window,
-            reserved_amount);  // nobody said what it costs: nothing is freed
+            reserved_amount);  // no market reported its cost: nothing is released
   EXPECT_EQ(world.result().in_time, 2U);
-  world.run_steps(
-      5000);  // its term and the time to bill it are over: booked at its worst, in the window's spending
+  world.run_steps(5000);  // paid time and billing are over: booked at the worst case, as spent in the window
   EXPECT_EQ(world.bidding_service()->ledger().usage().per_hour, 0);
   EXPECT_GE(world.bidding_service()->ledger().usage().in_window, reserved_amount);
   world.expect_invariants();
@@ -265,7 +267,7 @@
               test_case.excluded)
         << test_case.description;
     EXPECT_EQ(world.result().in_time, 3U) << test_case.description;
-    // The next leader knows of it.
+    // The next leader knows of the suspension.
     world.end_leader();
     world.add_job(360, 3);
     world.run_steps(300);
@@ -410,7 +412,7 @@
     }
     run_steps(count);
   }
-  // When all is well again and every term is over, nothing is held any more.
+  // When all faults are over and every paid time has ended, no money is reserved any more.
   world.set_state_down(false);
   world.release_writes();
   world.release_calls();
--- a/tests/checkpoint_test.cpp
+++ b/tests/checkpoint_test.cpp
@@ -1,5 +1,5 @@
-// SavedProgress progress (docs/checkpoints.md): bounds against the truth, resumption after losses, the
-// detector through takeovers, records of earlier versions.
+// Saved progress (docs/checkpoints.md): bounds against the true progress, resumption after losses, the
+// slow-task detector across failovers, records of earlier versions.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -49,8 +49,8 @@
   }
 }
 
-/// A task that runs on machines of changing speed, is lost or stopped again and again, and is reported now
-/// and then: the truth lies between the bounds, and the lower one never falls.
+/// A task that runs on machines of varying speed, is lost or stopped repeatedly, and is reported at
+/// intervals: the true progress lies between the bounds, and the lower bound never decreases.
 RC_GTEST_PROP(CheckpointProperties, TrueProgressLiesBetweenTheBounds, ()) {
   double every = *rc::gen::element(10.0, 30.0, 45.0), truth = 0;
   SavedProgress saved;
@@ -60,7 +60,8 @@
     double speed = *rc::gen::element(0.13, 0.17, 0.9, 1.0, 1.1);
     double wait = *rc::gen::inRange(0, 200) / 10.0, elapsed_s = *rc::gen::inRange(0, 3000) / 10.0;
     bool stored = *rc::gen::inRange(0, 3) == 0;
-    // Reports show it running within what it ran; the start order came before, its end is heard of later.
+    // Reports show it running for no longer than it ran; the start command was sent before, its end is learnt
+    // later.
     double first = *rc::gen::inRange(0, 10) / 10.0 * report_s,
            last = elapsed_s - *rc::gen::inRange(0, 10) / 10.0 * report_s;
     RunTimeBounds seen{std::max(0.0, last - first), wait + elapsed_s + report_s};
@@ -83,7 +84,7 @@
       ClusterState& cluster_state = cluster.controller(i).cluster_state;
       cluster_state.settings.teams[1].limit = {};
       cluster_state.settings.progress = checkpoint_settings();
-      cluster_state.wall_clock_offset_s = 1e-6;  // known
+      cluster_state.wall_clock_offset_s = 1e-6;  // the offset is known
       cluster_state.settings.operator_settings.release_to_pool_s = 1e6;
     }
     for (std::uint32_t i = 0; i < tasks + 1; ++i)
@@ -118,7 +119,7 @@
   std::string lost = fixture.machine_of(0);
   fixture.cluster.worker(lost).power_off();
   fixture.cluster.silenced_workers.insert(lost);
-  fixture.cluster.run(16);  // its lease is over
+  fixture.cluster.run(16);  // its agent's lease has expired
   ASSERT_EQ(fixture.cluster.machines_of_task("run-1", 0).size(), 1U);
   ASSERT_NE(fixture.machine_of(0), lost);
   SavedProgress s = fixture.job().checkpoint_of(0);
@@ -130,7 +131,8 @@
 }
 
 TEST(Checkpoint, NewOwnerKnowsWhichTasksHaveStarted) {
-  // Else every old job looks as if it never had, and one that really has not waits behind all of them.
+  // Otherwise every old job looks as if it had never started, and one that really has not waits behind all of
+  // them.
   CheckpointFixture fixture(2);
   fixture.cluster.run(75);
   fixture.change_owner(1);
@@ -146,19 +148,19 @@
 TEST(Checkpoint, GangHasOneCheckpointWhicheverMemberReportsIt) {
   CheckpointFixture fixture(3, JobShape::gang);
   fixture.cluster.run(75);
-  // One says peers, and another had saved as it was told to stop then: that came too late to count.
+  // One member reports lost peers; another had saved when it was stopped for that, too late to count.
   fixture.cluster.worker(fixture.machine_of(0)).finish("run-1/0", EndCause::peers_lost);
   fixture.cluster.worker(fixture.machine_of(1)).finish("run-1/1", EndCause::peers_lost);
   fixture.cluster.run(1);
   EXPECT_DOUBLE_EQ(fixture.job().checkpoint_of(0).likely, 60);
   EXPECT_DOUBLE_EQ(fixture.job().checkpoint_of(2).likely,
-                   60);  // of the gang, under whichever task it is asked for
+                   60);  // the gang's checkpoint, whichever task it is queried for
   EXPECT_EQ(fixture.job().checkpoints.size(), 1U);
 }
 
 TEST(Checkpoint, DetectorStatisticsSurviveFailover) {
-  // Four tasks, three finish after 40 s each, under two owners; the fourth is then compared with their
-  // median.
+  // Four tasks, of which three finish after 40 s each, under two owners; the fourth is then compared with
+  // their median run time.
   CheckpointFixture fixture(4, JobShape::array, 2);
   fixture.cluster.run(38);
   fixture.cluster.worker(fixture.machine_of(0)).finish("run-1/0", EndCause::done);
@@ -171,7 +173,7 @@
   fixture.cluster.worker(fixture.machine_of(1)).finish("run-1/1", EndCause::done);
   fixture.cluster.run(1, 1);
   ASSERT_EQ(fixture.job(1).finished_run_times.size(), 2U);
-  // Without the record this one would count from the takeover, 2 s.
+  // Without the record this one would count from the failover, 2 s.
   EXPECT_GT(fixture.job(1).finished_run_times[1], 35);
   EXPECT_LT(fixture.job(1).finished_run_times[1], 48);
 }
@@ -195,14 +197,14 @@
   auto& record = std::get<ChunkRecord>(change->value);
   EXPECT_LT(record.placements.at(0).placed_after_s, 0);
   EXPECT_TRUE(record.checkpoints.empty() && record.finishes.empty());
-  EXPECT_EQ(state::encode_value(*change, cluster_state), old_value);  // and written as it was
+  EXPECT_EQ(state::encode_value(*change, cluster_state), old_value);  // and is encoded as before
   record.placements[0].placed_after_s = 12.7;
   record.checkpoints[2] = {3.9, 31.2, 60.1};
   record.finishes = {{0, 41.26, 55.5}};
   simulation::Json now = state::encode_value(*change, cluster_state);
   EXPECT_EQ(now.dump(),
             R"({"a":[[1,"m1",77,0,12]],"d":"1","r":"0","s":[[2,3.0,31.0,61.0]],"t":[[0,41.3,55.0]]})");
-  // What the earlier version reads of it is what it wrote itself.
+  // What an earlier version reads of the record is what it wrote itself.
   for (const char* key : {"d", "r"}) EXPECT_EQ(now.at(key), old_value.at(key));
   auto back = state::decode("o/c/run-1/0", &now, cluster_state);
   ASSERT_TRUE(back.has_value());
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// Names on the wire, validation and what bad input becomes.
+// Names on the wire, validation, and what malformed input is decoded to.
 #include "oxbowmill/wire/codec.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   struct Case {
     const char* field;
     Json value;  // discarded: the field is missing
-    int status;  // 0: taken
+    int status;  // 0: accepted
   };
   const Json missing(Json::value_t::discarded);
   const Case cases[] = {
@@ -250,7 +250,8 @@
 }
 
 TEST(PeerStatus, VersionsAreCompatible) {
-  // Recorded from the version before starts and suspects were told: {node, revision, state_ok, dark}.
+  // Recorded from the version before reconciliations and suspected machines were sent: {node, revision,
+  // state_ok, dark}.
   const std::string earlier(
       "\x84\xa4node\xa2n1\xa8revision\x2a\xa8state_ok\xc3\xa4"
       "dark\x91\xa1"
@@ -261,7 +262,7 @@
   EXPECT_EQ(peer_update->revision, 42U);
   EXPECT_TRUE(peer_update->reconciliations.empty());
   EXPECT_TRUE(peer_update->suspected_machines.empty());
-  // A later one may shape its hints otherwise: they are left out, the rest counts.
+  // A later version may encode its hints differently: they are dropped, the rest is used.
   std::string later = earlier;
   later[0] = '\x86';
   later += std::string("\xa6starts\xa1x\xa8suspects\x07", 19);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// Settings: what is taken, and what is refused with file, key and reason.
+// Settings: what is accepted, and what is rejected with file, key and reason.
 #include "oxbowmill/config/config.h"
 
 #include <gtest/gtest.h>
@@ -117,7 +117,7 @@
   auto c = config::load(write("good.toml", valid_toml), {});
   EXPECT_EQ(c.settings.controller_name, "n0");
   EXPECT_EQ(c.settings.controller_count, 2U);
-  EXPECT_EQ(c.names.partitions.size(), 2U);  // the pool and one part per team
+  EXPECT_EQ(c.names.partitions.size(), 2U);  // the idle pool and one partition per team
   EXPECT_DOUBLE_EQ(c.settings.teams[1].limit.gpus, 8);
   EXPECT_EQ(c.settings.max_transaction_ops, 48U);
   EXPECT_EQ(c.settings.socket_limit, 900);
@@ -161,7 +161,7 @@
 TEST_F(Config, OperatorFileIsParsedStrictly) {
   struct Case {
     const char* text;
-    const char* error;  // empty: taken
+    const char* error;  // empty: accepted
   };
   const Case cases[] = {
       {"", ""},
--- a/tests/controller_process_test.cpp
+++ b/tests/controller_process_test.cpp
@@ -1,4 +1,4 @@
-// The real program over loopback against stand-ins of the state service, the cloud and a worker.
+// The real program over loopback against stubs of the state service, the cloud and an agent.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -82,7 +82,8 @@
     }
     if (request.path == "/watch") {
       watch_responder_ = request.responder;
-      // From where it says: what a watch of an ended program was told, its successor has not heard.
+      // From the requested revision: events sent on the watch of an ended process are unknown to its
+      // successor.
       std::size_t at = request.query.find("from=");
       watched_from_ =
           at == std::string::npos ? 0 : std::strtoull(request.query.c_str() + at + 5, nullptr, 10);
@@ -151,7 +152,7 @@
     request.responder->reply(200, wire::encode(out));
   }
 
-  /// The worker's side of one report, while the machine is rented.
+  /// The agent's side of one report, while the machine is rented.
   void send_report() {
     if (!machine_is_up_ || reporting_) return;
     reporting_ = true;
@@ -204,7 +205,7 @@
       _exit(127);
     }
     close(log_pipe[1]);
-    // The system chooses the ports, so that tests can run side by side; the program's log names them.
+    // The system chooses the ports, so that tests can run in parallel; the program's log names them.
     std::ifstream lines("/dev/fd/" + std::to_string(log_pipe[0]));
     std::string line;
     while (controller_address_.port == 0 && std::getline(lines, line)) {
@@ -231,7 +232,7 @@
     controller_address_ = {};
   }
 
-  /// Runs the users' command line beside the loop; its exit code, and what it wrote.
+  /// Runs the users' command line beside the loop; returns its exit code, and its output in `out`.
   int run_command_line(const std::string& args, std::string& out) {
     std::string file = ::testing::TempDir() + "oxbow-out-" + std::to_string(::getpid());
     std::string command = "OXBOW_NODES=" + net::to_string(controller_address_) + " " + CLIENT_PROGRAM + " " +
@@ -249,7 +250,7 @@
     return WEXITSTATUS(status);
   }
 
-  /// Runs the loop until `done`, with a bound that only a hang reaches.
+  /// Runs the loop until `done`, with a time limit that only a hang reaches.
   void run_until(const std::function<bool()>& done, const std::function<void()>& step) {
     on_poll_ = [this, done, step] {
       if (done()) {
@@ -273,15 +274,15 @@
   simulation::RunLog run_log_;
   simulation::Worker worker_;
   net::Address controller_address_;
-  std::thread log_reader_;  // hands the program's log on
+  std::thread log_reader_;  // forwards the program's log
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
   net::ResponderPtr watch_responder_;
   std::uint64_t watched_from_ = 0;  // revision
   double watch_since_ = 0, long_poll_s_ = 0.5;
   int job_reads_ = 0;
-  double lease_duration_factor_ = 1;  // how many times its life a hold lasts here
-  bool cloud_exhausted_ = false;      // the cloud has no more
-  double type_vcpus_ = 8;             // of its only type
+  double lease_duration_factor_ = 1;  // how many times its duration a controller lease lasts here
+  bool cloud_exhausted_ = false;      // the cloud has no capacity left
+  double type_vcpus_ = 8;             // of the cloud's only type
   bool machine_is_up_ = false, reporting_ = false, timed_out_ = false;
   net::Timer time_limit_, poll_timer_;
   std::function<void()> on_poll_;
@@ -375,11 +376,12 @@
             [&] { request_once(EVHTTP_REQ_POST, "/submissions/run-2/withdraw", Json(), status, answer); });
   run_until([&] { return !worker_.has("run-2/0") && !worker_.has("run-2/1"); }, [] {});
   EXPECT_TRUE(run_log_.duplicated_tasks.empty());
-  EXPECT_EQ(waitpid(pid_, nullptr, WNOHANG), 0);  // it lives on
+  EXPECT_EQ(waitpid(pid_, nullptr, WNOHANG), 0);  // it keeps running
 }
 
 TEST_F(Loopback, RestartedControllerDoesNotWaitForItsEarlierLease) {
-  // Here no hold ends by itself: the parts come free only if the new process ends the old one's.
+  // Here no controller lease expires by itself: the partitions become free only if the new process ends the
+  // lease of the old one.
   lease_duration_factor_ = 1e6;
   int status = 0;
   bool asking = false;
@@ -398,7 +400,7 @@
   start_program();
   status = 0;
   run_until([&] { return status == 201; }, [&] { submit("run-2"); });
-  // Only an owner of the part marks it done and starts the next.
+  // Only the partition's owner marks the job as done and starts the next one.
   for (const char* task : {"run-1/0", "run-1/1"}) worker_.finish(task, EndCause::done);
   run_until([&] { return worker_.has("run-2/0"); }, [] {});
   EXPECT_EQ(run_log_.starts["run-1/0"], 1);
@@ -406,7 +408,7 @@
 }
 
 TEST_F(Loopback, RepeatedSubmissionIsAcceptedAfterCatalogChange) {
-  // The repeat comes to a process that knows a catalog in which the job would fit no machine.
+  // The retry reaches a process whose catalog has no machine type that fits the job.
   int status = 0;
   bool asking = false;
   Json answer;
@@ -427,7 +429,7 @@
   stop_program();
   type_vcpus_ = 4;
   start_program();
-  // One that was never accepted shows which catalog it knows, and is turned down.
+  // A job that was never accepted shows which catalog the process uses, and is rejected.
   std::uint64_t n = 1;
   run_until([&] { return answered(422); }, [&] { submit("run-" + std::to_string(++n), 8); });
   status = 0;
@@ -476,7 +478,7 @@
   run_until([&] { return state_.keys().count("f/run-1") != 0; }, [] {});
   stop_program();
   start_program();
-  // The French edition is rendered by another job than the file said.
+  // The French edition is rendered by a different job than the file named before.
   calendar(2, "run-5");
   kill(pid_, SIGHUP);
   submit("run-5");
@@ -548,7 +550,7 @@
 }
 
 TEST_F(Loopback, StatusPollsShareAWatchAndReadTheLatestState) {
-  // A read of the state service for each poll once took its whole request limit.
+  // One read of the state service per poll once used up its whole request limit.
   long_poll_s_ = 0;
   start_program();
   int up_status = 0, asked = 0, answered = 0, status = 0;
@@ -580,7 +582,7 @@
               }
             });
   run_until([&] { return asked == answered; }, [] {});
-  // Another controller has told the user that the job is cancelled: no poll that comes later may say less.
+  // Another controller has confirmed the cancellation to the user: no later poll may report less.
   Json cancelled = state_.keys().at("o/j/run-1").value;
   cancelled["p"] = "cancelled";
   state_.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/j/run-1"}, {"value", cancelled}}}}});
@@ -592,7 +594,7 @@
 }
 
 TEST_F(Loopback, RestartedControllerResumesItsBid) {
-  // The cloud has nothing; one market holds a long auction, another takes requests in and never answers.
+  // The cloud has no capacity; one market runs a long auction, another accepts requests and never responds.
   simulation::MarketBehavior slow;
   slow.name = "north";
   slow.price = 2;
@@ -646,7 +648,7 @@
             [&] { request_once(EVHTTP_REQ_POST, "/submissions", job, status); });
   run_until([&] { return !bids.empty(); }, [] {});
   stop_program();
-  EXPECT_TRUE(north.market().hosts().empty());  // killed before the auction was over
+  EXPECT_TRUE(north.market().hosts().empty());  // ended before the auction was over
   start_program();
   simulation::Worker bought("north.m1", "a", run_log_);
   worker_ = std::move(bought);
@@ -656,12 +658,12 @@
               north.market().tick(clock());
               machine_is_up_ = machine_is_up_ || !north.market().hosts().empty();
             });
-  EXPECT_EQ(bids.size(), 1U);  // the second controller followed the first one's bid instead of making another
+  EXPECT_EQ(bids.size(), 1U);  // the second controller resumed the first one's bid instead of placing another
   EXPECT_EQ(not_durable, 0);
   for (const char* t : {"run-1/0", "run-1/1"}) worker_.finish(t, EndCause::done);
   run_until([&] { return answer.value("phase", "") == "done"; },
             [&] { request_once(EVHTTP_REQ_GET, "/submissions/run-1", Json(), status); });
-  // The machine goes back, and what it cost takes the place of what was committed.
+  // The machine is returned, and its actual cost replaces the committed amount.
   run_until([&] { return state_.keys().count("o/l/ledger") == 1; }, [] {});
   EXPECT_TRUE(north.market().hosts().at("north.m1").returned);
   for (const auto& [key, e] : state_.keys()) EXPECT_NE(key.rfind("o/b/", 0), 0U) << key;
@@ -692,7 +694,7 @@
   };
   const Case before[] = {
       {"--team red submit " + job, 0, "run-1 queued"},
-      {"--team red submit " + job, 0, "run-1 "},  // again: the same job
+      {"--team red submit " + job, 0, "run-1 "},  // repeated: the same job
       {"--team nobody submit " + job + " --ref run-2", 3, "can never run"},
       {"submit " + job, 2, "owner: missing"},
       {"--team red submit " + job + " --shards many", 2, "--shards: not of the right kind"},
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -1,4 +1,4 @@
-// Durable decisions (docs/decisions.md): several controllers, lost answers, late copies, repeats and
+// Durable decisions (docs/decisions.md): several controllers, lost responses, late copies, repeats and
 // restarts.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -17,7 +17,7 @@
 
 const DecisionKind lamp_kind = {"lamp", {{"", "off"}, {"off", "on"}, {"on", "on"}, {"on", "off"}}};
 
-/// One controller's wish, sent as its pass would send it.
+/// A change requested by one controller, sent as its scheduling cycle would send it.
 ChangeResult request_change(SimulatedCluster& cluster, std::size_t node, DecisionLog& decision_log,
                             const std::string& state, PartitionIndex partition = idle_pool,
                             std::uint64_t epoch = 0) {
@@ -52,17 +52,17 @@
       one(cluster.controller(1).cluster_state, cluster.controller(1).scheduler, 1);
   EXPECT_EQ(request_change(cluster, 1, one, "off"), ChangeResult::not_owner);
   EXPECT_EQ(request_change(cluster, 0, zero, "on"),
-            ChangeResult::invalid_transition);  // no step from nothing to on
+            ChangeResult::invalid_transition);  // no step from an absent record to on
   EXPECT_EQ(request_change(cluster, 0, zero, "off"), ChangeResult::sent);
   EXPECT_EQ(request_change(cluster, 0, zero, "on", idle_pool, 3), ChangeResult::sent);
   EXPECT_EQ(request_change(cluster, 0, zero, "off", idle_pool, 2),
-            ChangeResult::invalid_transition);  // epochs do not fall
+            ChangeResult::invalid_transition);  // epochs never decrease
   EXPECT_EQ(stored_state(cluster), "on");
   EXPECT_EQ(cluster.store.keys().at("o/d/lamp/hall").value.at("n").get<int>(), 2);
 }
 
 TEST(DecisionLog, UnansweredChangeStaysIndeterminateUntilResolved) {
-  // A second change beside one in doubt could be overtaken by the late copy of the first.
+  // A second change beside an indeterminate one could be overtaken by the late copy of the first.
   SimulatedCluster cluster;
   simulation::SimulatedController& controller = cluster.controller(0);
   DecisionLog decision_log(controller.cluster_state, controller.scheduler, 1);
@@ -73,7 +73,7 @@
   cluster.store.set_outage(true, cluster.now);
   controller.write_outcome = WriteOutcome::answered;
   cluster.now += 0.5;
-  controller.run_cycle(cluster.now);  // the repeat gets 503: that says nothing of the first copy
+  controller.run_cycle(cluster.now);  // the repeat gets 503: that proves nothing about the first copy
   EXPECT_EQ(request_change(cluster, 0, decision_log, "on"), ChangeResult::in_flight);
   cluster.store.set_outage(false, cluster.now);
   cluster.now += 0.5;
@@ -93,7 +93,7 @@
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   ASSERT_NE(one.find(lamp_kind, "hall"), nullptr);
-  EXPECT_EQ(cluster.store.txn(cluster.controller(0).lost_writes.at(0)).status, 409);  // its claim has gone
+  EXPECT_EQ(cluster.store.txn(cluster.controller(0).lost_writes.at(0)).status, 409);  // its ownership ended
   EXPECT_EQ(stored_state(cluster), "off");
   EXPECT_EQ(request_change(cluster, 1, one, "on"), ChangeResult::sent);
   EXPECT_EQ(stored_state(cluster), "on");
@@ -124,7 +124,7 @@
   ASSERT_EQ(request_change(cluster, 0, decision_log, "on"), ChangeResult::sent);
   EXPECT_EQ(cluster.store.txn(controller.lost_writes[0]).status, 409);
   cluster.run(4);
-  EXPECT_EQ(cluster.machines_of_task("run-1", 0).size(), 1U);  // placed on the present one
+  EXPECT_EQ(cluster.machines_of_task("run-1", 0).size(), 1U);  // placed under the present decision
 }
 
 TEST(DecisionLog, WriteBudgetDefersNonUrgentChanges) {
@@ -148,14 +148,15 @@
 TEST(LowerBoundClock, JumpsAndOffsetsNeverMakeItEarly) {
   decisions::LowerBoundClock clock(1);
   EXPECT_DOUBLE_EQ(clock.earliest_time({10, 1000}), 999);
-  EXPECT_DOUBLE_EQ(clock.earliest_time({20, 2010}), 1009);  // jumped ahead: not believed yet
-  EXPECT_DOUBLE_EQ(clock.earliest_time({30, 990}), 989);    // back: at once
+  EXPECT_DOUBLE_EQ(clock.earliest_time({20, 2010}), 1009);  // a jump ahead: not trusted yet
+  EXPECT_DOUBLE_EQ(clock.earliest_time({30, 990}), 989);    // a jump back: at once
   EXPECT_DOUBLE_EQ(clock.earliest_time({85, 2075}), 1044);
-  EXPECT_DOUBLE_EQ(clock.earliest_time({200, 2190}), 2189);  // believed once it has lasted
+  EXPECT_DOUBLE_EQ(clock.earliest_time({200, 2190}), 2189);  // trusted once it has lasted
 }
 
-/// Two controllers that change hands, lose answers and transactions and repeat them: what the state service
-/// saw must be a chain of allowed steps, each written by the holder of the claim at that time.
+/// Two controllers between which ownership changes, which lose responses and transactions and repeat them:
+/// the changes that the state service saw must be a chain of allowed steps, each written by the owner at that
+/// time.
 RC_GTEST_PROP(DecisionLogProperties, RecordIsAChainOfAllowedSteps, ()) {
   SimulatedCluster cluster;
   std::vector<std::unique_ptr<DecisionLog>> desks;
@@ -181,7 +182,7 @@
         node.write_outcome = WriteOutcome::answered;
         break;
       case 4:
-      case 5:  // changes hands; the other one does not know yet
+      case 5:  // ownership changes; the other controller does not know yet
         cluster.kill_controller(1 - n);
         node.lease.on_lost();
         node.acquire_all_partitions(cluster.now);
@@ -194,7 +195,7 @@
       case 7:
         for (std::size_t i : {0, 1}) cluster.controller(i).sync(cluster.now);
         break;
-      default:  // restart: what was in its memory is gone
+      default:  // restart: its in-memory state is gone
         desks[n] = std::make_unique<DecisionLog>(node.cluster_state, node.scheduler, 1);
         node.run_cycle(cluster.now);
     }
@@ -227,7 +228,7 @@
       if (row.variant != "as it is") continue;
       if (scenario.is_release_scenario) {
         EXPECT_LE(row.to_publish_median, 2.5) << file;
-        EXPECT_LE(row.to_publish_max, 14) << file;  // a takeover of 4 s, and 10 s from it
+        EXPECT_LE(row.to_publish_max, 14) << file;  // a failover of 4 s, and 10 s from it
       } else {
         EXPECT_EQ(row.starts_before_serving, 1) << file;
         EXPECT_GE(row.rounds, 1) << file;
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,4 +1,5 @@
-// Where two troubles meet (docs/fault-combinations.md): each meeting brought about with several controllers.
+// A second fault during a first (docs/fault-combinations.md): each combination caused with several
+// controllers.
 #include <gtest/gtest.h>
 
 #include "oxbowmill/service/admission.h"
@@ -14,7 +15,7 @@
 using simulation::test_job;
 using Kind = ReportAnswer::Kind;
 
-/// One task runs on m1 under node 0; m2 is free.
+/// One task runs on m1 under controller 0; m2 is free.
 struct RunningTaskFixture {
   RunningTaskFixture() {
     cluster.add_machine("m1");
@@ -34,8 +35,9 @@
 };
 
 TEST(FaultCombinations, ReadOnlyOwnerKillsTasksKnownToBeCancelled) {
-  // Cancelled while the old owner heard nothing; its heir knows, and loses the state service before the
-  // worker comes to it. Kept alive through a second grace, the task was there for longer than cancel_s.
+  // Cancelled while the old owner received nothing; its successor knows, and loses the state service before
+  // the agent reports to it. Kept alive through a second read-only period, the task once ran for longer than
+  // cancel_s.
   for (bool cancelled : {true, false}) {
     RunningTaskFixture fixture;
     if (cancelled) {
@@ -69,7 +71,7 @@
 
 TEST(FaultCombinations, LateEndOfAnEarlierAttemptDoesNotReleaseAGangMember) {
   // The member ended `incomplete` and was started again on the same machine under the same attempt; the new
-  // owner hears the old report first.
+  // owner receives the old report first.
   SimulatedCluster cluster;
   for (const char* m : {"m1", "m2"}) cluster.add_machine(m);
   JobSpec gang = test_job("run-1", 2, 4);
@@ -88,7 +90,7 @@
   cluster.run(4);
   ASSERT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{machine_name});
   ASSERT_TRUE(cluster.worker(machine_name).has("run-1/0"));
-  ASSERT_EQ(cluster.worker(machine_name).attempt("run-1/0"), attempt) << "the case that this is about";
+  ASSERT_EQ(cluster.worker(machine_name).attempt("run-1/0"), attempt) << "precondition of this case";
   cluster.add_machine("m3");
   cluster.fail_over(0, 1, 4);
   cluster.controller(1).handle_report(late, cluster.now);
@@ -99,9 +101,9 @@
 }
 
 TEST(FaultCombinations, DelayedReportsOfOldAgentEpochsDoNotProveATaskGone) {
-  // The start was lost with the session that took it, and sent again under its attempt in the next. The new
-  // owner hears copies of the first session, which shows the task, and of the second from before the start
-  // came.
+  // The start was lost with the agent epoch that received it, and sent again under its attempt in the next
+  // epoch. The new owner receives late copies of reports of the first epoch, which show the task, and of the
+  // second from before the start arrived.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -120,7 +122,7 @@
   ASSERT_EQ(lacks.agent_epoch, 2U);
   cluster.worker("m1").answer(cluster.controller(0).handle_report(lacks, cluster.now), cluster.now);
   ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
-  ASSERT_EQ(cluster.worker("m1").attempt("run-1/0"), shows.tasks[0].attempt) << "the case that this is about";
+  ASSERT_EQ(cluster.worker("m1").attempt("run-1/0"), shows.tasks[0].attempt) << "precondition of this case";
   cluster.add_machine("m2");
   cluster.fail_over(0, 1, 0.5);
   for (const WorkerReport& late : {shows, lacks}) cluster.controller(1).handle_report(late, cluster.now);
@@ -133,8 +135,9 @@
 }
 
 TEST(FaultCombinations, MachineNotReceivingResponsesOfItsNewOwnerIsProvedEmpty) {
-  // Its reports arrive, so it is never silent; answers do not, so it never shows the new token. But what
-  // shows no token of ours has taken no answer of ours: its lease is over once nobody else can have answered.
+  // Its reports arrive, so it is never silent; responses do not, so it never shows the new fencing token. But
+  // an agent that shows no token of ours has received no response of ours: its lease is over once nobody else
+  // can have responded.
   RunningTaskFixture fixture;
   fixture.cluster.fail_over(0, 1, 0);
   const Settings& settings = fixture.cluster.controller(1).cluster_state.settings;
@@ -155,7 +158,7 @@
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m2"});
   EXPECT_TRUE(cluster.worker("m2").has("run-1/0"));
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
-  // It hears again: of use as before, with nothing left on it.
+  // Responses reach it again: usable as before, with nothing left on it.
   cluster.run(1, 1);
   EXPECT_EQ(fixture.machine("m1").state, MachineState::ready);
   EXPECT_TRUE(fixture.machine("m1").placed_tasks.empty());
@@ -186,7 +189,8 @@
 }
 
 TEST(FaultCombinations, NoMachineIsAvoidedWhenMostResponsesAreLost) {
-  // The owner is late, so that every worker drops its answers: what is to start stays where it was placed.
+  // The owner is slow, so every agent drops its responses: tasks that are to start stay where they were
+  // placed.
   SimulatedCluster cluster;
   std::vector<std::string> names;
   for (int i = 0; i < 8; ++i) names.push_back("m" + std::to_string(i));
@@ -215,7 +219,7 @@
 }
 
 TEST(FaultCombinations, ListedStateIsAsFreshAsItsFirstPage) {
-  // Ten seconds lay between the pages: a job of the first may have been cancelled since.
+  // Ten seconds passed between the pages: a job on the first may have been cancelled since.
   service::ReplicaFreshness view;
   view.on_listing_started();
   view.on_page(110, 50);
@@ -233,7 +237,7 @@
   view.on_watch_response(140, 62);
   EXPECT_EQ(view.as_of(), 62);
   EXPECT_EQ(view.revision(), 140U);
-  // Read again later: never older than it was.
+  // Listed again: never less fresh than before.
   view.on_listing_started();
   view.on_page(150, 61);
   view.on_listing_finished();
@@ -242,8 +246,8 @@
 }
 
 TEST(FaultCombinations, LateReportOfADeletedMachineIsAdoptedThenReleased) {
-  // It reaches the leader after the machine was deleted: taken in, handed to the part that waits, and given
-  // up.
+  // The report reaches the leader after the machine was deleted: adopted, assigned to the waiting partition,
+  // and given up.
   SimulatedCluster cluster;
   cluster.add_unregistered_machine("gone");
   WorkerReport late = cluster.worker("gone").report(cluster.now);
@@ -252,7 +256,7 @@
   cluster.controller(0).handle_report(late, cluster.now);
   cluster.run(3);
   ASSERT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"gone"})
-      << "the case that this is about";
+      << "precondition of this case";
   cluster.add_machine("m1");
   cluster.run(2 * cluster.controller(0).cluster_state.settings.first_report_timeout_s() + 2);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
@@ -261,7 +265,7 @@
 }
 
 TEST(FaultCombinations, JobWaitCountsFromFirstSubmissionAttempt) {
-  // Refused through an outage of a minute, it would look a minute younger than it is.
+  // Refused throughout an outage of a minute, the job would otherwise look a minute younger than it is.
   struct SubmissionAttempt {
     simulation::Json body;
     double submitted_at_s, first_submitted_at_s;
@@ -269,7 +273,7 @@
   const SubmissionAttempt tries[] = {
       {{{"ref", "run-1"}}, 100, 100}, {{{"ref", "run-1"}}, 140, 100},
       {{{"ref", "run-2"}}, 141, 141}, {{{"ref", "run-1"}}, 160, 100},
-      {{{"ref", "run-1"}}, 161, 161},  // nobody repeats for so long
+      {{{"ref", "run-1"}}, 161, 161},  // no client repeats for so long
       {{{"ref", "run-1"}}, 150, 150},  // a clock that was set back
       {{{"ref", ""}}, 10, 10},        {{{"ref", ""}}, 20, 20},
       {{{"ref", 7}}, 30, 30},         {simulation::Json::object(), 40, 40},
@@ -281,7 +285,7 @@
   for (int i = 0; i < 20000; ++i) known.record_attempt({{"ref", "swarm-" + std::to_string(i)}}, 200);
   EXPECT_EQ(known.record_attempt({{"ref", "swarm-19999"}}, 201), 200);
   EXPECT_EQ(known.record_attempt({{"ref", "swarm-0"}}, 201), 201) << "memory is bounded";
-  // What was tried first is what the record says.
+  // The record has the time of the first attempt.
   Names names = simulation::test_names();
   Settings settings = simulation::test_settings("n");
   simulation::Json body = wire::write_submission(test_job("run-1", 1), names);
@@ -299,7 +303,7 @@
   struct Case {
     const char* description;
     bool state_is_current;
-    std::vector<Read> reads;  // as they are asked for
+    std::vector<Read> reads;  // in the order in which they are requested
     Step final_step;
     std::size_t read_count;
   };
@@ -338,7 +342,8 @@
 }
 
 TEST(FaultCombinations, RegistrationLostWithAnEarlierLeaseIsRenewed) {
-  // An earlier process's registration is carried out after its successor's, and goes with the earlier hold.
+  // An earlier process's registration is applied after its successor's, and ends with the earlier controller
+  // lease.
   SimulatedCluster cluster;
   SimulatedController& controller = cluster.controller(0);
   std::uint64_t earlier = cluster.store.grant_lease(2, cluster.now);
@@ -355,13 +360,13 @@
   EXPECT_FALSE(needs_registration(controller.cluster_state, controller.lease, controller.name));
   put(earlier);  // late
   EXPECT_TRUE(needs_registration(controller.cluster_state, controller.lease, controller.name));
-  cluster.run(3);  // the earlier hold ends and takes the key along
+  cluster.run(3);  // the earlier controller lease ends and its key is removed with it
   EXPECT_TRUE(needs_registration(controller.cluster_state, controller.lease, controller.name));
   put(controller.lease.lease_id());
   EXPECT_FALSE(needs_registration(controller.cluster_state, controller.lease, controller.name));
   controller.lease.on_lost();
   EXPECT_FALSE(needs_registration(controller.cluster_state, controller.lease, controller.name))
-      << "there is nothing to register under";
+      << "there is no controller lease to register under";
 }
 
 }  // namespace
--- a/tests/fault_histories_test.cpp
+++ b/tests/fault_histories_test.cpp
@@ -1,5 +1,5 @@
-// The rules' checker, and a small cluster through meetings of troubles (docs/fault-combinations.md), each
-// swept over the moment at which the second trouble strikes.
+// The invariant checker, and a small cluster under fault combinations (docs/fault-combinations.md), each
+// swept over the moment at which the second fault strikes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,10 +18,10 @@
 using simulation::InvariantChecker;
 using simulation::JobAnswer;
 
-// --- The checker.
+// --- The invariant checker.
 
 struct InvariantCase {
-  const char* rule;  // none: nothing is broken
+  const char* rule;  // none: nothing is violated
   const char* description;
   std::function<void(InvariantChecker&)> history;
 };
@@ -330,9 +330,9 @@
   }
 }
 
-// --- Meetings.
+// --- Fault combinations.
 
-/// Plays all of them, several at a time; what broke, with the script that brings it about.
+/// Plays all of them, several at a time; returns the violations, each with the script that reproduces it.
 std::vector<std::string> broken_invariants(const std::vector<ClusterScenario>& all, std::uint64_t seeds) {
   std::vector<std::string> out(all.size() * seeds);
   simulation::run_in_parallel(out.size(), 2, [&](std::size_t i) {
@@ -344,7 +344,7 @@
     if (!result.violations.empty())
       out[i] =
           result.violations[0] + ", seed " + std::to_string(seed) + "\n" + simulation::to_script(scenario);
-    // A history in which nothing was asked or done shows nothing.
+    // A history in which nothing was queried or done proves nothing.
     if (result.answers < 50 || result.done_by_class[0] + result.done_by_class[1] == 0)
       out[i] += "hardly anything was done or answered: " +
                 std::to_string(result.done_by_class[0] + result.done_by_class[1]) + " tasks, " +
@@ -354,11 +354,11 @@
   return out;
 }
 
-/// Two troubles or more, of which those with `moves` strike at a moment that is swept.
+/// Two faults or more, of which the second ones strike at a moment that is swept.
 struct FaultCombination {
   const char* name;
   std::vector<Fault> first_faults, second_faults;
-  std::function<void(ClusterScenario&)> configure = {};  // what is not as usual in the cluster
+  std::function<void(ClusterScenario&)> configure = {};  // how the cluster differs from the usual one
 };
 
 Fault make_fault(FaultKind kind, double at_s, double for_s, double share = 0, double stagger = 0) {
@@ -397,7 +397,7 @@
   return all;
 }
 
-// Clusters in which something is not as usual.
+// Clusters that differ from the usual one.
 void team_at_quota(ClusterScenario& scenario) {
   scenario.guaranteed_gpus = 8;
   scenario.max_gpus = 16;
@@ -424,7 +424,7 @@
   scenario.arrays_per_s = 0.8;
 }
 
-/// LATER.md's list, in its order.
+/// The combinations that the users named, in the order of their list (see docs/fault-combinations.md).
 std::vector<FaultCombination> fault_combinations() {
   return {
       {"CommandsHeldUpAndMachinesThatGoOn",
@@ -561,20 +561,20 @@
                          testing::Range<std::size_t>(0, fault_combinations().size()),
                          [](const auto& p) { return std::string(fault_combinations()[p.param].name); });
 
-/// The gap: the state service refuses the leader alone, cancellations are confirmed through others, then it
-/// is down for all, for longer than cancel_s, while workers report to the old leader.
+/// The gap: the state service refuses only the leader, cancellations are confirmed through other controllers,
+/// then the service is down for all, for longer than cancel_s, while agents report to the old leader.
 class CancellationDuringOutageTest : public testing::TestWithParam<int> {};
 
 struct LeaseTimes {
   double lease_s, cancel_s, controller_lease_s;
 };
 const LeaseTimes lease_time_cases[] = {
-    {12, 36, 4},    // grace at its longest
-    {12, 24, 4},    // some
-    {12, 16.1, 4},  // the shortest that is accepted: the hold is cut down to a second, and there is no grace
-    {12, 19.1, 4},  // no grace
-    {36, 61, 4},    // the large fleets'
-    {6, 60, 20},    // a hold far longer than a lease
+    {12, 36, 4},    // the longest read-only period
+    {12, 24, 4},    // a shorter one
+    {12, 16.1, 4},  // the shortest accepted cancel_s: controller lease cut to a second, no read-only period
+    {12, 19.1, 4},  // no read-only period
+    {36, 61, 4},    // the large fleets' times
+    {6, 60, 20},    // a controller lease far longer than an agent's lease
 };
 
 TEST_P(CancellationDuringOutageTest, CancelledTasksEndWithinTheLimit) {
@@ -604,9 +604,9 @@
 
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationDuringOutageTest, testing::Range(0, 6));
 
-/// An election that is broken off at each of its steps: own past ended, hold taken, registered, claim sent,
-/// durable but unanswered, tables read, first answer. The world's steps are of a tenth of a second, each
-/// moment of five seconds is tried, and what ends is back within three tenths.
+/// An election that is interrupted at each of its steps: own earlier lease ended, lease granted, registered,
+/// ownership write sent, durable but unanswered, state listed, first response. The simulation's steps are of
+/// a tenth of a second, each moment of five seconds is tried, and what ends is back within three tenths.
 class InterruptedElectionTest : public testing::TestWithParam<std::uint32_t> {};
 
 TEST_P(InterruptedElectionTest, InterruptionAtEachStepKeepsInvariants) {
@@ -622,7 +622,7 @@
     for (const std::vector<Fault>& then : ways) {
       ClusterScenario scenario = simulation::fault_combination_scenario();
       scenario.controllers = GetParam();
-      // Old messages come late, requests that were carried out are repeated.
+      // Old messages arrive late, requests that were executed are repeated.
       scenario.faults = {make_fault(Kind::duplicate_reports, -5, 30, 0.3),
                          make_fault(Kind::delayed_writes, -5, 30, 0.3), make_fault(Kind::owner_down, 0, 0.2)};
       scenario.faults.insert(scenario.faults.end(), then.begin(), then.end());
@@ -637,7 +637,8 @@
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, InterruptedElectionTest, testing::Values(3U, 7U));
 
 TEST(FaultHistories, FourSingleTaskJobsPerSecondStayWithinTheLowestWriteLimit) {
-  // Each takes a submission, a placement and its end (three keys): a fifth of the limit is left for the rest.
+  // Each job takes a submission, a placement and its end (three keys): a fifth of the limit is left for the
+  // rest.
   ClusterScenario scenario = simulation::fault_combination_scenario();
   four_jobs_per_second(scenario);
   scenario.write_rps = 35;
@@ -649,7 +650,7 @@
   double changes = 0;
   for (const simulation::SecondSample& second : result.samples) changes += second.changes;
   EXPECT_GT(result.done_by_class[1], 500U);
-  // Of owners; a job that is called off has been placed and removed, or never placed.
+  // Of owners; a cancelled job has been placed and removed, or was never placed.
   EXPECT_LT(changes / (scenario.arrays_per_s * scenario.duration_s), 4.5);
   EXPECT_EQ(result.class_served[1].started, result.class_served[1].jobs);
   EXPECT_LT(result.class_served[1].longest_wait_s, 60);
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr PartitionIndex red_partition{1};
 
-/// Node 0 places run-1, and the transaction is held back on its way.
+/// Controller 0 places run-1, and the transaction is delayed in transit.
 void delay_placement_transaction(SimulatedCluster& cluster, std::uint32_t tasks) {
   cluster.submit(test_job("run-1", tasks, 4));
   cluster.controller(0).sync(cluster.now);
@@ -75,8 +75,9 @@
 }
 
 TEST(Fencing, AbsenceUnderAnOldFencingTokenProvesNothing) {
-  // Node 0 sends the start and dies; the worker's next report reaches node 1 and lacks the task, since node
-  // 0's response is still on its way. Only a report that shows node 1's token settles the matter.
+  // Controller 0 sends the start and ends; the agent's next report reaches controller 1 and lacks the task,
+  // since controller 0's response is still in transit. Only a report that shows controller 1's fencing token
+  // proves anything.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -117,8 +118,8 @@
 }
 
 TEST(Fencing, LatePlacementOfAnEarlierOwnerFailsEvenIfNothingElseChanged) {
-  // Job, record and machine are as they were, since the new owner gave the team's room to another job: only
-  // the claim tells. Applied, it would put the team over its limit of eight.
+  // Job, record and machine are unchanged, since the new owner gave the team's quota to another job: only the
+  // guard on the ownership fails. Applied, the transaction would put the team over its quota of eight.
   SimulatedCluster cluster;
   for (const char* m : {"m1", "m2", "m3"}) cluster.add_machine(m);
   for (std::size_t n : {0, 1})
@@ -130,7 +131,7 @@
   cluster.submit(other);
   cluster.fail_over(0, 1, 0.5);
   cluster.run(3, 1);
-  ASSERT_TRUE(cluster.machines_of_task("run-1", 0).empty()) << "the case that this is about";
+  ASSERT_TRUE(cluster.machines_of_task("run-1", 0).empty()) << "precondition of this case";
   ASSERT_EQ(cluster.machines_of_task("run-2", 0).size() + cluster.machines_of_task("run-2", 1).size(), 2U);
   EXPECT_EQ(cluster.store.txn(cluster.controller(0).lost_writes[0]).status, 409);
   cluster.run(3, 1);
@@ -138,8 +139,9 @@
 }
 
 TEST(Fencing, LatePlacementOnAMachineWhoseRecordHasChangedFails) {
-  // The leader marks machines and forgets those that are gone, whatever their part's owner is writing:
-  // applied afterwards, a placement would be on a machine that nobody can hear or delete.
+  // The leader marks machines and deletes the records of those that are gone, whatever their partition's
+  // owner is writing: applied afterwards, a placement would be on a machine that no controller can reach or
+  // delete.
   for (bool gone : {true, false}) {
     SimulatedCluster cluster;
     cluster.add_machine("m1");
@@ -158,8 +160,8 @@
 }
 
 TEST(Fencing, UnansweredTransactionStaysIndeterminateWhenItsRetryIsRejected) {
-  // The first copy is held back, the second gets 503: that says nothing of the first. Were its quota freed,
-  // other work could take it, and the first copy, applied late, would go over the team's limit.
+  // The first copy is delayed, the second gets 503: that proves nothing about the first. If its quota were
+  // freed, other work could take it, and the first copy, applied late, would exceed the team's quota.
   SimulatedCluster cluster;
   for (const char* m : {"m1", "m2", "m3", "m4"}) cluster.add_machine(m);
   cluster.run(2);
@@ -180,12 +182,13 @@
   for (const char* job : {"run-1", "run-2"}) {
     for (TaskNumber t : {0U, 1U}) placed += cluster.machines_of_task(job, t).size();
   }
-  EXPECT_EQ(placed, 2U);  // of 4 GPUs each, and the team may use 8
+  EXPECT_EQ(placed, 2U);  // of 4 GPUs each, and the team's quota is 8
   EXPECT_TRUE(cluster.worker("m1").has("run-1/0") || cluster.worker("m2").has("run-1/0"));
 }
 
 TEST(Fencing, RetriedTransactionIsIdenticalEvenIfItsJobIsGone) {
-  // Made anew from the tables it would name a job that they no longer hold: the controller ended by that.
+  // Encoded again from the replica it would name a job that is no longer there, which once ended the
+  // controller.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -202,7 +205,8 @@
 }
 
 TEST(Fencing, UnansweredTransactionKeepsItsReservationAndIsRetried) {
-  // The answer is lost though the placement was made: room stays taken, and the repeat finds it done.
+  // The response is lost though the placement was applied: its capacity stays reserved, and the repeat finds
+  // it done.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -249,7 +253,7 @@
   cluster.silenced_workers.insert("m1");
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.controller(1).cluster_state.settings.operator_settings.idle_retention_s =
-      1000;  // m2 is to be there when it is needed
+      1000;  // m2 must still be there when it is needed
   double wait = cluster.controller(1).cluster_state.settings.failover_silence_s();
   cluster.run(wait - 2, 1);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
@@ -302,7 +306,7 @@
 }
 
 TEST(Fencing, TasksOnAMachineMarkedForDeletionAreProvedGoneBySilenceAcrossFailover) {
-  // The cloud is down: the deletion is marked and never confirmed, and its owner ends.
+  // The cloud is down: the deletion is marked and never confirmed, and the owner ends.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -347,13 +351,13 @@
   cluster.submit(test_job("run-1", 1));
   cluster.controller(0).sync(cluster.now);
   cluster.controller(0).run_cycle(cluster.now);
-  cluster.silenced_workers.insert("m1");  // placed, never heard of
+  cluster.silenced_workers.insert("m1");  // placed, never reports
   auto current_partition = [&cluster] {
     return cluster.store.keys().at("o/m/m1").value.at("part").get<std::string>();
   };
   cluster.run(8);
   EXPECT_EQ(current_partition(), "red");
-  cluster.run(10);  // its lease is over: the task is off, the machine goes back to be deleted
+  cluster.run(10);  // its agent's lease is over: the task is gone, the machine is released to be deleted
   EXPECT_EQ(current_partition(), ".pool");
   EXPECT_TRUE(cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());
 }
@@ -377,7 +381,7 @@
 }
 
 TEST(Fencing, ControllerWithALowerTokenDoesNotRespond) {
-  // Node 0 has not heard that its claim went to node 1.
+  // Controller 0 does not know yet that controller 1 has its ownership now.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -400,7 +404,7 @@
       {0, 0, life, Authority::read_only},
       {0, 0, life + grace - 0.1, Authority::read_only},
       {0, 0, life + grace, Authority::none},
-      {10, 0, life + 1, Authority::read_only},  // renewals alone do not do: it hears nothing of cancellations
+      {10, 0, life + 1, Authority::read_only},  // renewals are not enough: it learns of no cancellations
       {0, 10, life + 1, Authority::read_only},
       {10, 10, life + 1, Authority::full},
   };
@@ -439,7 +443,7 @@
   cluster.run(3);
   Settings settings = cluster.controller(0).cluster_state.settings;
   cluster.withdraw("run-1");
-  cluster.now += settings.operator_settings.controller_lease_s + 0.5;  // the node hears nothing any more
+  cluster.now += settings.operator_settings.controller_lease_s + 0.5;  // it receives nothing any more
   auto a = cluster.exchange_report("m1", 0);
   EXPECT_EQ(a.kind, Kind::ok);
   EXPECT_TRUE(a.commands.empty());
@@ -457,7 +461,7 @@
     cluster.exchange_report("m1", 0);
     std::string expected;
     if (cancel_first) {
-      // The owner has not heard of it when it writes the done mark.
+      // The owner does not know of the cancellation when it writes the done mark.
       EXPECT_EQ(cluster.withdraw("run-1"), 200);
       cluster.controller(0).run_cycle(cluster.now);
       EXPECT_EQ(cluster.controller(0).refused_writes, 1);
@@ -505,7 +509,7 @@
 }
 
 TEST(Fencing, QuotaCountsUnreportedTasks) {
-  // The team may use 8 GPUs; two machines fall silent with 8 on them, so nothing else may start.
+  // The team's quota is 8 GPUs; two machines fall silent with 8 in use on them, so nothing else may start.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -534,7 +538,7 @@
   cluster.silenced_workers.insert("m1");
   cluster.add_machine("m2", "b");
   cluster.run(8);
-  EXPECT_FALSE(cluster.worker("m2").has("run-1/1"));  // zone a still holds task 0
+  EXPECT_FALSE(cluster.worker("m2").has("run-1/1"));  // task 0 still counts as in zone a
 }
 
 TEST(Fencing, DeletedMachineIsProvablyGoneAndNotReadmitted) {
@@ -550,7 +554,7 @@
   cluster.silenced_workers.insert("m1");
   cluster.run(2);
   EXPECT_EQ(cluster.store.keys().count("o/m/m1"), 0U);
-  // A list from before the deletion must not bring it back.
+  // A listing from before the deletion must not bring it back.
   ListedMachine old{"m1", "127.0.0.1:1", "std", "a", false, ListedMachine::Phase::running, 100};
   for (int i = 0; i < 10; ++i) {
     cluster.controller(0).autoscaler.on_listed({old}, cluster.now);
@@ -565,18 +569,19 @@
     model.apply({OwnershipKey{PartitionIndex{partition}}, OwnershipRecord{node, 1}, 1}, revision, 100);
   };
   std::vector<std::string> all = {"n0", "n1", "n2"};
-  // At the start every part prefers another node.
+  // At the start every partition prefers another controller.
   EXPECT_EQ(acquisition_turn(model, PartitionIndex{0}, "n0", all), 0U);
   EXPECT_EQ(acquisition_turn(model, PartitionIndex{1}, "n1", all), 0U);
   EXPECT_EQ(acquisition_turn(model, PartitionIndex{2}, "n2", all), 0U);
   EXPECT_EQ(acquisition_turn(model, PartitionIndex{1}, "n0", all), 2U);
-  // Later the node with fewer parts goes first.
+  // Later the controller with fewer partitions goes first.
   record_ownership(0, "n1", 10);
   EXPECT_NE(acquisition_turn(model, PartitionIndex{1}, "n1", all), 0U);
 }
 
 TEST(Fencing, RecordsMayArriveInAnyOrder) {
-  // After a restart placement records are listed before their jobs: room and quota must come out the same.
+  // After a restart placement records are listed before their jobs: capacity and quota in use must be the
+  // same.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 2));
@@ -598,8 +603,8 @@
 }
 
 TEST(Fencing, WakeUpUsesATokenThatEveryLaterOwnerExceeds) {
-  // Workers that report seldom are woken once their task's placement is durable. The wake-up's token is the
-  // placement's revision: above what the worker has seen, below any later owner's claim.
+  // Agents that report seldom are woken once their task's placement is durable. The wake-up's token is the
+  // placement's revision: above what the agent has seen, below the ownership revision of any later owner.
   SimulatedCluster cluster;
   cluster.controller(0).cluster_state.settings.report_interval_s = 5;
   cluster.add_machine("m1");
@@ -623,16 +628,17 @@
 }
 
 TEST(Fencing, RedirectDistinguishesDepartedWorkersFromNewOnes) {
-  // Only the former's reports are passed on: across a cut between zones its lease would run out.
+  // Only a departed agent's reports are forwarded to the owner: across a network cut between zones its lease
+  // would run out.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.controller(1).sync(cluster.now);
   auto answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
   EXPECT_EQ(answer.kind, Kind::redirect);
-  EXPECT_FALSE(answer.owner_unreachable);  // never served by it
+  EXPECT_FALSE(answer.owner_unreachable);  // the owner never served it
   cluster.run(5);
   answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
-  EXPECT_FALSE(answer.owner_unreachable);  // just handed over, it may have been told to report at once
+  EXPECT_FALSE(answer.owner_unreachable);  // ownership is recent: it may have been told to report at once
   cluster.run(30);
   answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
   EXPECT_EQ(answer.kind, Kind::redirect);
--- a/tests/free_capacity_test.cpp
+++ b/tests/free_capacity_test.cpp
@@ -1,4 +1,4 @@
-// The index of free capacity: the same choices as a full scan makes, and what it costs.
+// The index of free capacity: the same choices as a full scan makes, and its cost.
 #include "oxbowmill/scheduling/free_capacity.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 using simulation::SimulatedCluster;
 using simulation::test_job;
 
-/// A partition's machines at random, as the index and as a full scan see them.
+/// Random machines of a partition, as the index and as a full scan see them.
 class RandomCluster {
  public:
   explicit RandomCluster(std::uint32_t seed)
@@ -57,7 +57,7 @@
     };
     return query;
   }
-  /// Both place the job, and the room that it takes is gone for the next one.
+  /// Both place the job, and the capacity that it uses is gone for the next one.
   void place_and_compare(const JobSpec& spec) {
     SelectionQuery query = this->random_query(spec);
     std::vector<TaskNumber> tasks(spec.tasks);
@@ -117,7 +117,7 @@
   }
 }
 
-/// Machines of 4 GPUs in two zones, all free but for a few, and what a selection among them visits.
+/// Machines of 4 GPUs in two zones, all in use but for `free` of them; returns how many a selection visits.
 std::uint64_t count_visits(std::uint32_t machines, std::uint32_t free, std::uint32_t tasks, double gpus) {
   ClusterState model(simulation::test_settings("n"), simulation::test_names());
   model.catalog = simulation::test_catalog();
@@ -172,7 +172,7 @@
   SimulatedCluster cluster;
   for (int i = 0; i < 6; ++i) cluster.add_machine("m" + std::to_string(i));
   cluster.run(3);
-  cluster.submit(test_job("run-1", 8));  // as many as the team's limit allows, which leaves room
+  cluster.submit(test_job("run-1", 8));  // as many as the team's quota allows, which leaves free capacity
   cluster.submit(test_job("run-2", 30, 4));
   cluster.run(5);
   std::uint64_t before = cluster.controller(0).scheduler.visits();
@@ -180,7 +180,7 @@
   EXPECT_EQ(cluster.controller(0).scheduler.visits(), before);
 }
 
-/// Machines that come back into the index, or leave it, without any report.
+/// Machines that enter the index again, or leave it, without any report.
 TEST(FreeCapacity, MachinesBecomeAvailableByTimeAlone) {
   SimulatedCluster cluster;
   cluster.add_machine("m1");
@@ -193,7 +193,7 @@
   EXPECT_TRUE(cluster.machines_of_task("run-1", 0).empty());
   cluster.run(4);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
-  // One that does not report any more gets nothing new, before it is known to be silent.
+  // One that no longer reports gets nothing new, even before it counts as silent.
   cluster.silenced_workers.insert("m1");
   cluster.run(model.settings.report_interval_s * 2.5 + 2);
   cluster.submit(test_job("run-2", 1));
--- a/tests/full_scan_placement.h
+++ b/tests/full_scan_placement.h
@@ -1,4 +1,4 @@
-// Placement by a full scan of all machines, as the program had it before the index of free capacity: the
+// Placement by a full scan of all machines, as the program did it before the index of free capacity: the
 // reference that the index is compared with.
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace oxbowmill::full_scan {
 
-/// Nodes as a job sees them, with whole ordinary ones left out where they are spared.
+/// Machines as candidates for a job; whole ordinary ones are excluded where they are to be kept free.
 inline std::vector<CandidateMachine> feasible_candidates(const SelectionQuery& query,
                                                          const ClusterState& model,
                                                          std::vector<CandidateMachine> nodes) {
@@ -23,7 +23,7 @@
   return nodes;
 }
 
-/// The tasks' machines in order; the rooms of the chosen nodes shrink.
+/// The tasks' machines in order; the free capacity of the chosen machines shrinks.
 inline std::vector<std::pair<TaskNumber, MachineIndex>> select(const SelectionQuery& query,
                                                                const ClusterState& model,
                                                                const std::vector<TaskNumber>& tasks,
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,7 +1,6 @@
-// What others read or have stored must not change when the code's own names do. Each test writes down what
-// the code makes of fixed facts, as `name: bytes` lines, and compares it with a file of tests/golden byte for
-// byte. OXBOWMILL_WRITE_GOLDEN=1 rewrites those files; input_*, service.toml and operator.yaml are written by
-// hand.
+// What others read or have stored must not change when the code's identifiers do. Each test encodes fixed
+// data as `name: bytes` lines and compares them with a file of tests/golden byte for byte.
+// OXBOWMILL_WRITE_GOLDEN=1 rewrites those files; input_*, service.toml and operator.yaml are written by hand.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -26,7 +25,7 @@
   return std::string(GOLDEN_DIR) + "/" + file;
 }
 
-/// Nothing where there is no such file.
+/// Absent if there is no such file.
 std::optional<std::string> read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) return std::nullopt;
@@ -70,7 +69,7 @@
   std::string text_;
 };
 
-/// The hand-written inputs of a file, by name: one `name: JSON` a line.
+/// The hand-written inputs of a file, by name: one `name: JSON` per line.
 std::vector<std::pair<std::string, Json>> read_inputs(const std::string& file) {
   std::vector<std::pair<std::string, Json>> inputs;
   std::ifstream in(golden_path(file));
@@ -109,14 +108,14 @@
   return spec;
 }
 
-/// Only what a submission must have.
+/// Only the required fields of a submission.
 JobSpec bare_job() {
   JobSpec spec = simulation::test_job("run-2", 1);
   spec.submitted_at = 1700000001;
   return spec;
 }
 
-/// Tables that know the jobs, machines and markets which the records name.
+/// Name tables that contain the jobs, machines and markets which the records refer to.
 struct Tables {
   Tables() : model(simulation::test_settings("node-0"), simulation::test_names()) {
     for (const JobSpec& spec : {full_job(), bare_job()}) {
@@ -132,7 +131,7 @@
   JobIndex job;
 };
 
-/// Key and value, and the value that its decoding encodes to.
+/// Key and value, and the value that the decoded record is encoded to again.
 void add_record(GoldenLines& lines, Tables& tables, const std::string& name, const Change& change) {
   std::string key = state::encode_key(change.key, tables.model);
   Json value = state::encode_value(change, tables.model);
@@ -142,7 +141,7 @@
   ASSERT_TRUE(stored) << name;
   auto decoded = state::decode(key, &*stored, tables.model);
   if (std::holds_alternative<FinalPhaseKey>(change.key)) {
-    EXPECT_FALSE(decoded) << "final phases are no live keys";
+    EXPECT_FALSE(decoded) << "final phases are not live keys";
     EXPECT_TRUE(state::read_phase(*stored)) << name;
     return;
   }
@@ -431,7 +430,7 @@
       {TaskPhase::ended, EndCause::peers_lost}, {TaskPhase::ended, EndCause::incomplete},
       {TaskPhase::ended, EndCause::error},      {TaskPhase::ended, EndCause::no_capacity},
       {TaskPhase::ended, EndCause::busy},       {TaskPhase::ended, EndCause::no_such},
-      {TaskPhase::ended, EndCause::error},  // a cause that is not known
+      {TaskPhase::ended, EndCause::error},  // an unknown cause
   };
   ASSERT_EQ(full->tasks.size(), expected.size());
   for (std::size_t i = 0; i < expected.size(); ++i) {
@@ -573,7 +572,7 @@
   service::PeerUpdate full{"node-1", 1ULL << 40, true, {"a", "b"}, {{"red", 7, 2, 9, 3}}, {"host-1"}};
   lines.add("full", hex(service::encode(full)));
   lines.add("bare", hex(service::encode({"node-1", 0, false, {}, {}, {}})));
-  // As an older version sends it: map of node, revision and state_ok.
+  // As an older version sends it: a map of node, revision and state_ok.
   const std::string old = "\x83\xa4node\xa6node-1\xa8revision\x05\xa8state_ok\xc3";
   auto read = service::decode_peer_update(old);
   ASSERT_TRUE(read);
@@ -703,7 +702,7 @@
   EXPECT_FALSE(r.delete_suspects);
 }
 
-/// What loading the operators' settings says with one more line in them, without the file's path.
+/// The error of loading the operators' settings with one more line in them, without the file's path.
 std::string operator_error(const std::string& text) {
   std::string path = ::testing::TempDir() + "oxbowmill-golden-" + std::to_string(::getpid()) + ".yaml";
   std::ofstream(path) << text;
@@ -718,7 +717,7 @@
 }
 
 TEST(Golden, UnknownOperatorSettingsAreNamed) {
-  // Before each line of the file that has a plain key, the same map gets an unknown one.
+  // Before each line of the file that has a plain key, an unknown key is added to the same map.
   GoldenLines lines;
   const std::string text = read_file(golden_path("operator.yaml")).value_or("");
   ASSERT_EQ(operator_error(text), "");
@@ -769,7 +768,7 @@
 TEST(Golden, ProgramArguments) {
   GoldenLines lines;
   add_help(lines, CONTROLLER_PROGRAM, "oxbowmill", {});
-  // Defaults from the surroundings must not matter.
+  // Defaults from the environment must not matter.
   add_help(lines, std::string("env -u OXBOW_CONFIG -u OXBOW_NODES -u OXBOW_TEAM ") + CLIENT_PROGRAM,
            "oxbowctl", {"submit", "status", "wait", "withdraw"});
   add_help(lines, SIMULATION_PROGRAM, "oxbowmill-sim",
--- a/tests/market_test.cpp
+++ b/tests/market_test.cpp
@@ -1,5 +1,5 @@
-// The parts of the market package by themselves: bids' states, money, trust, plans, and what is read off the
-// wire.
+// The classes of the market package on their own: states of bids, money, reputation, plans, and decoded
+// answers.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -34,9 +34,9 @@
       {State::submitted, State::settling, true},
       {State::unconfirmed, State::submitted, false},  // a new leader never sends it
       {State::raised, State::confirming, true},
-      {State::open, State::confirming, false},  // nothing is confirmed that was not asked
+      {State::open, State::confirming, false},  // nothing is confirmed that the market did not ask about
       {State::won, State::open, false},
-      {State::won, State::raised, false},  // what was accepted is not raised
+      {State::won, State::raised, false},  // an accepted bid is not raised
       {State::running, State::withdrawing, false},
       {State::withdrawing, State::running, true},
       {State::withdrawing, State::submitted, false},
@@ -51,7 +51,7 @@
         << name_of(test_case.from) << " -> " << name_of(test_case.to);
     EXPECT_EQ(bid.state, test_case.allowed ? test_case.to : test_case.from);
   }
-  // Money is freed through one state only, and only `closed` has nothing after it.
+  // Money is released through one state only, and only `closed` has no further step.
   for (int from = 0; from <= static_cast<int>(State::closed); ++from) {
     bool closes = may_follow(static_cast<State>(from), State::closed);
     EXPECT_EQ(closes,
@@ -78,7 +78,7 @@
   EXPECT_EQ(client.state(), State::trading);
   for (int i = 0; i < 3; ++i) client.on_answer(none, 2 + i);
   EXPECT_EQ(client.state(), State::unresponsive);
-  EXPECT_FALSE(client.try_acquire_request(4.5));  // left alone for a while
+  EXPECT_FALSE(client.try_acquire_request(4.5));  // not tried for a while
   EXPECT_TRUE(client.try_acquire_request(100));
   client.on_answer(ok, 101);
   EXPECT_EQ(client.state(), State::trading);
@@ -109,12 +109,12 @@
     std::uint32_t machines;
     double limit, term_s;
     PartitionIndex partition;
-    const char* refusal;  // empty: taken
+    const char* refusal;  // empty: accepted
   };
   const Case cases[] = {
-      {10, 10, 1800, red_partition, ""},  // 100 an hour, 50 at worst
+      {10, 10, 1800, red_partition, ""},  // 100 per hour, 50 in the worst case
       {11, 10, 1800, red_partition, "per hour"},
-      {10, 10, 2400, red_partition, "per window"},  // 66.7 at worst
+      {10, 10, 2400, red_partition, "per window"},  // 66.7 in the worst case
       {3, 10, 1800, blue_partition, ""},
       {4, 10, 1800, blue_partition, "team's ceiling per hour"},
       {1, 101, 10, red_partition, "per hour"},
@@ -132,14 +132,14 @@
   ledger.load({0, {{red_partition, to_money_amount(20)}}}, 500);
   ledger.reserve("a", make_bid_record(4, 10, 1800));
   EXPECT_EQ(ledger.usage().per_hour, to_money_amount(40));
-  EXPECT_EQ(ledger.usage().in_window, to_money_amount(40));  // 20 paid, 20 at worst
+  EXPECT_EQ(ledger.usage().in_window, to_money_amount(40));  // 20 paid, 20 in the worst case
   EXPECT_EQ(ledger.affordable_machines(red_partition, to_money_amount(10), 1800),
-            4U);  // by the window: 20 left, 5 each
+            4U);  // limited by the window: 20 left, 5 each
   EXPECT_FALSE(ledger.rejection_reason(make_bid_record(4, 10, 1800)).has_value());
   EXPECT_TRUE(ledger.rejection_reason(make_bid_record(5, 10, 1800)).has_value());
   ledger.release("a");
   EXPECT_EQ(ledger.usage().per_hour, 0);
-  // A new window frees what was paid in the old one, but not what is still open; a clock set back frees
+  // A new window releases what was paid in the old one, but not what is still open; a clock set back releases
   // nothing.
   ledger.reserve("b", make_bid_record(4, 10, 1800));
   ledger.load({0, {{red_partition, to_money_amount(20)}}}, 1500);
@@ -181,12 +181,12 @@
   for (double s : {10.0, 45.0, 60.0, 120.0})
     EXPECT_NEAR(p.probability_within(s), reputation.on_time_probability(50, s), 0.08) << s;
   EXPECT_EQ(p.probability_within(0), 0);
-  // One that turns bad is found out within two dozen machines.
+  // A market that turns bad is detected within two dozen machines.
   reputation.record_machines(0, 24);
   EXPECT_LT(reputation.delivered_fraction(), 0.7);
   reputation.record_machines(0, 60);
   EXPECT_LT(reputation.delivered_fraction(), 0.35);
-  // The kind's own evidence outweighs the market's.
+  // The kind's own evidence outweighs that of the whole market.
   Reputation kind;
   kind.record_machines(0, 20);
   Reputation whole;
@@ -221,7 +221,8 @@
   return offer;
 }
 
-/// The least cost over all ways of dealing out machines, within the ceiling; one claim only.
+/// The least cost over all assignments of machines to demands, within the ceiling; for demands of one class
+/// only.
 double least_cost_by_enumeration(const PlanningInput& input, double reference) {
   Ledger l(input.settings);
   std::vector<std::uint32_t> left;
@@ -286,8 +287,8 @@
 }
 
 TEST(MarketPlan, NearOptimalAgainstEnumeration) {
-  // Without a ceiling the flow is exact. With one the dearest part of the gap is stated here and in
-  // docs/markets-design.md; a case beyond it is a change for the worse.
+  // Without a ceiling the flow is exact. With one, the bounds on the gap are stated here and in
+  // docs/markets-design.md; a case beyond them is a regression.
   std::mt19937_64 random(11);
   double worst = 0, sum = 0, gaps = 0;
   for (int i = 0; i < 400; ++i) {
@@ -354,7 +355,7 @@
     double waited_s;
     std::uint32_t first_machines, second_machines;
   };
-  // Five machines, six wanted by each.
+  // Five machines, six needed by each demand.
   const Case cases[] = {
       {"a guarantee before all", BidPriority::guaranteed, BidPriority::high, 0, 5, 0},
       {"rank before rank", BidPriority::high, BidPriority::standard, 0, 5, 0},
@@ -405,7 +406,7 @@
     return counts;
   };
   using MachineCounts = std::vector<std::uint32_t>;
-  // A little cheaper, but half of it never comes.
+  // Slightly cheaper, but half of the machines never come.
   EXPECT_EQ(bought({make_offer(north_market, 8, 20, 30, 0.5), make_offer(south_market, 9, 20, 30, 0.95)},
                    market_demand),
             (MachineCounts{0, 10}));
@@ -416,12 +417,12 @@
   Demand later = market_demand;
   later.slack_s = 600;
   EXPECT_EQ(bought(slow, later), (MachineCounts{10, 0}));
-  // An unproven market gets its share of a plan and no more.
+  // An unproven market gets its trial fraction of a plan and no more.
   std::vector<Offer> trial = {make_offer(north_market, 6, 20, 30, 0.95),
                               make_offer(south_market, 9, 20, 30, 0.95)};
   trial[0].proven = false;
   EXPECT_EQ(bought(trial, market_demand), (MachineCounts{3, 7}));
-  // Dearer than the limit allows: not at any price.
+  // Above the price limit: not bought at all.
   EXPECT_EQ(bought({make_offer(north_market, 16, 20, 30, 0.95)}, market_demand), (MachineCounts{0}));
   // Best-effort work bids the quote and no more.
   Demand best_effort_demand = market_demand;
@@ -433,7 +434,7 @@
 }
 
 TEST(MarketPlan, OverdueWorkIsStillBought) {
-  // Judged by its last moment alone it was worth nothing any more, and waited for ever.
+  // Valued by its last moment alone, such work was once worth nothing any more, and waited for ever.
   for (BidPriority demand_class : {BidPriority::guaranteed, BidPriority::high, BidPriority::standard,
                                    BidPriority::starved, BidPriority::best_effort}) {
     for (double slack : {-1000.0, -1.0, 10.0}) {
@@ -472,7 +473,7 @@
   needs[3].waited_s = settings.starvation_threshold_s + 1;
   auto demands = group_demands(needs, settings);
   ASSERT_EQ(demands.size(), 3U);
-  EXPECT_EQ(demands[0].machines, 4U);  // two needs of two machines each
+  EXPECT_EQ(demands[0].machines, 4U);  // two unmet demands of two machines each
   EXPECT_EQ(demands[0].unmet_demands, (std::vector<std::size_t>{0, 1}));
   EXPECT_EQ(demands[2].priority, BidPriority::starved);
 }
@@ -521,7 +522,7 @@
       {with(quote, "valid_ms", nan), 0, 1},
       {with(quote, "deliver_s", -1), 0, 1},
       {with(quote, "quote", "two words"), 0, 1},
-      {with(quote, "rig", "unheard-of"), 0, 0},  // not ours to buy, but no nonsense
+      {with(quote, "rig", "unheard-of"), 0, 0},  // a type that is not bought here, yet not malformed
       {with(quote, "count", 0), 0, 0},
   };
   for (const QuoteCase& quote_case : cases) {
@@ -556,13 +557,13 @@
       {&bid_call, 200, "", AnswerKind::malformed},
       {&bid_call, 200, std::string(wire::max_market_body_size + 1, '\0'), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "bid", "n0-1-b2")),
-       AnswerKind::malformed},  // an answer to another question
+       AnswerKind::malformed},  // an answer to a different request
       {&bid_call, 200, encoded(with(won_bid, "phase", "perhaps")), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "charged", nan)), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "charged", -1.0)), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "rate", -1.0)), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "expects", -1)), AnswerKind::malformed},
-      {&bid_call, 200, encoded(with(won_bid, "phase", "raised")), AnswerKind::malformed},  // to what?
+      {&bid_call, 200, encoded(with(won_bid, "phase", "raised")), AnswerKind::malformed},  // without a price
       {&bid_call, 200, encoded(with(won_bid, "hosts", "all")), AnswerKind::malformed},
       {&bid_call, 404, "", AnswerKind::not_found},
       {&bid_call, 409, "", AnswerKind::rejected},
@@ -609,7 +610,7 @@
     EXPECT_EQ(state::encode_value(*back, model), value) << key;
     EXPECT_EQ(state::encode_key(back->key, model), key);
   }
-  // Money that cannot be read must not pass for none.
+  // Money that cannot be decoded must not be taken for none.
   for (const char* malformed :
        {R"({"market":"north"})", R"({"market":"north","type":"std","zone":"a","limit":-4,"term":9,"n":{}})",
         R"({"market":"north","type":"std","zone":"a","limit":4,"term":9,"n":{"red":"two"}})"}) {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks may go, and gangs: all or none, and what their members say together.
+// Where tasks may be placed, and gangs: all members or none, and what their reports mean together.
 #include <gtest/gtest.h>
 
 #include "oxbowmill/cluster/token_bucket.h"
@@ -154,7 +154,7 @@
 
 TEST(Placement, CountsTasksThatFit) {
   EXPECT_EQ(how_many_fit({6, 1, 36}, {32, 4, 192}), 4);
-  EXPECT_EQ(how_many_fit({0.1, 0, 0}, {0.3, 0, 0}), 3);  // sums of decimals
+  EXPECT_EQ(how_many_fit({0.1, 0, 0}, {0.3, 0, 0}), 3);  // sums of decimal fractions are not exact
   EXPECT_EQ(how_many_fit({1, 0, 0}, {0, 4, 4}), 0);
 }
 
@@ -177,7 +177,7 @@
   ASSERT_TRUE(cluster.worker("m1").has(first));
   ASSERT_TRUE(cluster.worker("m2").has(second));
   EXPECT_EQ(cluster.worker("m1").attempt(first), cluster.worker("m2").attempt(second));
-  // One says done while the other's machine is silent: they complete together.
+  // One member reports done while the other's machine is silent: they complete together.
   cluster.silenced_workers.insert("m2");
   cluster.worker("m1").finish(first, EndCause::done);
   cluster.run(2);
@@ -185,8 +185,8 @@
 }
 
 TEST(GangScheduling, TimedOutMemberIsReplacedUnderTheSameAttempt) {
-  // One member has its image and waits, the other fetches for longer than a gang waits. Stopping both would
-  // give the fetch up, and the next attempt would end the same way.
+  // One member has its image and waits, the other fetches for longer than the gang's wait timeout. Stopping
+  // both would abort the fetch, and the next attempt would end the same way.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -211,11 +211,11 @@
 }
 
 TEST(GangScheduling, MembersPrefetchImagesWhileRemainingMachinesArrive) {
-  // Waiting for all machines at once, a gang lost each one to smaller jobs as it came up.
+  // When gangs waited for all machines at once, each machine went to smaller jobs as it came up.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
-  cluster.silenced_workers.insert("m2");  // boots
+  cluster.silenced_workers.insert("m2");  // still booting
   cluster.submit(gang_job("run-1", 2));
   cluster.run(1);
   std::string first = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
@@ -250,7 +250,7 @@
 }
 
 TEST(GangScheduling, CapacityFreedForAGangIsNotTakenByLowerPriority) {
-  // Arrays once took each machine that a gang had emptied before the next was empty too.
+  // Arrays once took each machine that had been emptied for a gang before the next was empty too.
   SimulatedCluster cluster;
   for (const char* m : {"m1", "m2", "m3"}) cluster.add_machine(m, "a", "blue");
   JobSpec low = test_job("run-1", 40);
@@ -273,7 +273,8 @@
 }
 
 TEST(GangScheduling, PreemptsLowerPriorityOnCachedImageMachineWhenFetchIsLong) {
-  // The owner once took its free machine at once and fetched for longer than the other's work needs to save.
+  // The partition's owner once used its free machine at once and fetched for longer than the preempted work
+  // needs to save.
   SimulatedCluster cluster;
   cluster.controller(0).cluster_state.catalog[0].fetch_gb_per_s = 0.5;
   cluster.controller(0).cluster_state.catalog[0].cache_gb = 100;
@@ -297,7 +298,8 @@
 }
 
 TEST(GangScheduling, MachineOfATimedOutMemberIsReservedForIt) {
-  // Its image is there. Between its end and the record of that another gang took the machine.
+  // Its image is cached there. Between the member's end and the record of that end another gang once took the
+  // machine.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -314,7 +316,7 @@
   cluster.now += 0.5;
   cluster.exchange_report("m1", 0);
   cluster.controller(0).write_outcome =
-      simulation::WriteOutcome::answer_lost;  // the end is written, and its answer is waited for
+      simulation::WriteOutcome::answer_lost;  // the end is written, and its response is awaited
   cluster.controller(0).run_cycle(cluster.now);
   EXPECT_TRUE(cluster.machines_of_task("run-0", 0).empty());
 }
@@ -332,7 +334,7 @@
   cluster.worker("m1").finish(task_on_m1, EndCause::peers_lost);
   cluster.add_machine("m3");
   cluster.run(6);
-  // The member on m2 may still be there: nothing is started until its lease is over.
+  // The member on m2 may still be running: nothing is started until its agent's lease is over.
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
   EXPECT_EQ(cluster.run_log.starts["run-1/1"], 1);
   cluster.run(12);
@@ -437,10 +439,10 @@
   cluster.run(4);
   EXPECT_EQ(cluster.store.keys().at("o/m/m1").value.at("part"), "red");
   EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
-  // Nothing has come free of late, so there is nothing to wait for.
-  ASSERT_EQ(cluster.controller(0).scale_outs.size(), 1U);  // for the other four; asked once
+  // No machine has come free recently, so there is nothing to wait for.
+  ASSERT_EQ(cluster.controller(0).scale_outs.size(), 1U);  // for the other four; requested once
   EXPECT_EQ(cluster.controller(0).scale_outs[0].count, 1U);
-  // In doubt, the same name is asked again; a definite answer ends it.
+  // An indeterminate request is repeated under the same name; a definite answer ends it.
   std::string name = cluster.controller(0).scale_outs[0].request_id;
   cluster.controller(0).autoscaler.on_scale_out_result(name, false, {}, cluster.now);
   cluster.run(5);
@@ -453,7 +455,7 @@
 }
 
 TEST(Autoscaler, LongRunningMachineIsNotMistakenForOneThatNeverBooted) {
-  // The pool's owner has had no report of it yet; it was once returned at once for that.
+  // The pool's owner has received no report of it yet; for that it was once returned at once.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 1));
@@ -462,14 +464,14 @@
   cluster.run(op.boot_timeout_factor * 20 + 20);
   cluster.worker("m1").finish("run-1/0", EndCause::done);
   cluster.run(1.5);
-  cluster.silenced_workers.insert("m1");  // its first report to the pool's owner does not come for a while
+  cluster.silenced_workers.insert("m1");  // the pool's owner does not receive its first report for a while
   cluster.run(6.5);
   EXPECT_EQ(cluster.store.keys().at("o/m/m1").value.at("part"), ".pool");
   EXPECT_FALSE(cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());
 }
 
 TEST(Autoscaler, LargeScaleOutWritesOneRecordPerMachineAndJob) {
-  // The start of a day is what the state service's changes are scarcest for.
+  // The write limit of the state service is tightest at the start of a day.
   constexpr int size = 300;
   SimulatedCluster cluster;
   for (int i = 0; i < size; ++i)
@@ -503,7 +505,7 @@
   cluster.run(4);
   EXPECT_TRUE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{0}, cluster.now));
   EXPECT_FALSE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{1}, cluster.now));
-  JobSpec s = test_job("run-1", 40);  // more than zone b has
+  JobSpec s = test_job("run-1", 40);  // more than fit in zone b
   s.partition = PartitionIndex{2};
   cluster.submit(s);
   cluster.run(6);
@@ -513,7 +515,7 @@
   cluster.silenced_workers.clear();
   cluster.run(2);
   EXPECT_FALSE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{0}, cluster.now));
-  // A node that hears nobody has lost the network itself: no zone is to blame.
+  // A controller that receives no reports at all has lost the network itself: no zone counts as unreachable.
   for (int i = 0; i < 5; ++i) {
     cluster.silenced_workers.insert("a" + std::to_string(i));
     cluster.silenced_workers.insert("b" + std::to_string(i));
@@ -534,7 +536,7 @@
 }
 
 TEST(Autoscaler, NewMachineIsAssignedDirectlyToTheWaitingPartition) {
-  // Taken into the pool first, each machine cost two changes and the worker a further round of reports.
+  // Adopted into the pool first, each machine cost two changes and its agent a further round of reports.
   SimulatedCluster cluster;
   cluster.submit(test_job("run-1", 1));
   cluster.controller(0).sync(cluster.now);
@@ -558,7 +560,7 @@
   EXPECT_TRUE(bucket.take(2, 100.2));
   EXPECT_FALSE(bucket.take(1, 100.2));
   EXPECT_FALSE(bucket.take(6, 100.3));
-  EXPECT_TRUE(bucket.take(6, 101));  // larger than the burst: taken on credit once it is full
+  EXPECT_TRUE(bucket.take(6, 101));  // larger than the burst: granted on credit once the bucket is full
 }
 
 }  // namespace
--- a/tests/random_faults.h
+++ b/tests/random_faults.h
@@ -1,4 +1,4 @@
-// Troubles that the random histories of releases and models share.
+// Faults that the random histories of releases and models share.
 #pragma once
 
 #include "oxbowmill/simulation/simulated_cluster.h"
@@ -7,7 +7,7 @@
 
 enum class RandomFault { owner_crash, responses_lost, state_outage, delayed_duplicates };
 
-/// `world` has a cluster of three controllers, one of which owns; `pick(n)` draws from 0 to n - 1.
+/// `world` has a cluster of three controllers, one of which is the owner; `pick(n)` draws from 0 to n - 1.
 template <class World, class Pick>
 void inject_fault(World& world, RandomFault what, Pick&& pick) {
   simulation::SimulatedController& owner = world.cluster.controller(world.owner);
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -1,4 +1,4 @@
-// Starts that are squared and machines that are doubted (docs/reconciliation.md), with several machines and
+// Reconciliation after failovers and suspected machines (docs/reconciliation.md), with several machines and
 // the failures they are meant for.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -24,7 +24,7 @@
   return "m" + std::to_string(i);
 }
 
-/// Machines of zone a, a job on each of them, and node 1 in charge after node 0 has ended.
+/// Machines of zone a with tasks of one job, and controller 1 as owner after controller 0 has ended.
 struct ReconciliationFixture {
   explicit ReconciliationFixture(int machines, double gpus = 4, std::uint32_t tasks = 0) {
     for (int i = 0; i < machines; ++i) cluster.add_machine(machine_name(i));
@@ -34,7 +34,8 @@
     cluster.submit(job);
     cluster.run(4);
   }
-  /// `anew`: every controller has ended and begun again, so that no earlier owner can answer anybody.
+  /// `all_restarted`: every controller has ended and started again, so that no earlier owner can respond to
+  /// any agent.
   void fail_over(reconciliation::Settings s = {}, bool all_restarted = true) {
     cluster.kill_controller(0);
     cluster.now += 4;
@@ -110,13 +111,13 @@
   };
   for (const Case& test_case : cases) {
     ReconciliationFixture fixture(2);
-    fixture.cluster.submit(test_job("run-2", 1, 64));  // known, and placed nowhere
+    fixture.cluster.submit(test_job("run-2", 1, 64));  // known, and not placed
     fixture.fail_over();
     fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
     WorkerReport report = fixture.cluster.worker("m0").report(fixture.cluster.now);
     report.fencing_token = ~0ULL;
     ASSERT_EQ(report.tasks.size(), 1U);
-    // Both machines hold a task of run-1; which, is the owner's choice.
+    // Both machines have a task of run-1; which one is the owner's choice.
     TaskNumber here = report.tasks[0].task;
     test_case.change(fixture.cluster, report);
     for (TaskReport& t : report.tasks) {
@@ -187,7 +188,7 @@
   EXPECT_NEAR(statistics.losses(), 50, 1e-6);
   for (int i = 0; i < 60; ++i) statistics.record_return();
   EXPECT_GT(statistics.return_probability(), 0.6);
-  // The longer it has lasted the longer it lasts, and what is proved need not be guessed.
+  // The longer a silence has lasted, the longer it is expected to last; what is proved needs no estimate.
   reconciliation::SuspicionStatistics none;
   EXPECT_DOUBLE_EQ(reconciliation::report_probability(none, 0, 10), 0.75);
   EXPECT_DOUBLE_EQ(reconciliation::report_probability(none, 10, 10), 0.375);
@@ -238,7 +239,7 @@
 TEST(Reconciler, NoSuspicionWhileAnEarlierOwnerMayRespond) {
   ReconciliationFixture fixture(8);
   fixture.cluster.silenced_workers.insert(
-      "m3");  // as one that speaks to its earlier owner, who lacks only the state service
+      "m3");  // like one that reports to its earlier owner, which lacks only the state service
   fixture.fail_over({}, false);
   double grace = fixture.cluster.controller(1).cluster_state.settings.read_only_period_s(),
          arrival = fixture.cluster.controller(1).cluster_state.settings.first_report_timeout_s();
@@ -255,7 +256,7 @@
   fixture.cluster.run(9, 1);
   for (int i = 0; i < 8; ++i) EXPECT_NE(fixture.liveness(i), AgentLiveness::suspected) << i;
   EXPECT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::reconciling)
-      << "the wait for words is bounded";
+      << "the wait for reports is bounded";
 }
 
 TEST(Reconciler, NoSuspicionWhenAWholeZoneFallsSilent) {
@@ -266,7 +267,7 @@
   for (int i = 0; i < 4; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
   fixture.cluster.run(9, 1);
   for (int i = 0; i < 8; ++i) EXPECT_NE(fixture.liveness(i), AgentLiveness::suspected) << i;
-  // And when the zone speaks again, all have the same time to do so.
+  // When the zone reports again, all its machines have the same time to do so.
   for (int i = 0; i < 3; ++i) fixture.cluster.silenced_workers.erase(machine_name(i));
   fixture.cluster.run(1, 1);
   EXPECT_NE(fixture.liveness(3), AgentLiveness::suspected);
@@ -278,13 +279,13 @@
   fixture.cluster.run(3, 1);
   ASSERT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::serving);
   fixture.cluster.silenced_workers.insert("m3");
-  // Eight seconds in which it neither passes nor hears, though its hold is renewed.
+  // For eight seconds it runs no cycle and receives no reports, though its controller lease is renewed.
   for (int i = 0; i < 16; ++i) {
     fixture.cluster.now += 0.5;
     fixture.cluster.controller(1).renew(fixture.cluster.now);
     fixture.cluster.controller(1).sync(fixture.cluster.now);
   }
-  // What the others have said meanwhile is read before its first pass.
+  // Reports that arrived meanwhile are handled before its first cycle.
   for (int i = 0; i < 8; ++i) {
     if (i != 3) fixture.cluster.exchange_report(machine_name(i), 1);
   }
@@ -309,9 +310,9 @@
   ASSERT_TRUE(fixture.reconciler().suspected(fixture.machine(empty)));
   fixture.cluster.controller(1).scale_outs.clear();
   fixture.cluster.submit(test_job("run-2", 1, 4));
-  fixture.cluster.run(6.5, 1);  // a job waits so long before machines are rented for it
+  fixture.cluster.run(6.5, 1);  // a job waits this long before machines are rented for it
   EXPECT_FALSE(fixture.cluster.controller(1).scale_outs.empty())
-      << "the room of a machine that may be gone holds nobody off";
+      << "the capacity of a machine that may be gone delays no scale out";
 }
 
 TEST(Reconciler, LostGangMemberIsDeletedAndGangContinues) {
@@ -344,7 +345,7 @@
   cluster.run(2, 1);
   ASSERT_FALSE(cluster.controller(1).machines_to_delete.empty());
   EXPECT_EQ(cluster.controller(1).machines_to_delete.back(), machine_index);
-  // Until the cloud confirms it the task is nowhere else.
+  // Until the cloud confirms the deletion the task is placed nowhere else.
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{lost});
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
   cluster.controller(1).autoscaler.on_deleted({machine_index}, true);
@@ -359,7 +360,7 @@
   struct Case {
     const char* description;
     bool delete_suspects, market;
-    int losses;  // seen before
+    int losses;  // observed before
     bool deleted;
   };
   for (const Case& test_case : {Case{"nothing is known of silences", true, false, 0, false},
@@ -407,7 +408,7 @@
   EXPECT_EQ(marked(), 0);
   EXPECT_EQ(cluster.controller(1).reconciler->counts(idle_pool).delayed_returns.size(), 30U);
   cluster.run(6, 1);
-  // 20 changes a second here: two returns a second, and a burst of as many.
+  // The limit here is 20 changes a second: two returns a second, and as many in a burst.
   EXPECT_GT(marked(), 4);
   EXPECT_LE(marked(), 12);
 }
@@ -424,13 +425,13 @@
   EXPECT_EQ(start.counts(idle_pool).delayed_scale_outs.size(), 1U);
   fixture.cluster.run(7, 1);
   EXPECT_TRUE(start.may_scale_out(red_partition, JobIndex{0}, false, fixture.cluster.now))
-      << "all but a suspect have spoken";
+      << "all machines but a suspected one have reported";
 }
 
 TEST(Reconciler, StandbyLeaderDoesNotDelayScaleOut) {
   ReconciliationFixture fixture(8);
   fixture.cluster.controller(1).enable_reconciliation({});
-  // A minute as one that owns nothing, then the first node ends.
+  // A minute as a controller that owns nothing, then controller 0 ends.
   for (int i = 0; i < 120; ++i) {
     fixture.cluster.now += 0.5;
     fixture.cluster.controller(0).renew(fixture.cluster.now);
@@ -454,7 +455,7 @@
         .record_loss();
   fixture.cluster.run(7, 1);
   ASSERT_EQ(fixture.reconciler().suspects(100).size(), 10U);
-  // 20 changes a second here: two deletions a second, and a burst of as many.
+  // The limit here is 20 changes a second: two deletions a second, and as many in a burst.
   EXPECT_LE(fixture.reconciler().counts(red_partition).marked_for_deletion, 3U);
   fixture.cluster.run(2, 1);
   EXPECT_GE(fixture.reconciler().counts(red_partition).marked_for_deletion, 4U);
@@ -468,7 +469,7 @@
   fixture.cluster.controller(1).enable_reconciliation({});
   fixture.cluster.controller(1).acquire_partition(idle_pool, fixture.cluster.now);
   fixture.cluster.controller(0).acquire_partition(
-      red_partition, fixture.cluster.now);  // still the first node's: it opens a new hold
+      red_partition, fixture.cluster.now);  // still controller 0's: it gets a new controller lease
   fixture.cluster.controller(0).lease.on_lost();
   fixture.cluster.controller(0).acquire_partition(red_partition, fixture.cluster.now);
   fixture.cluster.controller(1).sync(fixture.cluster.now);
@@ -484,14 +485,14 @@
   start.on_peer_status({red_partition, ownership_revision - 1, PartitionPhase::awaiting_reports, 4, 0},
                        fixture.cluster.now);
   EXPECT_TRUE(start.may_scale_out(red_partition, {}, false, fixture.cluster.now))
-      << "an earlier start's word";
+      << "status under an earlier ownership";
   start.on_peer_status({PartitionIndex{}, ownership_revision, PartitionPhase::awaiting_reports, 4, 0},
                        fixture.cluster.now);
   start.on_peer_status({red_partition, ownership_revision, PartitionPhase::awaiting_reports, 4, 0},
                        fixture.cluster.now);
   EXPECT_FALSE(start.may_scale_out(red_partition, {}, false, fixture.cluster.now));
   EXPECT_TRUE(start.may_scale_out(red_partition, {}, false, fixture.cluster.now + arrival + 0.1))
-      << "an owner that says nothing more";
+      << "the owner's last status has expired";
   start.on_peer_suspect(fixture.machine("m0"), fixture.cluster.now);
   start.on_peer_suspect(MachineIndex{}, fixture.cluster.now);
   EXPECT_TRUE(start.suspected(fixture.machine("m0")));
@@ -511,7 +512,7 @@
       start.replacement_started(r.suspected_machine);
       ++asked;
     }
-    // Longer than a word of others counts, and then it comes again.
+    // Longer than a peer's hint is valid; then the hint comes again.
     for (int i = 0; i < 8; ++i) start.run_cycle(fixture.cluster.now += 0.5);
   }
   EXPECT_EQ(asked, 3U) << "0.15 of 20";
@@ -526,7 +527,7 @@
   reconciliation::Settings settings;
   cluster.controller(1).enable_reconciliation(settings);
   cluster.controller(1).acquire_all_partitions(cluster.now);
-  // It was up, nothing is on it, and it stays silent: no lease speaks for it.
+  // It has booted, nothing is placed on it, and it stays silent: no lease proves it empty.
   cluster.controller(1)
       .cluster_state.edit_machine(cluster.controller(1).cluster_state.names.machines.find("m0"))
       .has_booted = true;
@@ -557,15 +558,15 @@
   EXPECT_TRUE(fixture.reconciler().replacements(fixture.cluster.now).empty());
 }
 
-/// The hard cases of a start, each on a small fleet: no rule is broken, everything is squared, no class and
-/// no team served below half of its undisturbed twin.
+/// The hard cases of a failover, each on a small fleet: no rule is broken, everything is reconciled, no class
+/// and no team is served below half of its undisturbed twin.
 class ReconciliationScenarioTest : public testing::TestWithParam<std::string> {};
 
 TEST_P(ReconciliationScenarioTest, KeepsInvariantsAndReconciles) {
   std::string dir = std::string(DEPLOY_DIR) + "/lab/";
   auto s =
       simulation::load_cluster_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
-  for (simulation::Fault& f : s.faults) f.count = f.count / 10;  // a tenth of the fleet they were written for
+  for (simulation::Fault& f : s.faults) f.count = f.count / 10;  // scaled to a tenth of the fleet
   auto rows = simulation::play(s, 2, 1);
   for (const simulation::ClusterSummary& x : simulation::summarise(s, rows)) {
     EXPECT_EQ(x.violations, 0) << name_of(x.variant) << ": " << x.first_violation;
@@ -593,8 +594,8 @@
                            return n;
                          });
 
-/// The users' acceptance by job, which the bench does not report: half of each class, of each team and of
-/// each class's largest jobs is served, and whatever can run begins within 240 s.
+/// The users' acceptance criteria per job, which the benchmark does not report: half of each class, of each
+/// team and of each class's largest jobs is served, and every job that can run starts within 240 s.
 class ReconciliationAcceptanceTest : public testing::TestWithParam<std::string> {};
 
 TEST_P(ReconciliationAcceptanceTest, HalfOfEachGroupIsServedAndAllStartInTime) {
@@ -624,14 +625,14 @@
                            return n;
                          });
 
-/// Whatever machines do, one that has spoken of late is not suspected, and nothing is proved by doubt alone.
+/// Whatever machines do, one that has reported recently is not suspected, and suspicion alone proves nothing.
 RC_GTEST_PROP(ReconcilerProperties, SuspicionRequiresSilenceAndProvesNothing, ()) {
   ReconciliationFixture fixture(8);
   fixture.fail_over();
   std::map<std::string, double> spoke;
   auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 30));
   for (int step : steps) {
-    // 0 to 7: that machine falls silent; 8 to 15: it speaks again; else time passes.
+    // 0 to 7: that machine falls silent; 8 to 15: it reports again; otherwise time passes.
     if (step < 8) fixture.cluster.silenced_workers.insert(machine_name(step));
     if (step >= 8 && step < 16) fixture.cluster.silenced_workers.erase(machine_name(step - 8));
     fixture.cluster.run(1, 1);
--- a/tests/release_calendar_test.cpp
+++ b/tests/release_calendar_test.cpp
@@ -1,5 +1,5 @@
-// Paired editions (docs/release-calendar.md): publishing waits for all twins of a revision, through failing
-// controllers.
+// Paired editions (docs/release-calendar.md): publishing waits for all twins of a revision, also when
+// controllers fail.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -26,7 +26,7 @@
   return terms;
 }
 
-/// Controllers that keep to a calendar; editions' jobs of both teams.
+/// Controllers that follow a calendar; jobs of both teams' editions.
 struct ReleaseFixture {
   explicit ReleaseFixture(const ReleaseCalendar& calendar = {1, {manual_terms()}}, int nodes = 3)
       : cluster(nodes) {
@@ -51,7 +51,7 @@
       check_invariants();
     }
   }
-  /// The owner ends; another takes all of it up.
+  /// The owner ends; another controller acquires all its partitions.
   void change_owner() {
     cluster.fail_over(owner, (owner + 1) % 3, 4);
     owner = (owner + 1) % 3;
@@ -70,7 +70,7 @@
     auto it = cluster.store.keys().find("o/d/release/" + name);
     return it == cluster.store.keys().end() ? "" : it->second.value.at("s").get<std::string>();
   }
-  /// From outside: a publishing task that has started has all its twins done, by the state service.
+  /// Checked from outside: a publishing task that has started has all its twins done, by the state service.
   void check_invariants() {
     for (const auto& [publish, renders] : prerequisites) {
       if (!started(publish)) continue;
@@ -140,7 +140,7 @@
          fixture.prerequisites = {{"run-pub-ar", {"run-ar", "run-fr2"}},
                                   {"run-pub-fr", {"run-ar", "run-fr2"}}};
          fixture.cluster.controller(1).release_planner->load(
-             {2, {t}});  // another controller's file is the newer one
+             {2, {t}});  // another controller's file has the newer version
          fixture.cluster.controller(1).lease.on_granted(
              fixture.cluster.store.grant_lease(1e6, fixture.cluster.now), fixture.cluster.now);
          fixture.cluster.controller(1).sync(fixture.cluster.now);
@@ -246,14 +246,15 @@
     EXPECT_EQ(fixture.state(), test_case.state) << test_case.description;
     EXPECT_EQ(fixture.started("run-pub-ar") && fixture.started("run-pub-fr"), test_case.published)
         << test_case.description;
-    // Whatever became of the release: no job of it is unknown, or called done or cancelled by us.
+    // Whatever became of the release: no job of it is unknown, or was marked done or cancelled by the
+    // scheduler.
     for (const char* j : {"run-pub-ar", "run-pub-fr"})
       EXPECT_NE(fixture.cluster.phase(j), "none") << test_case.description;
   }
 }
 
 TEST(Release, JobsMatchedByClassAndImageAreRecordedBeforeTheyRun) {
-  // One that had finished before the new leader came could not be found again by its class.
+  // A job that had finished before the new leader took over could not be found again by its class.
   ReleaseSpec terms;
   terms.name = "manual";
   terms.revision = "r1";
@@ -272,19 +273,19 @@
   submit("run-2", "render", "img-fr");
   submit("run-3", "publish", "img-ar");
   submit("run-4", "publish", "img-fr");
-  submit("run-5", "publish", "img-de");  // nobody's
+  submit("run-5", "publish", "img-de");  // matches no edition
   fixture.run(4);
   EXPECT_TRUE(fixture.started("run-1") && fixture.started("run-2") && fixture.started("run-5"));
   for (const char* r : {"run-1", "run-2"}) fixture.finish(r);
   fixture.run(3);
   fixture.change_owner();
   fixture.run(20);
-  EXPECT_EQ(fixture.state(), "rendering");  // the second Arabic one has not come yet
+  EXPECT_EQ(fixture.state(), "rendering");  // the second Arabic job has not been submitted yet
   submit("run-6", "render", "img-ar");
   simulation::SimulatedController& controller = fixture.cluster.controller(fixture.owner);
   controller.sync(fixture.cluster.now);
   EXPECT_EQ(controller.cluster_state.placement_limits(controller.cluster_state.find_job("run-6")).max_tasks,
-            0U);  // not written down yet
+            0U);  // not recorded yet
   fixture.run(5);
   EXPECT_EQ(controller.cluster_state.placement_limits(controller.cluster_state.find_job("run-6")).max_tasks,
             PlacementLimits::unlimited);
@@ -295,7 +296,7 @@
 }
 
 TEST(Release, ChangedRecordBlocksPublishingUntilItIsRead) {
-  // Between the watch's news and the next pass nobody knows what the record now says of a job.
+  // Between the watch event and the next cycle it is unknown what the record now says of a job.
   ReleaseFixture fixture;
   for (const char* j : {"run-ar", "run-fr"}) fixture.submit(j);
   fixture.run(3);
@@ -327,7 +328,7 @@
   fixture.finish("run-ar");
   fixture.finish("run-fr");
   while (fixture.cluster.now < 1100.5) fixture.run(0.5);
-  EXPECT_FALSE(fixture.started("run-pub-ar"));  // within the clock's error
+  EXPECT_FALSE(fixture.started("run-pub-ar"));  // within the clock's error bound
   fixture.run(4);
   EXPECT_TRUE(fixture.started("run-pub-ar") && fixture.started("run-pub-fr"));
 }
@@ -406,8 +407,8 @@
     EXPECT_FALSE(release_calendar::from_text(bad).has_value()) << bad;
 }
 
-/// Random histories: jobs come in any order, owners end at any moment, answers and transactions are lost, the
-/// state service goes out, late copies arrive. `OXBOW_HISTORIES` says how many.
+/// Random histories: jobs come in any order, owners end at any moment, responses and transactions are lost,
+/// the state service fails, late copies arrive. `OXBOW_HISTORIES` sets how many.
 TEST(Release, RandomFaultHistories) {
   const char* wanted = std::getenv("OXBOW_HISTORIES");
   int histories = wanted == nullptr ? 150 : std::atoi(wanted);
@@ -451,7 +452,7 @@
       }
       fixture.run(0.5 * (1 + pick(3)));
     }
-    // All troubles are over: what can be published is.
+    // All faults are over: whatever can be published is.
     for (const std::string& j : to_come) fixture.submit(j);
     cancelled = cancelled && fixture.cluster.phase("run-fr") == "cancelled";
     for (int i = 0; i < 40 && !(fixture.started("run-pub-ar") && fixture.started("run-pub-fr")); ++i) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// The scale run: a cell of real controllers on loopback beside hollow workers, and what it does with bad
-// input.
+// The scale run: a cell of real controllers on loopback with hollow workers (agents whose tasks are timers),
+// and how it handles bad input.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -17,7 +17,7 @@
   return job_spec;
 }
 
-/// A replica is on exactly this machine, by the records and by the worker itself.
+/// A replica is on exactly this machine, by the records and by the agent itself.
 void expect_running_on(SimulatedCluster& cluster, const std::string& machine, const std::string& ref,
                        TaskNumber task) {
   EXPECT_EQ(cluster.machines_of_task(ref, task), std::vector<std::string>{machine});
@@ -29,9 +29,9 @@
     const char* description;
     std::function<void(SimulatedCluster&)> inject_fault;
     std::string phase;
-    std::size_t final_owner;    // who owns the part afterwards
+    std::size_t final_owner;    // the partition's owner afterwards
     std::string final_machine;  // where replica 0 is in the end; empty: nowhere
-    int start_count;            // of replica 0, all in all
+    int start_count;            // of replica 0, in total
   };
   const Case cases[] = {
       {"start", [](SimulatedCluster&) {}, "open", 0, "m1", 1},
@@ -41,7 +41,7 @@
          cluster.run(2);
          cluster.silenced_workers.insert("m1");
          cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {{{"delete", "o/m/m1"}}}}});
-         cluster.worker("m1").tick(cluster.now + 100);  // it is gone
+         cluster.worker("m1").tick(cluster.now + 100);  // the machine is gone
          cluster.run(3);
        },
        "open", 0, "m2", 2},
@@ -118,7 +118,7 @@
 }
 
 TEST(Services, CancellationRacesWithStart) {
-  // The withdrawal becomes durable after the placement and before its start was sent.
+  // The cancellation becomes durable after the placement and before its start is sent.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(1);
@@ -143,7 +143,7 @@
 }
 
 TEST(MachineSharing, ShortAndLongRunningTasksAreSeparated) {
-  // One lasting replica on a machine keeps it from every gang and from being returned.
+  // A single long-running replica keeps its machine from every gang and from being returned.
   MachineType type = simulation::test_catalog()[0];
   ClusterState model(simulation::test_settings("node-0"), simulation::test_names());
   model.catalog = {type};
@@ -188,7 +188,7 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
-  JobSpec gang_spec = test_job("run-1", 2, 4);  // it needs two; one is there
+  JobSpec gang_spec = test_job("run-1", 2, 4);  // needs two machines; one is there
   gang_spec.shape = JobShape::gang;
   gang_spec.partition = PartitionIndex{2};
   JobSpec task = test_job("run-2", 1);
@@ -203,7 +203,7 @@
   bool cheap = false;
   for (const ScaleOutRequest& r : cluster.controller(0).scale_outs) cheap = cheap || r.spot;
   EXPECT_TRUE(cheap);
-  // The cloud has none: rather a whole machine than none at all.
+  // The cloud has no capacity: using a whole machine is better than not starting at all.
   for (const ScaleOutRequest& r : std::vector<ScaleOutRequest>(cluster.controller(0).scale_outs)) {
     cluster.controller(0).autoscaler.on_scale_out_result(r.request_id, true, {}, cluster.now);
   }
@@ -223,22 +223,22 @@
   g.shape = JobShape::gang;
   g.partition = PartitionIndex{2};
   cluster.submit(g);
-  EXPECT_TRUE(cluster.controller(0).scale_outs.empty());  // what is being placed needs no machines
+  EXPECT_TRUE(cluster.controller(0).scale_outs.empty());  // tasks being placed need no machines
   cluster.run(cluster.controller(0).cluster_state.settings.operator_settings.scale_out_delay_s + 3);
   std::size_t for_gang = 0, ahead = 0;
   for (const ScaleOutRequest& r : cluster.controller(0).scale_outs) {
     for (PartitionIndex p : r.partitions) ++(p == idle_pool ? ahead : for_gang);
   }
   EXPECT_EQ(for_gang, 6U);
-  // Six in 30 s, 20 s a boot: four; a tenth of the forty at the most: four.
+  // Six in 30 s and 20 s to boot: four; at most a tenth of the forty: four.
   EXPECT_EQ(ahead, 4U);
 }
 
 TEST(CompletionRecords, BusyOwnerBatchesCompletionsAndFreesTheirCapacity) {
-  // A mark for each end of a task once took most of the state service's changes.
+  // A done mark for each ended task once took most of the state service's changes.
   SimulatedCluster cluster;
   Settings& s = cluster.controller(0).cluster_state.settings;
-  s.state_write_rps = 0;  // always busy
+  s.state_write_rps = 0;  // the owner always counts as busy
   s.operator_settings.done_mark_delay_s = 20;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 4));
@@ -248,13 +248,13 @@
   cluster.run(2);
   auto mark = [&] { return cluster.store.keys().at("o/c/run-1/0").value.at("d").get<std::string>(); };
   EXPECT_EQ(mark(), "0");
-  cluster.submit(test_job("run-2", 2));  // the machine holds four
+  cluster.submit(test_job("run-2", 2));  // the machine fits four tasks
   cluster.run(3);
   EXPECT_TRUE(cluster.worker("m1").has("run-2/0"));
   EXPECT_TRUE(cluster.worker("m1").has("run-2/1"));
   cluster.run(20);
   EXPECT_EQ(mark(), "3");  // both in one change
-  // The job's end waits for nothing.
+  // The end of the job is written without delay.
   cluster.worker("m1").finish("run-1/2", EndCause::done);
   cluster.run(2);
   EXPECT_EQ(mark(), "3");
@@ -282,7 +282,7 @@
 }
 
 TEST(CompletionRecords, PlacementOnADeletedMachineIsDroppedAtFailover) {
-  // All controllers end between the removal of the machine's record and that of its placements.
+  // All controllers end between the deletion of the machine's record and that of its placements.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 1));
@@ -298,8 +298,8 @@
 }
 
 TEST(CompletionRecords, MachineWithAPlacementInFlightIsNotMoved) {
-  // It was given back as idle while the transaction was on its way: the job's owner never heard of its task
-  // again, since the worker reported to the machine's new owner.
+  // It was once released as idle while the transaction was in flight: the job's owner received no more
+  // reports of its task, since the agent reported to the machine's new owner.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
--- a/tests/serving_test.cpp
+++ b/tests/serving_test.cpp
@@ -1,5 +1,5 @@
-// Models that scale to zero and come back (docs/model-serving.md): one cold start an epoch, through failing
-// controllers.
+// Models that scale to zero and back (docs/model-serving.md): one cold start per epoch, also when controllers
+// fail.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -99,8 +99,8 @@
   }
   std::string state() const { return record() == nullptr ? "" : record()->at("s").get<std::string>(); }
   std::uint64_t epoch() const { return record() == nullptr ? 0 : record()->value("e", std::uint64_t{0}); }
-  /// From outside: in a warming epoch at most one replica is placed, in cold none; and epochs only follow
-  /// cold.
+  /// Checked from outside: in a warming epoch at most one replica is placed, when cold none; and a new epoch
+  /// only follows cold.
   void check_invariants() {
     EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
     std::size_t placed = 0;
@@ -147,7 +147,7 @@
   }
   fixture.run(4);
   EXPECT_EQ(fixture.state(), "serving");
-  EXPECT_EQ(fixture.replicas(), 3U);  // five calls, two for each
+  EXPECT_EQ(fixture.replicas(), 3U);  // five calls, two per replica
   for (int i = 0; i < 5; ++i) EXPECT_TRUE(fixture.finish("run-call" + std::to_string(i) + "/0")) << i;
   fixture.run(9);
   EXPECT_EQ(fixture.state(), "serving");
@@ -241,7 +241,7 @@
          fixture.cluster.withdraw("run-model");
          fixture.run(10);
          EXPECT_EQ(fixture.replicas(), 0U);
-         EXPECT_EQ(fixture.cluster.run_log.starts["run-call/0"], 0);  // it waits, and is known
+         EXPECT_EQ(fixture.cluster.run_log.starts["run-call/0"], 0);  // it waits, and the job is known
          EXPECT_EQ(fixture.cluster.phase("run-call"), "open");
        },
        "warming", 1},
@@ -313,8 +313,8 @@
   EXPECT_GE(fixture.cluster.run_log.starts["run-other/0"], 1);
 }
 
-/// Random histories: calls come and go at all controllers' users, owners end, answers are lost, machines die,
-/// late copies arrive. `OXBOW_HISTORIES` says how many.
+/// Random histories: calls come and go through all controllers, owners end, responses are lost, machines are
+/// lost, late copies arrive. `OXBOW_HISTORIES` sets how many.
 TEST(ModelAutoscaler, RandomFaultHistories) {
   const char* wanted = std::getenv("OXBOW_HISTORIES");
   int histories = wanted == nullptr ? 120 : std::atoi(wanted);
@@ -357,7 +357,7 @@
       }
       fixture.run(0.5 * (1 + pick(12)));
     }
-    // All troubles are over: every call is served, and then it is cold again.
+    // All faults are over: every call is served, and then the model is cold again.
     for (int i = 0; i < 60; ++i) {
       fixture.run(2);
       for (int k = 0; k < calls; ++k) fixture.finish("run-call" + std::to_string(k) + "/0");
--- a/tests/start_deadline_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -1,4 +1,4 @@
-// The promise that every job begins (docs/start-deadlines.md).
+// The guarantee that every job starts (docs/start-deadlines.md).
 #include <gtest/gtest.h>
 
 #include "oxbowmill/scheduling/pending_reason.h"
@@ -40,7 +40,8 @@
   }
 }
 
-/// Jobs that wait without any machine, as the owner of the part orders them at `at`.
+/// Jobs waiting without any usable machine, in the order in which the partition's owner would place them at
+/// `at_s`.
 std::vector<std::string> start_order(SimulatedCluster& cluster, double at_s, std::size_t machines = 4) {
   for (std::size_t i = 0; i < machines; ++i) {
     std::string name = "m" + std::to_string(i);
@@ -58,7 +59,7 @@
 TEST(StartDeadline, PendingReasonIsReported) {
   struct Case {
     PendingReason reason;
-    std::uint32_t tasks;  // that have not begun
+    std::uint32_t tasks;  // that have not started
     JobSpec job;
     std::function<void(SimulatedCluster&)> setup;
   };
@@ -129,7 +130,8 @@
 }
 
 TEST(StartDeadline, AbandonedOrOutrankedJobsDoNotStarve) {
-  // On a day of the fleet the largest arrays, given up for the sake of the most deadlines, began after 377 s.
+  // On a day of the fleet the largest arrays, given up so that the most deadlines are met, started after 377
+  // s.
   SimulatedCluster cluster;
   JobSpec large = test_job("run-large", 4);
   large.deadline_s = 10;
@@ -138,7 +140,7 @@
   cluster.now += 100;
   JobSpec small = test_job("run-small", 1), high = test_job("run-high", 4, 4);
   small.deadline_s = 400;
-  small.estimate_s = 60;  // both are given up while no room comes, and the longest goes first
+  small.estimate_s = 60;  // both are given up while no capacity comes free, and the longest goes first
   high.priority = Priority::high;
   high.shape = JobShape::gang;
   cluster.submit(small);
@@ -151,10 +153,10 @@
 }
 
 TEST(StartDeadline, UrgentJobsOvertakeOtherPrioritiesOnlyWithinTheirShare) {
-  // Where there is never room enough, the ranks must still mean something: all would be late in the end.
+  // Where there is never enough capacity, priorities must still count: in the end all jobs would be late.
   SimulatedCluster cluster;
   for (int i = 0; i < 6; ++i) {
-    cluster.submit(test_job("run-low" + std::to_string(i), 4));  // a machine each
+    cluster.submit(test_job("run-low" + std::to_string(i), 4));  // one machine each
     cluster.now += 0.1;
   }
   double began = cluster.now;
@@ -164,12 +166,12 @@
   cluster.submit(high);
   auto order = start_order(cluster, began + 230, 8);
   auto at = std::find(order.begin(), order.end(), "run-high");
-  EXPECT_EQ(at - order.begin(), 2);  // a quarter of eight machines goes first
+  EXPECT_EQ(at - order.begin(), 2);  // a quarter of the eight machines goes to urgent jobs first
 }
 
 TEST(StartDeadline, PreemptedTaskIsNotTreatedAsNeverStarted) {
-  // A task that ran for 30 s and was stopped for others is repeated in its turn; else every stop would put an
-  // old job before all ranks.
+  // A task that ran for 30 s and was preempted is repeated in its normal turn; otherwise every preemption
+  // would put an old job ahead of all priorities.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 1));
@@ -190,7 +192,7 @@
 }
 
 TEST(StartDeadline, UrgentTasksAreNotPreemptedBeforeTheyStart) {
-  // 573 of 18,886 starts of a day were stopped again within 30 s, some tasks three times over.
+  // 573 of 18,886 starts of a day were preempted again within 30 s, some tasks three times.
   struct Case {
     const char* description;
     double waited_s, ran_s;
--- a/tests/state_service_client_test.cpp
+++ b/tests/state_service_client_test.cpp
@@ -1,4 +1,4 @@
-// The client of the state service when that service does not answer.
+// The client of the state service when that service does not respond.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -9,7 +9,7 @@
 namespace oxbowmill {
 namespace {
 
-/// Takes connections and says nothing.
+/// Accepts connections and never responds.
 class SilentServer {
  public:
   SilentServer() : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -32,7 +32,7 @@
 };
 
 TEST(StateServiceClient, RequestsDoNotQueueBehindTimeoutsOfASilentService) {
-  // Requests once waited for each other's time-outs until their users gave up.
+  // Requests once queued behind each other's timeouts until their users gave up.
   SilentServer mute;
   auto base = net::make_event_base();
   double now = 100;
@@ -50,13 +50,13 @@
                [&placements](const state::StoreResponse&) { ++placements; });
   EXPECT_EQ(given_up, 0);
   EXPECT_EQ(store.unresponsive_for(), 0);
-  std::size_t out = calls + 1 - store.backlog();  // on their way; they have their own time-out
+  std::size_t out = calls + 1 - store.backlog();  // in flight; they have their own timeout
   ASSERT_LT(out, static_cast<std::size_t>(calls));
   now += 1;
   EXPECT_GE(store.unresponsive_for(), 0.9);
   store.get("o/j/run-60", Urgency::user, [](const state::StoreResponse&) {});
   EXPECT_EQ(given_up, calls - static_cast<int>(out));
-  EXPECT_EQ(placements, 0);  // only users are told to come back
+  EXPECT_EQ(placements, 0);  // only users' requests are refused for a later retry
 }
 
 TEST(StateServiceClient, ReadsDoNotWaitBehindSubmissionWrites) {
@@ -69,13 +69,14 @@
                                  {"apply", {{{"put", "o/j/run-1"}, {"value", 1}}}}};
   for (int i = 0; i < 25; ++i) store.commit(submission, Urgency::user, [](const state::StoreResponse&) {});
   std::size_t waiting = store.backlog();
-  ASSERT_GT(waiting, 5U) << "changes are scarce";
+  ASSERT_GT(waiting, 5U) << "the write limit holds changes back";
   store.get("f/run-2", Urgency::user, [](const state::StoreResponse&) {});
-  EXPECT_EQ(store.backlog(), waiting) << "it has gone out";
-  // Nor does what is more urgent make room for it.
+  EXPECT_EQ(store.backlog(), waiting) << "the read was sent at once";
+  // A more urgent write, however, does not make way for a read.
   store.commit(submission, Urgency::ownership, [](const state::StoreResponse&) {});
   store.get("f/run-3", Urgency::user, [](const state::StoreResponse&) {});
-  EXPECT_EQ(store.backlog(), waiting + 2) << "a claim waits for changes, and what is less urgent behind it";
+  EXPECT_EQ(store.backlog(), waiting + 2)
+      << "the ownership write waits for the write limit, and less urgent requests wait behind it";
 }
 
 }  // namespace
