--- a/src/decisions/decision_log.cpp
+++ b/src/decisions/decision_log.cpp
@@ -6,15 +6,35 @@
 
 namespace oxbowmill::decisions {
 
-bool DecisionKind::allows(const std::string& from, const std::string& replacement) const {
-  return std::any_of(transitions.begin(), transitions.end(),
-                     [&](const Transition& s) { return s.from == from && s.to == replacement; });
+namespace {
+
+constexpr double min_burst_writes =
+    4;  // so that a slow state service still allows a round of changes at once
+
+bool is_allowed_change(const DecisionKind& kind, const Decision* current, const DecisionRecord& next) {
+  if (current == nullptr) return kind.allows("", next.state);
+  const DecisionRecord& record = current->record;
+  return kind.allows(record.state, next.state) && next.epoch >= record.epoch &&
+         next.version >= record.version;
 }
 
-DecisionLog::DecisionLog(ClusterState& model, Scheduler& scheduler, double share)
-    : state_(model),
+void log_change(const std::string& key, const std::string& from, const DecisionRecord& next) {
+  if (from != next.state) {
+    SPDLOG_INFO("decision changed decision={} from={} to={} epoch={} reason=\"{}\"", key,
+                from.empty() ? "none" : from, next.state, next.epoch, next.reason);
+  } else {
+    SPDLOG_DEBUG("decision updated decision={} state={} sequence={} reason=\"{}\"", key, from, next.sequence,
+                 next.reason);
+  }
+}
+
+}  // namespace
+
+DecisionLog::DecisionLog(ClusterState& state, Scheduler& scheduler, double write_fraction)
+    : state_(state),
       scheduler_(scheduler),
-      budget_(share * model.settings.state_write_rps, std::max(4.0, share * model.settings.state_write_rps)),
+      write_budget_(write_fraction * state.settings.state_write_rps,
+                    std::max(min_burst_writes, write_fraction * state.settings.state_write_rps)),
       pending_changes_(std::make_shared<std::set<std::string>>()) {}
 
 const Decision* DecisionLog::find(const DecisionKind& kind, const std::string& name) const {
@@ -24,60 +44,36 @@
 
 ChangeResult DecisionLog::change(const DecisionKind& kind, const std::string& name, DecisionRecord next,
                                  PartitionIndex partition, Clock clock, Effects& out, bool urgent,
-                                 std::vector<Guard> also) {
-  std::string key = kind.key(name);
-  // While the outcome of an earlier change is open nobody knows what the next would be made from. A second
-  // one beside it could be the late copy that is carried out.
+                                 std::vector<Guard> additional_guards) {
+  const std::string key = kind.key(name);
+  // Until the outcome of an earlier change is known, nobody knows the record that the next one would be based
+  // on; a second change could also be overtaken by a late copy of the first.
   if (has_pending_change(kind, name)) return ChangeResult::in_flight;
   if (partition.valid() && !scheduler_.owns(partition)) return ChangeResult::not_owner;
-  const Decision* now = find(kind, name);
-  std::string from = now == nullptr ? "" : now->record.state;
-  bool falls = now != nullptr && (next.epoch < now->record.epoch || next.version < now->record.version);
-  if (!kind.allows(from, next.state) || falls) {
-    SPDLOG_ERROR("decision {}: {} -> {} in epoch {} is no step of it", key, from, next.state, next.epoch);
+  const Decision* current = find(kind, name);
+  const std::string from = current == nullptr ? "" : current->record.state;
+  if (!is_allowed_change(kind, current, next)) {
+    SPDLOG_ERROR("decision change not allowed decision={} from={} to={} epoch={}", key,
+                 from.empty() ? "none" : from, next.state, next.epoch);
     return ChangeResult::invalid_transition;
   }
-  // The budget is taken from even by what is urgent, so that the rest gives way to it.
-  if (!budget_.take(1, clock.now) && !urgent) return ChangeResult::rate_limited;
-  next.sequence = now == nullptr ? 1 : now->record.sequence + 1;
-  if (from != next.state || (now != nullptr && next.epoch != now->record.epoch)) next.changed_at = clock.wall;
-  Transaction txn;
-  if (partition.valid()) txn.guards.push_back(scheduler_.ownership_guard(partition));
-  txn.guards.push_back({DecisionKey{key}, now == nullptr ? 0 : now->revision});
-  for (Guard& g : also) txn.guards.push_back(std::move(g));
-  if (from != next.state) {
-    SPDLOG_INFO("decision {}: {} -> {}, epoch {}{}{}", key, from.empty() ? "none" : from, next.state,
-                next.epoch, next.reason.empty() ? "" : ": ", next.reason);
-  } else {
-    SPDLOG_DEBUG("decision {}: {} goes on, change {}: {}", key, from, next.sequence, next.reason);
-  }
-  txn.changes = {{DecisionKey{key}, std::move(next)}};
+  // Urgent changes use the budget too, so that the others are delayed in their favour.
+  if (!write_budget_.take(1, clock.now) && !urgent) return ChangeResult::rate_limited;
+  next.sequence = current == nullptr ? 1 : current->record.sequence + 1;
+  const bool begins_epoch = current != nullptr && next.epoch != current->record.epoch;
+  if (from != next.state || begins_epoch) next.changed_at = clock.wall;
+  Transaction transaction;
+  if (partition.valid()) transaction.guards.push_back(scheduler_.ownership_guard(partition));
+  transaction.guards.push_back({DecisionKey{key}, current == nullptr ? 0 : current->revision});
+  for (Guard& guard : additional_guards) transaction.guards.push_back(std::move(guard));
+  log_change(key, from, next);
+  transaction.changes = {{DecisionKey{key}, std::move(next)}};
   pending_changes_->insert(key);
   ++changes_sent_;
-  scheduler_.queue_transaction(out, urgent ? Urgency::placement : Urgency::other, std::move(txn), {}, {},
+  scheduler_.queue_transaction(out, urgent ? Urgency::placement : Urgency::other, std::move(transaction), {},
+                               {},
                                [pending_changes = pending_changes_, key] { pending_changes->erase(key); });
   return ChangeResult::sent;
 }
 
-void CombinedConstraints::constrain(JobIndex job, PlacementLimits& limits) const {
-  for (const PlacementConstraints* c : constraints_) c->constrain(job, limits);
-}
-
-std::vector<TaskId> CombinedConstraints::tasks_to_preempt(PartitionIndex partition) const {
-  std::vector<TaskId> out;
-  for (const PlacementConstraints* c : constraints_) {
-    auto more = c->tasks_to_preempt(partition);
-    out.insert(out.end(), more.begin(), more.end());
-  }
-  return out;
-}
-
-double LowerBoundClock::earliest_time(Clock clock) {
-  double ahead = clock.wall - clock.now;
-  while (!offsets_.empty() && offsets_.back().offset_s >= ahead) offsets_.pop_back();
-  offsets_.push_back({clock.now, ahead});
-  while (clock.now - offsets_.front().measured_at > window_s_) offsets_.pop_front();
-  return clock.now + offsets_.front().offset_s - skew_s_;
-}
-
 }  // namespace oxbowmill::decisions
