--- a/src/release_calendar/release_spec.cpp
+++ b/src/release_calendar/release_spec.cpp
@@ -25,81 +25,121 @@
   return matcher;
 }
 
-bool usable(const std::string& name) {
-  constexpr std::size_t longest = 80;
-  return !name.empty() && name.size() <= longest && name.find_first_of(" /|\t\n") == std::string::npos;
+Json to_json(const Edition& edition) {
+  Json renders = Json::array();
+  for (const JobMatcher& matcher : edition.render_jobs) renders.push_back(to_json(matcher));
+  return {{"name", edition.name}, {"render", renders}, {"publish", to_json(edition.publish_job)}};
+}
+
+Edition edition_from_json(const Json& json) {
+  Edition edition;
+  edition.name = json.at("name").get<std::string>();
+  for (const Json& matcher_json : json.at("render"))
+    edition.render_jobs.push_back(matcher_from_json(matcher_json));
+  edition.publish_job = matcher_from_json(json.at("publish"));
+  return edition;
+}
+
+Json to_json(const ScheduledTime& scheduled) {
+  return {{"zone", scheduled.zone},       {"weekdays", scheduled.weekdays},
+          {"date", scheduled.date},       {"at", scheduled.second_of_day},
+          {"window", scheduled.window_s}, {"holidays", scheduled.excluded_dates}};
+}
+
+ScheduledTime scheduled_time_from_json(const Json& json) {
+  ScheduledTime scheduled;
+  scheduled.zone = json.at("zone").get<std::string>();
+  scheduled.weekdays = json.at("weekdays").get<std::vector<unsigned>>();
+  scheduled.date = json.at("date").get<std::string>();
+  scheduled.second_of_day = json.at("at").get<unsigned>();
+  scheduled.window_s = json.at("window").get<double>();
+  scheduled.excluded_dates = json.at("holidays").get<std::set<std::string>>();
+  return scheduled;
+}
+
+ReleaseSpec release_spec_from_json(const Json& json) {
+  ReleaseSpec release_spec;
+  release_spec.name = json.at("name").get<std::string>();
+  release_spec.revision = json.at("revision").get<std::string>();
+  for (const Json& edition_json : json.at("editions"))
+    release_spec.editions.push_back(edition_from_json(edition_json));
+  if (auto when_it = json.find("when"); when_it != json.end()) {
+    ScheduledTime scheduled = scheduled_time_from_json(*when_it);
+    if (std::string fault = validation_error(scheduled); !fault.empty())
+      throw ReleaseSpecError("when: " + fault);
+    release_spec.publish_time = std::move(scheduled);
+  }
+  return release_spec;
+}
+
+/// Names are parts of record keys and of notes, where these characters separate.
+bool is_usable_name(const std::string& name) {
+  constexpr std::size_t max_length = 80;
+  return !name.empty() && name.size() <= max_length && name.find_first_of(" /|\t\n") == std::string::npos;
+}
+
+std::string matcher_error(const Edition& edition, const JobMatcher& matcher) {
+  bool by_class_and_image = !matcher.job_class.empty() && !matcher.image.empty();
+  if (matcher.ref.empty() == !by_class_and_image)
+    return "editions: " + edition.name + ": a job is named by its id, or by class and image";
+  if (matcher.count == 0) return "editions: " + edition.name + ": count: must be at least 1";
+  return "";
+}
+
+/// What is wrong with one edition, apart from the others.
+std::string edition_error(const Edition& edition) {
+  if (edition.render_jobs.empty()) return "editions: " + edition.name + " renders nothing";
+  if (edition.publish_job.count != 1) return "editions: " + edition.name + " has one publishing job";
+  if (std::string fault = matcher_error(edition, edition.publish_job); !fault.empty()) return fault;
+  for (const JobMatcher& matcher : edition.render_jobs) {
+    if (std::string fault = matcher_error(edition, matcher); !fault.empty()) return fault;
+  }
+  return "";
 }
 
 }  // namespace
 
+ReleaseSpecError::ReleaseSpecError(const std::string& reason) : Error("release spec: " + reason) {}
+
 std::string to_text(const ReleaseSpec& release_spec) {
   Json json = {{"name", release_spec.name}, {"revision", release_spec.revision}, {"editions", Json::array()}};
-  for (const Edition& e : release_spec.editions) {
-    Json renders = Json::array();
-    for (const JobMatcher& m : e.render_jobs) renders.push_back(to_json(m));
-    json["editions"].push_back({{"name", e.name}, {"render", renders}, {"publish", to_json(e.publish_job)}});
-  }
-  if (release_spec.publish_time) {
-    const ScheduledTime& a = *release_spec.publish_time;
-    json["when"] = {{"zone", a.zone},        {"weekdays", a.weekdays}, {"date", a.date},
-                    {"at", a.second_of_day}, {"window", a.window_s},   {"holidays", a.excluded_dates}};
-  }
+  for (const Edition& edition : release_spec.editions) json["editions"].push_back(to_json(edition));
+  if (release_spec.publish_time) json["when"] = to_json(*release_spec.publish_time);
   return json.dump();
 }
 
-std::optional<ReleaseSpec> from_text(const std::string& text) {
+ReleaseSpec parse_release_spec(const std::string& text) {
   Json json = Json::parse(text, nullptr, false);
-  if (!json.is_object()) return std::nullopt;
+  if (!json.is_object()) throw ReleaseSpecError("not a JSON object");
+  try {
+    ReleaseSpec release_spec = release_spec_from_json(json);
+    if (std::string fault = validation_error(release_spec); !fault.empty()) throw ReleaseSpecError(fault);
+    return release_spec;
+  } catch (const Json::exception& error) {
+    throw ReleaseSpecError(error.what());
+  }
+}
+
+std::optional<ReleaseSpec> from_text(const std::string& text) {
   try {
-    ReleaseSpec terms;
-    terms.name = json.at("name").get<std::string>();
-    terms.revision = json.at("revision").get<std::string>();
-    for (const Json& edition_json : json.at("editions")) {
-      Edition edition;
-      edition.name = edition_json.at("name").get<std::string>();
-      for (const Json& m : edition_json.at("render")) edition.render_jobs.push_back(matcher_from_json(m));
-      edition.publish_job = matcher_from_json(edition_json.at("publish"));
-      terms.editions.push_back(std::move(edition));
-    }
-    if (auto when_it = json.find("when"); when_it != json.end()) {
-      ScheduledTime scheduled;
-      scheduled.zone = when_it->at("zone").get<std::string>();
-      scheduled.weekdays = when_it->at("weekdays").get<std::vector<unsigned>>();
-      scheduled.date = when_it->at("date").get<std::string>();
-      scheduled.second_of_day = when_it->at("at").get<unsigned>();
-      scheduled.window_s = when_it->at("window").get<double>();
-      scheduled.excluded_dates = when_it->at("holidays").get<std::set<std::string>>();
-      if (!validation_error(scheduled).empty()) return std::nullopt;
-      terms.publish_time = std::move(scheduled);
-    }
-    return validation_error(terms).empty() ? std::optional<ReleaseSpec>(std::move(terms)) : std::nullopt;
-  } catch (const Json::exception&) {
+    return parse_release_spec(text);
+  } catch (const ReleaseSpecError&) {
     return std::nullopt;
   }
 }
 
 std::string validation_error(const ReleaseSpec& release_spec) {
-  if (!usable(release_spec.name)) return "name: not usable as a release's name";
+  if (!is_usable_name(release_spec.name)) return "name: not usable as a release's name";
   if (release_spec.revision.empty()) return "revision: missing";
   if (release_spec.editions.size() < 2) return "editions: a release pairs two or more";
-  std::set<std::string> names, publish;
+  std::set<std::string> names;
+  std::set<std::string> publish_jobs;
   for (const Edition& edition : release_spec.editions) {
-    if (!usable(edition.name)) return "editions: a name is not usable";
+    if (!is_usable_name(edition.name)) return "editions: a name is not usable";
     if (!names.insert(edition.name).second) return "editions: " + edition.name + " is named twice";
-    if (edition.render_jobs.empty()) return "editions: " + edition.name + " renders nothing";
-    if (edition.publish_job.count != 1) return "editions: " + edition.name + " has one publishing job";
-    std::vector<const JobMatcher*> all = {&edition.publish_job};
-    for (const JobMatcher& m : edition.render_jobs) all.push_back(&m);
-    for (const JobMatcher* matcher : all) {
-      bool by_rule = !matcher->job_class.empty() && !matcher->image.empty();
-      if (matcher->ref.empty() == !by_rule)
-        return "editions: " + edition.name + ": a job is named by its id, or by class and image";
-      if (matcher->count == 0) return "editions: " + edition.name + ": count: must be at least 1";
-    }
-    if (!publish
-             .insert(edition.publish_job.ref + " " + edition.publish_job.job_class + " " +
-                     edition.publish_job.image)
-             .second)
+    if (std::string fault = edition_error(edition); !fault.empty()) return fault;
+    const JobMatcher& publish_job = edition.publish_job;
+    if (!publish_jobs.insert(publish_job.ref + " " + publish_job.job_class + " " + publish_job.image).second)
       return "editions: two publish by the same job";
   }
   return "";
