--- a/src/serving/model_autoscaler.cpp
+++ b/src/serving/model_autoscaler.cpp
@@ -3,330 +3,274 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
+
+#include "oxbowmill/decisions/open_jobs.h"
 
 namespace oxbowmill::serving {
 
 namespace {
 
 constexpr double cycle_interval_s = 0.25;
-constexpr double cooling_delay_s = 2;  // between the decision to cool and the first stop
-constexpr std::uint32_t max_failed_attempts = 5;
-constexpr double long_running_s = 60;  // a try that has lasted so long is not in vain
-constexpr std::size_t retained_cold_starts = 9;
-const std::string replicas_field = "replicas", job_field = "job";
-
-std::string cold_start_key(std::size_t i) {
-  return "start" + std::to_string(i);
-}
+constexpr double cooling_delay_s = 2;  // between the decision to cool down and the first stop
 
-std::vector<double> cold_starts_of(const DecisionRecord& record) {
-  std::vector<double> out;
-  for (std::size_t i = 0; i < retained_cold_starts; ++i) {
-    auto it = record.counts.find(cold_start_key(i));
-    if (it != record.counts.end()) out.push_back(static_cast<double>(it->second) / 1000);
-  }
-  return out;
+bool has_running_replica(const Job& job) {
+  return std::any_of(job.placements.begin(), job.placements.end(), [](const auto& entry) {
+    return entry.second.state == PlacementState::reported && entry.second.phase == TaskPhase::running;
+  });
 }
 
-/// The epoch's number goes round the places: the oldest start is forgotten.
-void record_cold_start(DecisionRecord& r, double seconds) {
-  r.counts[cold_start_key(r.epoch % retained_cold_starts)] =
-      static_cast<std::uint64_t>(std::max(0.0, seconds) * 1000);
+bool has_stopping_replica(const Job& job) {
+  return std::any_of(job.placements.begin(), job.placements.end(),
+                     [](const auto& entry) { return entry.second.state >= PlacementState::stopping; });
 }
 
 }  // namespace
 
-const decisions::DecisionKind& decision_kind() {
-  static const decisions::DecisionKind kind = {"model",
-                                               {{"", cold},
-                                                {cold, cold},
-                                                {cold, warming},
-                                                {warming, ready},
-                                                {warming, cooling},
-                                                {ready, ready},
-                                                {ready, cooling},
-                                                {cooling, ready},
-                                                {cooling, cold}}};
-  return kind;
+ModelAutoscaler::ModelAutoscaler(ClusterState& state, decisions::DecisionLog& decision_log,
+                                 const Scheduler& scheduler, Settings settings)
+    : state_(state), decision_log_(decision_log), scheduler_(scheduler), call_counter_(state) {
+  for (ModelSpec& spec : settings.models) {
+    ModelState model;
+    if (!spec.job_class.empty()) model.job_class = state.names.classes.intern(spec.job_class);
+    if (!spec.image.empty()) model.image = state.names.images.intern(spec.image);
+    for (const std::string& call_class : spec.call_classes)
+      model.call_classes.push_back(state.names.classes.intern(call_class));
+    model.spec = std::move(spec);
+    models_.push_back(std::move(model));
+  }
+}
+
+void ModelAutoscaler::run_cycle(Clock clock, Effects& out) {
+  if (clock.now < next_cycle_at_) return;
+  next_cycle_at_ = clock.now + cycle_interval_s;
+  for (ModelState& model : models_) reconcile(model, clock, out);
+  call_counter_.forget_finished();
 }
 
-double idle_timeout(const std::vector<double>& cold_starts, const ModelSpec& terms) {
-  if (cold_starts.empty()) return terms.idle_floor_s;
-  std::vector<double> s = cold_starts;
-  std::sort(s.begin(), s.end());
-  std::size_t n = s.size();
-  double median = n % 2 == 1 ? s[n / 2] : (s[n / 2 - 1] + s[n / 2]) / 2;
-  return std::max(median * terms.idle_factor, terms.idle_floor_s);
+bool ModelAutoscaler::is_service_job(const ModelState& model, const JobSpec& spec) const {
+  return spec.shape == JobShape::service && (!model.job_class.valid() || spec.job_class == model.job_class) &&
+         (!model.image.valid() || spec.image == model.image);
 }
 
-std::uint32_t replicas_for(std::uint32_t calls, const ModelSpec& terms) {
-  auto wanted = static_cast<std::uint32_t>(std::ceil(calls / terms.calls_per_replica));
-  return std::clamp(wanted, terms.min_replicas, std::max(terms.min_replicas, terms.max_replicas));
+JobIndex ModelAutoscaler::find_service_job(const ModelState& model) const {
+  JobIndex oldest;
+  decisions::for_each_open_job(state_, [&](JobIndex job_index, const Job& job) {
+    if (!is_service_job(model, job.spec)) return;
+    const JobSpec* best = oldest.valid() ? &state_.job(oldest).spec : nullptr;
+    if (best == nullptr ||
+        std::tie(job.spec.submitted_at, job.spec.ref) < std::tie(best->submitted_at, best->ref))
+      oldest = job_index;
+  });
+  return oldest;
 }
 
-ModelAutoscaler::ModelAutoscaler(ClusterState& model, decisions::DecisionLog& decision_log,
-                                 const Scheduler& scheduler, Settings settings)
-    : state_(model), decision_log_(decision_log), scheduler_(scheduler) {
-  for (ModelSpec& model_spec : settings.models) {
-    ModelState model_state;
-    if (!model_spec.job_class.empty())
-      model_state.job_class = model.names.classes.intern(model_spec.job_class);
-    if (!model_spec.image.empty()) model_state.image = model.names.images.intern(model_spec.image);
-    for (const std::string& c : model_spec.call_classes)
-      model_state.call_classes.push_back(model.names.classes.intern(c));
-    model_state.spec = std::move(model_spec);
-    models_.push_back(std::move(model_state));
+void ModelAutoscaler::reconcile(ModelState& model, Clock clock, Effects& out) {
+  model.service_job = find_service_job(model);
+  if (!model.service_job.valid()) return set_pending_reason(model, "no service job, calls wait");
+  const Job& job = state_.job(model.service_job);
+  const PartitionIndex partition = job.spec.partition;
+  if (!scheduler_.owns(partition)) {
+    model.ownership_revision = 0;
+    return;
+  }
+  const Revision ownership_revision = state_.ownership(partition).revision;
+  if (model.ownership_revision != ownership_revision)
+    on_ownership_acquired(model, ownership_revision, clock.now);
+  const std::uint32_t calls = call_counter_.count(model.call_classes, clock.now);
+  const bool is_wanted = calls > 0 || model.spec.min_replicas > 0;
+  if (is_wanted) model.last_busy_at = clock.now;
+  if (decision_log_.has_pending_change(decision_kind(), model.spec.name)) return;
+  const Decision* decision = decision_log_.find(decision_kind(), model.spec.name);
+  const std::uint32_t most =
+      std::min(std::max(model.spec.max_replicas, model.spec.min_replicas), job.spec.tasks);
+  Situation situation{job,       decision == nullptr ? DecisionRecord() : decision->record,
+                      calls,     std::min(replicas_for(calls, model.spec), most),
+                      is_wanted, clock,
+                      out};
+  if (decision == nullptr) {
+    write_service_job(situation.record, job.spec.ref);
+    return write_decision(model, std::move(situation), ModelStatus::cold, 0, "known");
+  }
+  const ModelStatus status = status_of(situation.record);
+  if (service_job_of(situation.record) != job.spec.ref && status != ModelStatus::cold)
+    return end_round_of_former_job(model, std::move(situation));
+  switch (status) {
+    case ModelStatus::cold:
+      return advance_cold(model, std::move(situation));
+    case ModelStatus::warming:
+      return advance_warming(model, std::move(situation));
+    case ModelStatus::ready:
+      return advance_ready(model, std::move(situation));
+    case ModelStatus::cooling:
+      return advance_cooling(model, std::move(situation));
+    case ModelStatus::none:
+    case ModelStatus::unknown:
+      return;
   }
 }
 
-bool ModelAutoscaler::is_service_job(const ModelState& model_state, const JobSpec& spec) const {
-  return spec.shape == JobShape::service &&
-         (!model_state.job_class.valid() || spec.job_class == model_state.job_class) &&
-         (!model_state.image.valid() || spec.image == model_state.image);
+void ModelAutoscaler::on_ownership_acquired(ModelState& model, Revision ownership_revision,
+                                            Seconds now) const {
+  // The new owner continues from the record. What it cannot know is assumed so that nothing is undone or done
+  // twice: stops may have been sent, and the last call was just now.
+  model.ownership_revision = ownership_revision;
+  model.last_busy_at = now;
+  model.cooling_since = ModelState::never;
+  model.surplus_since = ModelState::never;
+  model.stops_sent = true;
 }
 
-bool ModelAutoscaler::is_call_job(const ModelState& model_state, const JobSpec& spec) const {
-  return spec.shape != JobShape::service &&
-         std::find(model_state.call_classes.begin(), model_state.call_classes.end(), spec.job_class) !=
-             model_state.call_classes.end();
+void ModelAutoscaler::end_round_of_former_job(const ModelState& model, Situation situation) {
+  // The replicas are stopped like those of any cancelled job; the round ends when they are gone.
+  if (status_of(situation.record) != ModelStatus::cooling)
+    return write_decision(model, std::move(situation), ModelStatus::cooling, 0, "its standing job is over");
+  const JobIndex former_index = state_.find_job(service_job_of(situation.record).value_or(""));
+  const Job* former = former_index.valid() ? state_.known_job(former_index) : nullptr;
+  if (former == nullptr || former->placements.empty()) {
+    write_decision(model, std::move(situation), ModelStatus::cold, 0,
+                   "all replicas of its former standing job are gone");
+  }
+}
+
+void ModelAutoscaler::advance_cold(ModelState& model, Situation situation) {
+  if (!situation.is_wanted) return set_pending_reason(model, "cold");
+  ++situation.record.epoch;
+  write_service_job(situation.record, situation.service_job.spec.ref);
+  const std::string reason = situation.calls > 0 ? std::to_string(situation.calls) + " calls wait"
+                                                 : "at least " + std::to_string(model.spec.min_replicas);
+  write_decision(model, std::move(situation), ModelStatus::warming, 1, reason);
 }
 
-void ModelAutoscaler::find_service_job(ModelState& model_state) const {
-  // Every controller finds the same one: by age as accepted, then by id.
-  model_state.service_job = {};
-  for (std::uint32_t p = 1; p < state_.partition_count(); ++p) {
-    for (JobIndex job_index : state_.live_jobs(PartitionIndex{p})) {
-      const Job& job = state_.job(job_index);
-      if (job.phase != JobPhase::open || !is_service_job(model_state, job.spec)) continue;
-      const JobSpec* best =
-          model_state.service_job.valid() ? &state_.job(model_state.service_job).spec : nullptr;
-      if (best == nullptr ||
-          std::tie(job.spec.submitted_at, job.spec.ref) < std::tie(best->submitted_at, best->ref))
-        model_state.service_job = job_index;
-    }
+void ModelAutoscaler::advance_warming(ModelState& model, Situation situation) {
+  if (has_running_replica(situation.service_job)) {
+    record_cold_start(situation.record, situation.clock.wall - situation.record.changed_at);
+    const std::uint32_t replicas = std::max(1U, situation.wanted_replicas);
+    return write_decision(model, std::move(situation), ModelStatus::ready, replicas, "a replica runs");
   }
+  set_pending_reason(model, "warming up, calls wait for the first replica");
+  // The calls were cancelled: a cold start is of no use by itself.
+  if (is_idle(model, situation))
+    write_decision(model, std::move(situation), ModelStatus::cooling, 0, "its calls have gone");
 }
 
-bool ModelAutoscaler::fails_repeatedly(JobIndex job_index, const Job& job, Seconds now) {
-  // A call that fails for ever must not keep a model warm for ever: it counts again once a try of it lasts or
-  // gets something done. By the tables alone, so that it is seen of other owners' calls too.
-  CallAttempts& call_attempts = call_attempts_[job_index];
-  if (job.done_count != call_attempts.tasks_done)
-    call_attempts = {job.done_count, 0, call_attempts.last_attempt, now};
-  Attempt latest = 0;
-  for (const auto& [task, p] : job.placements) latest = std::max(latest, p.attempt);
-  if (latest > call_attempts.last_attempt) {
-    call_attempts.last_attempt = latest;
-    call_attempts.since = now;
-    ++call_attempts.attempts;
+void ModelAutoscaler::advance_ready(ModelState& model, Situation situation) {
+  const auto replicas = replicas_of(situation.record).value_or(0);
+  const double idle_s = idle_timeout(cold_starts_of(situation.record), model.spec);
+  const Seconds now = situation.clock.now;
+  set_pending_reason(model, "serving");
+  if (is_idle(model, situation)) {
+    model.cooling_since = ModelState::never;
+    model.stops_sent = false;
+    return write_decision(model, std::move(situation), ModelStatus::cooling, 0,
+                          "idle for " + std::to_string(static_cast<int>(idle_s)) + " s");
+  }
+  const std::uint32_t wanted = std::max(1U, situation.wanted_replicas);
+  if (wanted >= replicas) model.surplus_since = ModelState::never;
+  if (wanted < replicas && model.surplus_since < 0) model.surplus_since = now;
+  const bool scales_in = wanted < replicas && now - model.surplus_since > idle_s;
+  if (wanted > replicas || scales_in) {
+    model.surplus_since = ModelState::never;
+    const std::string reason = std::to_string(situation.calls) + " calls";
+    write_decision(model, std::move(situation), ModelStatus::ready, wanted, reason);
   }
-  if (latest == call_attempts.last_attempt && latest != 0 && now - call_attempts.since > long_running_s)
-    call_attempts.attempts = std::min(call_attempts.attempts, 1U);
-  return call_attempts.attempts > max_failed_attempts;
 }
 
-std::uint32_t ModelAutoscaler::count_calls(const ModelState& model_state, Clock clock) {
-  std::uint32_t n = 0;
-  for (std::uint32_t p = 1; p < state_.partition_count(); ++p) {
-    for (JobIndex ji : state_.live_jobs(PartitionIndex{p})) {
-      const Job& j = state_.job(ji);
-      if (j.phase == JobPhase::open && is_call_job(model_state, j.spec) &&
-          !fails_repeatedly(ji, j, clock.now))
-        ++n;
-    }
+void ModelAutoscaler::advance_cooling(ModelState& model, Situation situation) {
+  const Job& job = situation.service_job;
+  const Seconds now = situation.clock.now;
+  if (model.cooling_since < 0) model.cooling_since = now;
+  const bool may_have_stopped = model.stops_sent || has_stopping_replica(job);
+  if (situation.calls > 0 && !may_have_stopped && !job.placements.empty()) {
+    // Cancelled before the first stop: the replicas keep running in the same epoch.
+    const std::uint32_t replicas = std::max(1U, situation.wanted_replicas);
+    return write_decision(model, std::move(situation), ModelStatus::ready, replicas,
+                          "a call came while it cooled");
   }
-  return n;
+  if (now - model.cooling_since > cooling_delay_s) model.stops_sent = true;
+  set_pending_reason(model, "cooling down");
+  if (job.placements.empty())
+    write_decision(model, std::move(situation), ModelStatus::cold, 0, "all its replicas are gone");
 }
 
-void ModelAutoscaler::set_reason(ModelState& model_state, const std::string& why) {
-  if (model_state.reason == why) return;
-  model_state.reason = why;
-  SPDLOG_INFO("model {}: {}", model_state.spec.name, why);
+bool ModelAutoscaler::is_idle(const ModelState& model, const Situation& situation) const {
+  return !situation.is_wanted && situation.clock.now - model.last_busy_at >
+                                     idle_timeout(cold_starts_of(situation.record), model.spec);
 }
 
-const std::string& ModelAutoscaler::pending_reason(const std::string& model) const {
-  static const std::string nothing;
-  auto it = std::find_if(models_.begin(), models_.end(),
-                         [&](const ModelState& model_state) { return model_state.spec.name == model; });
-  return it == models_.end() ? nothing : it->reason;
+void ModelAutoscaler::write_decision(const ModelState& model, Situation situation, ModelStatus status,
+                                     std::uint32_t replicas, const std::string& reason) {
+  DecisionRecord& next = situation.record;
+  next.state = model_status_names.stored_name(status);
+  write_replicas(next, replicas);
+  next.reason = reason;
+  decision_log_.change(decision_kind(), model.spec.name, std::move(next),
+                       situation.service_job.spec.partition, situation.clock, situation.out, /*urgent=*/true);
 }
 
-bool ModelAutoscaler::write_decision(ModelState& model_state, DecisionRecord next, const std::string& state,
-                                     std::uint32_t replicas, Clock clock, Effects& out,
-                                     const std::string& why) {
-  // Whose replicas these are stands in the record: another standing job's epoch begins from cold.
-  next.state = state;
-  next.counts[replicas_field] = replicas;
-  next.reason = why;
-  PartitionIndex by = state_.job(model_state.service_job).spec.partition;
-  return decision_log_.change(decision_kind(), model_state.spec.name, std::move(next), by, clock, out,
-                              true) == decisions::ChangeResult::sent;
+void ModelAutoscaler::set_pending_reason(ModelState& model, const std::string& reason) const {
+  if (model.pending_reason == reason) return;
+  model.pending_reason = reason;
+  SPDLOG_INFO("model status changed model={} status=\"{}\"", model.spec.name, reason);
 }
 
-void ModelAutoscaler::reconcile(ModelState& model_state, Clock clock, Effects& out) {
-  find_service_job(model_state);
-  if (!model_state.service_job.valid())
-    return set_reason(model_state, "no standing job serves it; calls wait");
-  const Job& job = state_.job(model_state.service_job);
-  PartitionIndex partition = job.spec.partition;
-  if (!scheduler_.owns(partition)) {
-    model_state.ownership_revision = 0;
-    return;
-  }
-  if (model_state.ownership_revision != state_.ownership(partition).revision) {
-    // A new owner goes on from the record. What it cannot know is taken to be so that nothing is undone or
-    // begun twice: stops may have been sent, and the last call was a moment ago.
-    model_state.ownership_revision = state_.ownership(partition).revision;
-    model_state.last_busy_at = clock.now;
-    model_state.cooling_since = -1;
-    model_state.surplus_since = -1;
-    model_state.stops_sent = true;
-  }
-  std::uint32_t calls = count_calls(model_state, clock);
-  if (calls > 0 || model_state.spec.min_replicas > 0) model_state.last_busy_at = clock.now;
-  if (decision_log_.has_pending_change(decision_kind(), model_state.spec.name)) return;
-  const Decision* decision = decision_log_.find(decision_kind(), model_state.spec.name);
-  DecisionRecord next = decision == nullptr ? DecisionRecord() : decision->record;
-  std::uint32_t most =
-      std::min(std::max(model_state.spec.max_replicas, model_state.spec.min_replicas), job.spec.tasks);
-  std::uint32_t wanted = std::min(replicas_for(calls, model_state.spec), most);
-  bool wants = calls > 0 || model_state.spec.min_replicas > 0;
-  if (decision == nullptr) {
-    next.notes[job_field] = job.spec.ref;
-    write_decision(model_state, std::move(next), cold, 0, clock, out, "known");
-    return;
-  }
-  bool of_this_job = next.notes[job_field] == job.spec.ref;
-  std::string state = next.state;
-  if (!of_this_job && state != cold) {
-    // Its standing job is over. Its replicas are stopped as any cancelled job's; the round ends with them.
-    JobIndex before = state_.find_job(next.notes[job_field]);
-    const Job* old = before.valid() ? state_.known_job(before) : nullptr;
-    bool gone = old == nullptr || old->placements.empty();
-    if (state != cooling) {
-      write_decision(model_state, std::move(next), cooling, 0, clock, out, "its standing job is over");
-    } else if (gone) {
-      write_decision(model_state, std::move(next), cold, 0, clock, out,
-                     "all replicas of its former standing job are gone");
-    }
-    return;
-  }
-  if (state == cold) {
-    if (!wants) return set_reason(model_state, "cold");
-    ++next.epoch;
-    next.notes[job_field] = job.spec.ref;
-    write_decision(model_state, std::move(next), warming, 1, clock, out,
-                   calls > 0 ? std::to_string(calls) + " calls wait"
-                             : "at least " + std::to_string(model_state.spec.min_replicas));
-  } else if (state == warming) {
-    bool running = std::any_of(job.placements.begin(), job.placements.end(), [](const auto& p) {
-      return p.second.state == PlacementState::reported && p.second.phase == TaskPhase::running;
-    });
-    if (running) {
-      record_cold_start(next, clock.wall - next.changed_at);
-      write_decision(model_state, std::move(next), ready, std::max(1U, wanted), clock, out, "a replica runs");
-      return;
-    }
-    set_reason(model_state, "warms up: calls wait for its first replica");
-    // Nobody wants it any more, and nothing has been fetched for: a cold start is not an end in itself.
-    if (!wants && clock.now - model_state.last_busy_at > idle_timeout(cold_starts_of(next), model_state.spec))
-      write_decision(model_state, std::move(next), cooling, 0, clock, out, "its calls have gone");
-  } else if (state == ready) {
-    auto now = static_cast<std::uint32_t>(next.counts[replicas_field]);
-    double idle = idle_timeout(cold_starts_of(next), model_state.spec);
-    set_reason(model_state, "serves");
-    if (!wants && clock.now - model_state.last_busy_at > idle) {
-      model_state.cooling_since = -1;
-      model_state.stops_sent = false;
-      write_decision(model_state, std::move(next), cooling, 0, clock, out,
-                     "idle for " + std::to_string(static_cast<int>(idle)) + " s");
-      return;
-    }
-    wanted = std::max(1U, wanted);
-    if (wanted >= now) model_state.surplus_since = -1;
-    if (wanted < now && model_state.surplus_since < 0) model_state.surplus_since = clock.now;
-    bool fewer = wanted < now && clock.now - model_state.surplus_since > idle;
-    if (wanted > now || fewer) {
-      model_state.surplus_since = -1;
-      write_decision(model_state, std::move(next), ready, wanted, clock, out,
-                     std::to_string(calls) + " calls");
-    }
-  } else if (state == cooling) {
-    if (model_state.cooling_since < 0) model_state.cooling_since = clock.now;
-    bool stops_sent = model_state.stops_sent ||
-                      std::any_of(job.placements.begin(), job.placements.end(),
-                                  [](const auto& p) { return p.second.state >= PlacementState::stopping; });
-    if (calls > 0 && !stops_sent && !job.placements.empty()) {
-      // Taken back while no stop was sent: the replicas run on in the same epoch.
-      write_decision(model_state, std::move(next), ready, std::max(1U, wanted), clock, out,
-                     "a call came while it cooled");
-      return;
-    }
-    if (clock.now - model_state.cooling_since > cooling_delay_s) model_state.stops_sent = true;
-    set_reason(model_state, "cools down");
-    if (job.placements.empty())
-      write_decision(model_state, std::move(next), cold, 0, clock, out, "all its replicas are gone");
-  }
+const std::string& ModelAutoscaler::pending_reason(const std::string& model) const {
+  static const std::string nothing;
+  auto found = std::find_if(models_.begin(), models_.end(),
+                            [&](const ModelState& candidate) { return candidate.spec.name == model; });
+  return found == models_.end() ? nothing : found->pending_reason;
 }
 
-void ModelAutoscaler::run_cycle(Clock clock, Effects& out) {
-  if (clock.now < next_cycle_at_) return;
-  next_cycle_at_ = clock.now + cycle_interval_s;
-  for (ModelState& k : models_) reconcile(k, clock, out);
-  for (auto it = call_attempts_.begin(); it != call_attempts_.end();) {
-    it = state_.live_job(it->first) == nullptr ? call_attempts_.erase(it) : std::next(it);
-  }
+std::uint32_t ModelAutoscaler::max_tasks(const Decision* decision, const JobSpec& spec,
+                                         bool is_replica) const {
+  if (decision == nullptr) return 0;
+  const DecisionRecord& record = decision->record;
+  const ModelStatus status = status_of(record);
+  const std::optional<std::uint32_t> replicas = replicas_of(record);
+  const bool is_decided_job = replicas && service_job_of(record) == spec.ref;
+  if (is_replica && is_decided_job && status == ModelStatus::warming) return 1;
+  if (is_replica && is_decided_job && status == ModelStatus::ready) return *replicas;
+  return !is_replica && status == ModelStatus::ready ? PlacementLimits::unlimited : 0;
 }
 
 void ModelAutoscaler::constrain(JobIndex job_index, PlacementLimits& limits) const {
   const JobSpec& spec = state_.job(job_index).spec;
-  for (const ModelState& model_state : models_) {
-    bool replica = is_service_job(model_state, spec), call = is_call_job(model_state, spec);
-    if (!replica && !call) continue;
-    const Decision* decision = decision_log_.find(decision_kind(), model_state.spec.name);
-    std::uint32_t most = 0;
-    if (decision != nullptr) {
-      const DecisionRecord& record = decision->record;
-      auto job = record.notes.find(job_field);
-      auto n = record.counts.find(replicas_field);
-      bool ours = job != record.notes.end() && job->second == spec.ref && n != record.counts.end();
-      if (replica && ours && (record.state == warming || record.state == ready)) {
-        most = record.state == warming ? 1 : static_cast<std::uint32_t>(n->second);
-      } else if (call && record.state == ready) {
-        most = PlacementLimits::unlimited;
-      }
-    }
-    if (limits.max_tasks > most) limits.max_tasks = most;
-    // While a change of the record is under way nothing new is placed by what it may replace; the guard says
-    // the same to a late copy of a placement. Calls need none: the replicas they wait for only ever grow or
-    // go, and a call that starts as they go is served by the next epoch's.
-    if (replica && decision != nullptr && most > 0)
-      limits.guards.push_back({DecisionKey{decision_kind().key(model_state.spec.name)}, decision->revision});
+  for (const ModelState& model : models_) {
+    const bool is_replica = is_service_job(model, spec);
+    if (!is_replica && !is_call_job(model.call_classes, spec)) continue;
+    const Decision* decision = decision_log_.find(decision_kind(), model.spec.name);
+    const std::uint32_t most = max_tasks(decision, spec, is_replica);
+    limits.max_tasks = std::min(limits.max_tasks, most);
+    // The guard refuses a placement, or a late copy of one, by a decision that has changed meanwhile. Calls
+    // need no guard: a call that starts while the last replica stops is served in the next epoch.
+    if (is_replica && decision != nullptr && most > 0)
+      limits.guards.push_back({DecisionKey{decision_kind().key(model.spec.name)}, decision->revision});
   }
 }
 
+std::uint32_t ModelAutoscaler::replicas_to_keep(const ModelState& model, const DecisionRecord& record,
+                                                std::size_t placed) const {
+  const auto all = static_cast<std::uint32_t>(placed);
+  const ModelStatus status = status_of(record);
+  if (status == ModelStatus::cooling && model.stops_sent) return 0;
+  if (status == ModelStatus::ready) return std::min(all, replicas_of(record).value_or(all));
+  return all;
+}
+
 std::vector<TaskId> ModelAutoscaler::tasks_to_preempt(PartitionIndex partition) const {
-  std::vector<TaskId> out;
-  for (const ModelState& model_state : models_) {
-    if (!model_state.service_job.valid() || state_.job(model_state.service_job).spec.partition != partition)
-      continue;
-    const Decision* decision = decision_log_.find(decision_kind(), model_state.spec.name);
-    // A change under way may take the cooling back: no stop goes out beside it.
-    if (decision == nullptr || decision_log_.has_pending_change(decision_kind(), model_state.spec.name))
-      continue;
-    const Job& job = state_.job(model_state.service_job);
-    auto keep = static_cast<std::uint32_t>(job.placements.size());
-    if (decision->record.state == cooling && model_state.stops_sent) keep = 0;
-    auto n = decision->record.counts.find(replicas_field);
-    if (decision->record.state == ready && n != decision->record.counts.end())
-      keep = std::min(keep, static_cast<std::uint32_t>(n->second));
-    // The latest tasks go first: the first replica is the one that has served longest.
+  std::vector<TaskId> tasks;
+  for (const ModelState& model : models_) {
+    if (!model.service_job.valid() || state_.job(model.service_job).spec.partition != partition) continue;
+    const Decision* decision = decision_log_.find(decision_kind(), model.spec.name);
+    // A pending change may cancel the cooling: nothing is stopped before its outcome is known.
+    if (decision == nullptr || decision_log_.has_pending_change(decision_kind(), model.spec.name)) continue;
+    const Job& job = state_.job(model.service_job);
+    const std::uint32_t keep = replicas_to_keep(model, decision->record, job.placements.size());
+    // The last tasks go first: the first replica has served longest.
     std::size_t left = job.placements.size();
     for (auto it = job.placements.rbegin(); it != job.placements.rend() && left > keep; ++it, --left)
-      out.push_back({model_state.service_job, it->first});
+      tasks.push_back({model.service_job, it->first});
   }
-  return out;
+  return tasks;
 }
 
 }  // namespace oxbowmill::serving
