--- a/include/oxbowmill/simulation/agent_simulator.h
+++ b/include/oxbowmill/simulation/agent_simulator.h
@@ -1,5 +1,7 @@
-// Thousands of hollow workers in one process, with the cloud that rents them: real HTTP, reports, leases,
-// sessions, tokens and images; a task is a timer.
+// Thousands of simulated agents in one process of a scale run, and the cloud that rents their machines.
+// Reports, leases, epochs, fencing tokens and images are as on real machines and travel over HTTP; a task is
+// a timer. It owns the simulated machines, their agents and the tasks on them. One thread: that of its event
+// loop.
 #pragma once
 
 #include <memory>
@@ -16,22 +18,34 @@
 
 namespace oxbowmill::simulation {
 
-/// Where the processes of a scale run listen.
+/// Loopback addresses at which the processes of a scale run listen, by number of the controller or machine.
 struct ScaleAddresses {
-  std::uint16_t port = 0;
+  std::uint16_t port = 0;  ///< the same at each address
+  /// Where controller `i` serves users and agents.
   net::Address controller(std::size_t i) const;
+  /// Where controller `i` serves other controllers.
   net::Address peer(std::size_t i) const;
+  /// The state service.
   net::Address state() const;
+  /// The cloud.
   net::Address cloud() const;
+  /// Where the agent of machine `i` accepts commands.
   net::Address worker(std::size_t i) const;
 };
+/// Name of controller `i`.
 std::string scale_controller_name(std::size_t i);
+/// Name of zone `i`.
 std::string scale_zone_name(std::size_t i);
+/// Name of machine `i`.
 std::string scale_machine_name(std::size_t i);
+/// Inverse of `scale_machine_name`; throws std::invalid_argument where the name has no number.
 std::size_t scale_machine_number(const std::string& name);
 
+/// Plays all agents and the cloud of a scale run from its construction on, on the given event loop.
 class AgentSimulator {
  public:
+  /// References and `base` have to outlive it; `now`: steady clock, in seconds. Throws where the cloud's
+  /// address cannot be bound.
   AgentSimulator(event_base* base, const ScaleSettings& settings, const ScaleAddresses& addresses,
                  ScaleEventWriter& events, std::function<double()> now);
   ~AgentSimulator();
@@ -46,7 +60,7 @@
   /// Members of one attempt of a gang, by task.
   struct Gang {
     Attempt attempt = 0;
-    std::map<TaskNumber, std::size_t> members;  // and the machine's number
+    std::map<TaskNumber, std::size_t> members;  // number of each member's machine
     bool running = false;
     double lost_at = -1;
   };
@@ -59,9 +73,9 @@
   };
   struct Counts {
     double reports = 0, report_bytes = 0, answer_bytes = 0, unanswered = 0, commands = 0, command_bytes = 0;
-    double max_lateness_s = 0;  // the worst lateness of the loop since it was last told
+    double max_lateness_s = 0;  // greatest delay of the loop since it was last reported
   };
-  /// Its name.
+  /// Returns the machine's name.
   std::string add_machine(std::size_t zone, double up_at);
   void power_off(SimulatedAgent& hollow);
   void tick();
@@ -69,7 +83,7 @@
   void send_report(SimulatedAgent& hollow, double now);
   void on_answer(SimulatedAgent& hollow, const net::Response& response);
   void on_command(SimulatedAgent& hollow, net::Request&& request);
-  /// Takes in what orders have started and stopped on the worker.
+  /// Follows which tasks the last commands have started and stopped on the agent.
   void sync_tasks(SimulatedAgent& hollow);
   void start_run(SimulatedAgent& hollow, const std::string& id, const TaskReport& task);
   void end_run(SimulatedAgent& hollow, const std::string& id, const TaskRun& run, bool saved);
--- a/include/oxbowmill/simulation/agent_wire.h
+++ b/include/oxbowmill/simulation/agent_wire.h
@@ -1,5 +1,5 @@
-// The worker's side of the protocol's messages: what the controllers' codec reads and writes from the other
-// side.
+// The agent's side of the protocol's messages: writes what the controllers' codec reads and reads what it
+// writes. No state.
 #pragma once
 
 #include <optional>
@@ -9,9 +9,11 @@
 
 namespace oxbowmill::simulation {
 
+/// The body of `POST /hello`.
 wire::Json write_report(const WorkerReport& report);
-/// None where a field is missing or of another kind.
+/// The response to a report; none where a field is missing or has the wrong type.
 std::optional<ReportAnswer> read_answer(const wire::Json& body);
+/// The body of `POST /commands`; none where a field is missing or has the wrong type.
 std::optional<DirectCommands> read_command(const wire::Json& body);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/market_simulation.h
+++ b/include/oxbowmill/simulation/market_simulation.h
@@ -1,5 +1,5 @@
-// Leaders that bid on simulated markets on a simulated clock: demand arrives, machines are bought, used and
-// returned.
+// Leaders that bid on simulated markets, on a simulated clock: demand arrives, machines are bought, used and
+// returned. A simulation owns the markets, the stored records, the present leader and the jobs.
 #pragma once
 
 #include <memory>
@@ -9,77 +9,103 @@
 
 namespace oxbowmill::simulation {
 
+/// How demand is allocated to offers: the planner, baselines, or the planner with perfect knowledge.
 enum class Policy : std::uint8_t { planner, cheapest, single_market, even_split, oracle };
+/// All policies, in the order of the enumerators.
 constexpr Policy policies[] = {Policy::planner, Policy::cheapest, Policy::single_market, Policy::even_split,
                                Policy::oracle};
+/// As options and reports spell it.
 const char* name_of(Policy policy);
 
+/// A job of the scenario; each of its tasks takes one machine. Times are in seconds.
 struct JobArrival {
-  double arrives_at = 0, run_s = 300, due_s = 600;  // due after its arrival
-  std::uint32_t machines = 4;
-  Priority priority = Priority::normal;
-  bool guaranteed = false;
+  double arrives_at = 0,                 ///< from the start
+      run_s = 300,                       ///< run time of each task
+      due_s = 600;                       ///< deadline, from its arrival
+  std::uint32_t machines = 4;            ///< number of its tasks
+  Priority priority = Priority::normal;  ///< among other jobs
+  bool guaranteed = false;               ///< within its team's guarantee
 };
 
+/// Demand, the cloud, markets and limits of spending. Times are in seconds.
 struct MarketScenario {
-  std::string name;
-  double duration_s = 1500;
-  double drop_at_s = 60;  // when a zone drops and its work wants other machines
-  std::uint32_t jobs = 16;
-  std::uint32_t max_machines = 6;
-  double run_s = 300, slack_s = 150;
-  double guaranteed_fraction = 0.4, best_effort_fraction = 0.2;
-  std::uint32_t cloud_capacity = 8;
-  double cloud_price = 10, cloud_ready_s = 60;
-  market::Settings settings;  // without markets: these come from the characters
-  std::vector<MarketBehavior> markets;
+  std::string name;                     ///< for reports
+  double duration_s = 1500;             ///< simulated time
+  double drop_at_s = 60;                ///< when a zone is lost and its work needs other machines
+  std::uint32_t jobs = 16;              ///< number of jobs
+  std::uint32_t max_machines = 6;       ///< most machines of a job
+  double run_s = 300,                   ///< mean run time of a task
+      slack_s = 150;                    ///< mean time from there to the deadline
+  double guaranteed_fraction = 0.4,     ///< fraction of the jobs
+      best_effort_fraction = 0.2;       ///< fraction of the jobs with low priority
+  std::uint32_t cloud_capacity = 8;     ///< machines that the cloud can rent at once
+  double cloud_price = 10,              ///< per machine and hour
+      cloud_ready_s = 60;               ///< boot time
+  market::Settings settings;            ///< without markets, which follow from `markets`
+  std::vector<MarketBehavior> markets;  ///< behaviour of each
 };
-/// Reads a scenario file (YAML); throws Error with file, key and reason.
+/// Reads a scenario file (YAML). Throws Error with file, key and reason.
 MarketScenario load_scenario(const std::string& file);
 
+/// What one run came to.
 struct MarketResult {
-  std::uint32_t jobs = 0, in_time = 0, guaranteed = 0, guaranteed_in_time = 0;
-  std::uint32_t bought = 0, unused = 0;  // machines of markets
-  double cost = 0;
-  int breaches = 0;   // steps in which paid and committed were above the limit
-  int suspended = 0;  // markets that the last leader had suspended
+  std::uint32_t jobs = 0,      ///< all jobs
+      in_time = 0,             ///< that met their deadlines
+      guaranteed = 0,          ///< guaranteed jobs
+      guaranteed_in_time = 0;  ///< guaranteed jobs that met their deadlines
+  std::uint32_t bought = 0,    ///< machines delivered by markets
+      unused = 0;              ///< of these never used
+  double cost = 0;             ///< of markets and the cloud
+  int breaches = 0;            ///< steps in which paid and committed money was above a limit
+  int suspended = 0;           ///< markets that the last leader had suspended
 };
 
+/// One run of a scenario, step by step. The same scenario, policy and seed give the same result.
 class MarketSimulation {
  public:
+  /// Draws the jobs; the first leader begins with the first step.
   MarketSimulation(const MarketScenario& scenario, Policy policy, std::uint64_t seed);
   /// Advances the clock by half a second.
   void step();
+  /// Plays the whole scenario.
   MarketResult run();
+  /// What the run has come to so far.
   MarketResult result() const;
 
-  // Faults.
-  /// The leader ends at once; another one acquires ownership a second later.
+  /// Injects a fault: the leader ends at once; another one acquires ownership a second later.
   void end_leader();
+  /// Injects a fault: while `down`, no transaction is executed and no leader can begin.
   void set_state_down(bool down) { state_down_ = down; }
-  /// The next `count` transactions are applied without a response.
+  /// Injects a fault: the next `count` transactions are applied without a response.
   void lose_write_responses(int count) { write_responses_to_lose_ = count; }
-  /// Transactions are withheld until `release_writes`.
+  /// Injects a fault: transactions are withheld until `release_writes`.
   void delay_writes(bool delay) { delaying_writes_ = delay; }
+  /// Applies the withheld transactions.
   void release_writes();
-  /// Calls are withheld until `release_calls`, when their leader may have given them up.
+  /// Injects a fault: calls to markets are withheld until `release_calls`, when the leader may have given
+  /// them up.
   void delay_calls(bool delay) { delaying_calls_ = delay; }
+  /// Delivers the withheld calls; nobody receives their answers.
   void release_calls();
 
-  static constexpr double start_s = 1000;  // the clock at the start; scenarios count from it
-  double now = start_s;
-  market::Settings settings;
-  std::vector<SimulatedMarket> markets;
-  std::vector<JobArrival> arrivals;
+  static constexpr double start_s = 1000;  ///< the clock at the start; times of scenarios count from it
+  double now = start_s;                    ///< the clock, in seconds
+  market::Settings settings;               ///< with the markets of the scenario
+  std::vector<SimulatedMarket> markets;    ///< in the order of the scenario
+  std::vector<JobArrival> arrivals;        ///< jobs; more may be added during the run
+  /// The present leader's; null between two leaders.
   market::BiddingService* bidding_service() { return leader_ ? &leader_->bidding_service : nullptr; }
+  /// The present leader's; null between two leaders.
   ClusterState* state() { return leader_ ? &leader_->cluster_state : nullptr; }
-  /// Highest sum of what was paid and what open records may cost, over the ceiling of the window; at most 1.
-  double highest_use = 0, max_hourly_spend = 0;
-  /// Most machines that were on their way or there for a part, over what it needed then and the extra ones.
+  /// Highest sum of what was paid and what open bids may cost, relative to a limit; has to stay at most 1.
+  double highest_use = 0,    ///< relative to the limit of the window
+      max_hourly_spend = 0;  ///< of open bids by the hour, relative to the limit of the hour
+  /// Most machines expected or present for a partition, relative to what it needed then with the extra
+  /// ones.
   double most_bought = 0;
-  std::set<std::string> bid_names;
-  int reused_names = 0;
-  int breaches = 0;
+  std::set<std::string> bid_names;  ///< of all bids ever recorded
+  int reused_names = 0;             ///< bids recorded under the name of an earlier one
+  int breaches = 0;                 ///< see MarketResult
 
  private:
   struct Leader {
@@ -114,16 +140,16 @@
   void publish(const Change& change, Revision revision);
   void send(const market::Call& call);
   market::Answer ask_market(const market::Call& call);
-  /// Makes machines of jobs that have arrived pending.
+  /// Makes the tasks of jobs that have arrived pending.
   void admit_arrivals();
-  /// A new leader takes over from what the store holds.
+  /// A new leader starts from the stored records.
   void begin_leader();
-  /// The policy's plan; keeps the highest ratio of bought to wanted machines.
+  /// The policy's plan; records the highest ratio of bought to needed machines.
   market::Plan plan_and_measure(const std::vector<market::Demand>& demands,
                                 const std::vector<market::Offer>& offers, const market::Ledger& ledger,
                                 double reference, const market::Settings& planner_settings);
   void adopt_delivered(const market::HostUpdate& delivery, const MachineRecord& record);
-  /// Takes the work off a machine, so that it is returned in this step.
+  /// Ends the use of a machine, so that it is returned in this step.
   void vacate(MachineIndex machine_index);
   void deliver_due_answers();
   void run_leader_cycle();
@@ -138,7 +164,7 @@
   MarketScenario scenario_;
   Policy policy_;
   std::mt19937_64 random_;
-  ClusterState known_state_;  // names that all leaders share; its tables stay empty
+  ClusterState known_state_;  // names that all leaders share; it has no other contents
   std::vector<MachineType> catalog_;
   std::unique_ptr<Leader> leader_;
   std::uint64_t last_term_ = 0;
@@ -161,7 +187,8 @@
   std::uint32_t machines_used_ = 0;
 };
 
-/// The plan by the given policy: the planner, one of its baselines, or the planner with perfect knowledge.
+/// The plan by the given policy. `truth`: what the oracle knows, by market; `reference`: the bidding
+/// service's reference price; `now`: seconds from the start. Pure.
 market::Plan baseline(Policy policy, const std::vector<MarketBehavior>& truth, double now,
                       const std::vector<market::Demand>& demands, std::vector<market::Offer> offers,
                       const market::Ledger& ledger, double reference, const market::Settings& settings);
--- a/include/oxbowmill/simulation/parallel.h
+++ b/include/oxbowmill/simulation/parallel.h
@@ -1,4 +1,4 @@
-// What experiments share: many runs on several threads, and the middle of what they gave.
+// What the experiments share: running many simulations on several threads, and medians. No state.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 namespace oxbowmill::simulation {
 
-/// Calls `run` with 0 to n-1, on several threads.
+/// Calls `run` with 0 to `n` - 1 on `threads` threads (one at least) and returns when all calls have. `run`
+/// has to be safe to call concurrently and must not throw.
 inline void run_in_parallel(std::size_t n, unsigned threads, const std::function<void(std::size_t)>& run) {
   std::atomic<std::size_t> next{0};
   std::vector<std::thread> worker_threads;
@@ -21,7 +22,7 @@
   for (std::thread& t : worker_threads) t.join();
 }
 
-/// 0 of none.
+/// 0 where there are no values.
 inline double median(std::vector<double> values) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
--- a/include/oxbowmill/simulation/random_histories.h
+++ b/include/oxbowmill/simulation/random_histories.h
@@ -1,22 +1,21 @@
-// Random troubles for a small cluster: several at once, by seed.
+// Random fault histories of a small cluster: several faults at once, reproducible by seed. No state.
 #pragma once
 
 #include "oxbowmill/simulation/cluster_simulation.h"
 
 namespace oxbowmill::simulation {
 
-/// Three controllers and two dozen machines, without troubles: jobs of few tasks beside gangs, users who
-/// withdraw.
+/// Three controllers and up to 24 machines without faults: small jobs beside gangs, and users who withdraw.
 ClusterScenario fault_combination_scenario();
-/// That cluster, of a size, with times and load drawn from this seed, with three to seven troubles, and time
-/// enough after the last of them for the rules to show.
+/// That cluster with its size, times and load drawn from the seed, three to seven faults, and enough time
+/// after the last of them for violations to show.
 ClusterScenario random_history(std::uint64_t seed);
-/// Appends time to the scenario until what its last fault brings about can be judged.
+/// Sets the scenario's duration so that the consequences of its last fault can be judged.
 void extend_for_settling(ClusterScenario& scenario);
-/// One that breaks a rule, with each fault taken out that the breach does not need; as it was where none is
-/// broken.
+/// The scenario without the faults that its violation does not need; unchanged where it violates no
+/// invariant. Plays the scenario once for each fault.
 ClusterScenario shrunk(ClusterScenario scenario, std::uint64_t seed);
-/// The faults as a scenario file tells them, a line each.
+/// The faults as in a scenario file, one line each.
 std::string to_script(const ClusterScenario& scenario);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/scale_users.h
+++ b/include/oxbowmill/simulation/scale_users.h
@@ -1,4 +1,5 @@
-// The users of a scale run: submissions at random times, polls and withdrawals through any controller.
+// Simulated users of a scale run: submissions at random times, polls and withdrawals through any controller.
+// It owns the users and their connections. One thread: that of its event loop.
 #pragma once
 
 #include <memory>
@@ -8,8 +9,10 @@
 
 namespace oxbowmill::simulation {
 
+/// Plays all users from its construction on, on the given event loop.
 class ScaleUsers {
  public:
+  /// References and `base` have to outlive it; `now`: steady clock, in seconds.
   ScaleUsers(event_base* base, const ScaleSettings& settings, const ScaleAddresses& addresses,
              ScaleEventWriter& events, std::function<double()> now);
 
@@ -30,7 +33,7 @@
   void on_submitted(User& user, const net::Response& response);
   void on_polled(User& user, const net::Response& response);
   void on_withdrawn(User& user, const net::Response& response);
-  /// What the answer says of the job; open or a final phase.
+  /// `answer`: open or a final phase.
   void record_answer(const User& user, JobAnswer answer);
   net::HttpClient& any_controller();
   void write_counts();
--- a/include/oxbowmill/simulation/simulated_market.h
+++ b/include/oxbowmill/simulation/simulated_market.h
@@ -1,5 +1,6 @@
-// Simulated market: speaks docs/market-protocol.md, with faults as its behavior says. Serves both the
-// simulated clock and loopback.
+// Simulated market: implements docs/market-protocol.md with the faults that its behaviour states. It owns its
+// bids and machines. It has no clock or sockets: it serves the simulated clock and, by MarketServer,
+// loopback. One thread.
 #pragma once
 
 #include <map>
@@ -13,52 +14,71 @@
 
 namespace oxbowmill::simulation {
 
-/// How a market behaves; chances are per bid or per response.
+/// How a market behaves; chances are per bid or per response, times in seconds.
 struct MarketBehavior {
-  std::string name;
-  double price = 8;  // per machine and hour, around which its quotes lie
-  std::uint32_t capacity = 40;
-  double delivery_s = 45, delivery_spread = 0.15;
-  double valid_s = 12, auction_s = 2;
-  double faults_from_s = 0, faults_to_s = 1e9;  // the faults below occur only in this time
-  double raise_chance = 0, raise_factor = 1.2;
-  double never_delivers_chance = 0;  // wins the bid and never delivers
-  double late_chance = 0, late_factor = 4;
-  double delivered_fraction = 1;  // of the machines of a bid
-  double wrong_delivery_chance = 0, double_delivery_chance = 0;
-  double throttle_chance = 0, garbled_response_chance = 0, absurd_response_chance = 0;
-  double stall_chance = 0;         // handles the request and does not respond
-  double lost_request_chance = 0;  // does not receive the request
-  bool runs_after_return = false;  // confirms the return, and the machine keeps running
-  double overcharge_factor = 1;
+  std::string name;                  ///< also the prefix of its machines' names
+  double price = 8;                  ///< per machine and hour; its quotes are within 3 % of it
+  std::uint32_t capacity = 40;       ///< most machines delivered or on order at once
+  double delivery_s = 45,            ///< median delivery time
+      delivery_spread = 0.15;        ///< standard deviation of its logarithm
+  double valid_s = 12,               ///< validity of a quote
+      auction_s = 2;                 ///< time until a bid is decided
+  double faults_from_s = 0,          ///< the faults below occur only from this time
+      faults_to_s = 1e9;             ///< until this time
+  double raise_chance = 0,           ///< it asks for a higher price
+      raise_factor = 1.2;            ///< by this factor
+  double never_delivers_chance = 0;  ///< wins the bid and never delivers
+  double late_chance = 0,            ///< delivers late
+      late_factor = 4;               ///< by this factor
+  double delivered_fraction = 1;     ///< of the machines of a bid
+  double wrong_delivery_chance = 0,  ///< delivers machines of another zone or type
+      double_delivery_chance = 0;    ///< delivers machines that belong to another bid
+  double throttle_chance = 0,        ///< answers 429 or 503
+      garbled_response_chance = 0,   ///< answers with a body that cannot be decoded
+      absurd_response_chance = 0;    ///< quotes a price that makes no sense
+  double stall_chance = 0;           ///< handles the request and does not respond
+  double lost_request_chance = 0;    ///< does not receive the request
+  bool runs_after_return = false;    ///< confirms the return, and the machine keeps running
+  double overcharge_factor = 1;      ///< charges so many times the price
 };
 
+/// A response of the market.
 struct MarketReply {
-  int status = 200;  // 0: none
-  std::string body;
-  int retry_after_s = 0;
+  int status = 200;       ///< HTTP status; 0: no response
+  std::string body;       ///< CBOR
+  int retry_after_s = 0;  ///< seconds; 0: not stated
 };
 
+/// One market. Times are in seconds on the caller's clock, from 0 on.
 class SimulatedMarket {
  public:
+  /// `types`, `zones`: names of what it can deliver.
   SimulatedMarket(MarketBehavior profile, std::uint64_t seed, std::vector<std::string> types,
                   std::vector<std::string> zones);
 
+  /// Handles one request; `body` in CBOR, may be empty.
   MarketReply handle(const std::string& method, const std::string& path, const std::string& body, double now);
   /// The same for a call of the bidding service, encoded and decoded.
   market::Answer call(const market::Call& c, const Names& names, double now);
   /// Decides auctions, delivers machines and ends those whose paid time is over.
   void tick(double now);
 
+  /// A machine that was delivered.
   struct Host {
-    std::string name, bid, type, zone;
-    double since = 0, until = -1;  // charged from, to; below 0: still charged
-    bool alive = true;
-    bool returned = false;
+    std::string name,       ///< unique within the market
+        bid,                ///< the bid that it was delivered for
+        type,               ///< machine type
+        zone;               ///< zone
+    double since = 0,       ///< charged from
+        until = -1;         ///< charged until; below 0: still charged
+    bool alive = true;      ///< its agent runs
+    bool returned = false;  ///< its return was confirmed
   };
+  /// By name; machines stay here after their end.
   const std::map<std::string, Host>& hosts() const { return hosts_; }
   /// Sum of the charges that it reports.
   double charged(double now) const;
+  /// As it was made.
   const MarketBehavior& behavior() const { return behavior_; }
   /// Bids that arrived under a known name with different contents.
   int reused_bid_names = 0;
