--- a/app/oxbowmill_sim.cpp
+++ b/app/oxbowmill_sim.cpp
@@ -1,4 +1,4 @@
-// oxbowmill-sim: experiments on a simulated clock or on loopback. Nothing of it is part of a controller.
+// oxbowmill-sim: experiments on a simulated clock or on loopback. No part of it is linked into a controller.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -77,7 +77,7 @@
   auto rows = simulation::play(scenario, seeds, threads);
   auto summary = simulation::summarise(scenario, rows);
   write_results(scenario.name + " on " + scenario.cluster, rows, summary, report);
-  // A broken invariant is a failure whatever the figures say.
+  // A violated invariant is a failure whatever the figures are.
   return std::any_of(summary.begin(), summary.end(), [](const auto& x) { return x.violations != 0; }) ? 1 : 0;
 }
 
@@ -142,9 +142,9 @@
   std::string file, report;
   unsigned seeds = 200, threads = std::max(1U, std::thread::hardware_concurrency());
   unsigned long long single_seed = 0, first_seed = 1;
-  std::string policy = "planner";              // of markets
-  std::string variant = "now", fleet;          // of cluster
-  simulation::ScaleOptions scale;              // of scale
+  std::string policy = "planner";              // of the markets command
+  std::string variant = "now", fleet;          // of the cluster command
+  simulation::ScaleOptions scale;              // of the scale command
   std::string market, listen = "127.0.0.1:0";  // of market
 };
 
--- a/src/simulation/cluster_agents.cpp
+++ b/src/simulation/cluster_agents.cpp
@@ -1,4 +1,4 @@
-// Workers of the fleet's world: reports, orders and what tasks come to.
+// Agents of the simulated cluster: reports, execution of commands, and the progress and end of tasks.
 #include "cluster_simulation_impl.h"
 
 namespace oxbowmill::simulation {
@@ -55,7 +55,7 @@
   ReportAnswer answer = process.controller->handle_report(report, now);
   bool delayed = now < delayed_responses_until && chance(delayed_responses_fraction);
   if (delayed || now < machine.receives_nothing_until) {
-    // A worker waits for 4 s, has one report under way, and drops what comes later.
+    // An agent waits 4 s for a response, sends no other report meanwhile, and drops a later response.
     double at_s = now < machine.receives_nothing_until ? now + 9 : now + draw(0.5, max_response_delay);
     if (at_s < now + 4) delayed_answers.push_back({at_s, name, answer});
     machine.waits_until = std::min(at_s, now + 4);
@@ -142,7 +142,7 @@
     machine.worker->tick(now);
     if (machine.worker->agent_epoch() != machine.agent_epoch) {
       machine.agent_epoch = machine.worker->agent_epoch();
-      // Its lease was over: everything on it is gone.
+      // Its lease has expired: all its tasks are gone.
       for (auto& [ref, job] : jobs) {
         for (auto it = job.runs.begin(); it != job.runs.end();) {
           TaskNumber t = it->first;
--- a/src/simulation/cluster_cloud.cpp
+++ b/src/simulation/cluster_cloud.cpp
@@ -1,4 +1,4 @@
-// The cloud of the fleet's world.
+// The cloud of the simulated cluster: scale-outs, deletions and lists of machines.
 #include "cluster_simulation_impl.h"
 
 namespace oxbowmill::simulation {
@@ -36,7 +36,7 @@
     calls.pop_front();
     ControllerProcess& process = controllers[call.controller];
     if (!process.controller) {
-      // The request was on its way already.
+      // The controller ended after it had sent the request.
       if (now < fast_boots_until && !call.list && call.deletes.empty() && now >= cloud_down_until)
         create_machines(call.scale_out);
       continue;
@@ -79,7 +79,7 @@
     add_machine(request.zone.value, request.spot, false);
     created_names.push_back("host-" + std::to_string(100000 + before));
     ++current_sample().rentals;
-    // A return undone.
+    // A machine that was returned is rented again.
     if (!returned_at.empty() && now > scenario_.warm_up_s / 2) {
       if (now - returned_at.back() < wasted_within_s) ++result.wasted_scale_outs;
       returned_at.pop_back();
@@ -98,7 +98,7 @@
                                [](const auto& t) { return t.second.phase != TaskPhase::ended; });
     if (working) ++result.marked_for_deletion_alive;
     if (!machine.used)
-      ++result.wasted_scale_outs;  // rented for nothing
+      ++result.wasted_scale_outs;  // rented and never used
     else if (!working)
       returned_at.push_back(now);
   }
--- a/src/simulation/cluster_controllers.cpp
+++ b/src/simulation/cluster_controllers.cpp
@@ -1,11 +1,12 @@
-// Controllers of the fleet's world: their links to the state service, claims and transactions.
+// Controllers of the simulated cluster: their connections to the state service, ownership and transactions.
 #include "cluster_simulation_impl.h"
 
 namespace oxbowmill::simulation {
 
 namespace {
 
-/// Start with the truth about machines: who is dead is suspected and condemned at once, and nobody else.
+/// Reconciliation with perfect knowledge: exactly the dead machines are suspected and marked for deletion, at
+/// once.
 class Oracle : public reconciliation::Reconciler {
  public:
   Oracle(const ClusterState& model, const Scheduler& scheduler, const reconciliation::Settings& s,
@@ -85,7 +86,7 @@
     process.next_sync = now + (controller.scheduler.owns_any() ? 0.1 : 0.6);
     process.pending_watches.push_back({now + delay_s(), now, store.events().size(), store.revision()});
   }
-  // Of a node that is cut off meanwhile the answer does not come.
+  // A controller that cannot reach the state service gets no responses to its open watches.
   if (!state_up) process.pending_watches.clear();
   for (; !process.pending_watches.empty() && process.pending_watches.front().at <= now;
        process.pending_watches.pop_front())
--- a/src/simulation/cluster_faults.cpp
+++ b/src/simulation/cluster_faults.cpp
@@ -1,4 +1,4 @@
-// Fault injection of the simulated cluster: what goes wrong, when, and until when.
+// Faults of the simulated cluster: injection, duration and end of each.
 #include "cluster_simulation_impl.h"
 
 namespace oxbowmill::simulation {
@@ -270,7 +270,7 @@
   if (delayed_reports_due_at > 0 && now >= delayed_reports_due_at) {
     for (const WorkerReport& r : delayed_reports) {
       for (ControllerProcess& n : controllers) {
-        // The agent timed these out long ago: no response reaches it.
+        // The agent has long stopped waiting for these: no response reaches it.
         if (acts(n) && n.state_loaded) n.controller->handle_report(r, now);
       }
     }
--- a/src/simulation/cluster_scenario.cpp
+++ b/src/simulation/cluster_scenario.cpp
@@ -1,4 +1,4 @@
-// Scenarios of the fleet's world as files describe them.
+// Scenario files of the simulated cluster, and the names of faults and variants.
 #include <algorithm>
 
 #include "oxbowmill/simulation/cluster_simulation.h"
--- a/src/simulation/cluster_simulation.cpp
+++ b/src/simulation/cluster_simulation.cpp
@@ -1,4 +1,4 @@
-// The fleet's world step by step, and what came of it.
+// The simulated cluster step by step, and its result.
 #include <spdlog/spdlog.h>
 
 #include <utility>
@@ -29,14 +29,15 @@
   for (std::uint32_t i = 0; i < scenario_.initial_gangs; ++i) submit(0);
   for (std::uint32_t i = 0; i < scenario_.initial_arrays; ++i) submit(1);
   for (std::size_t i = 0; i < controllers.size(); ++i) start_controller(i);
-  // What users cancel is no trouble: the undisturbed twin's do the same.
+  // Cancellations by users are no faults: they also happen in the run without faults.
   for (const Fault& f : scenario_.faults) {
     if (variant != SimulationVariant::without_faults || f.kind == FaultKind::jobs_cancelled)
       faults.push_back(f);
   }
   std::sort(faults.begin(), faults.end(), [](const Fault& a, const Fault& b) { return a.at_s < b.at_s; });
   if (!scenario_.faults.empty()) first_fault = scenario_.faults.front().at_s;
-  // An owner that is cut off learns of nothing for its hold's life, and its last answer takes up to 4 s.
+  // An isolated owner sees no cancellation until its controller lease ends; its last response may come 4 s
+  // later.
   invariants.set_start_tolerance(scenario_.faults.empty()
                                      ? 1
                                      : settings(0).operator_settings.controller_lease_s * 1.01 +
@@ -157,7 +158,7 @@
 
 std::map<std::string, InvariantChecker::UsableMachine> ClusterSimulation::Impl::usable_machines() const {
   std::map<std::string, InvariantChecker::UsableMachine> out;
-  if (now < faults_end()) return out;  // nothing is judged by it
+  if (now < faults_end()) return out;  // no invariant that needs it is checked during faults
   const double gpus = catalog().front().capacity.gpus;
   for (const auto& [name, h] : machines) {
     bool well = h.known && reachable(h) && now >= h.receives_nothing_until && now >= h.sends_nothing_until;
--- a/src/simulation/cluster_simulation_impl.h
+++ b/src/simulation/cluster_simulation_impl.h
@@ -1,4 +1,5 @@
-// State of the simulated cluster and what each of its parts does in a step; one source file per subject.
+// State of the simulated cluster, and what controllers, cloud, users, agents and faults do in a step; one
+// source file for each of these.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +21,7 @@
 
 struct ClusterSimulation::Impl {
   struct ControllerProcess {
-    std::unique_ptr<SimulatedController> controller;  // none: down
+    std::unique_ptr<SimulatedController> controller;  // null: the process is down
     double restarts_at = -1, frozen_until = -1, next_renew = 0, next_peer_update = 0, next_sync = 0,
            up_since = 0, without_state_until = -1, refused_until = -1, isolated_until = -1,
            registered_at = -1e9;
@@ -41,7 +42,7 @@
       std::uint64_t revision;
     };
     std::deque<PendingWatch> pending_watches;
-    std::map<std::string, JobPhase> final_phases;  // answered or read by this process
+    std::map<std::string, JobPhase> final_phases;  // that this process has answered or read
     service::FirstAttempts first_attempts;
   };
   struct SimulatedMachine {
@@ -52,7 +53,7 @@
            receives_nothing_until = -1, sends_nothing_until = -1, waits_until = -1;
     std::size_t controller = 0;
     std::uint64_t agent_epoch = 1;
-    std::map<std::uint32_t, double> images;  // by image: when it was fetched
+    std::map<std::uint32_t, double> images;  // by image: when its download ends
   };
   struct TaskRun {
     std::string machine_name, task_id;
@@ -63,12 +64,12 @@
     std::uint32_t class_index = 0, team = 0, tasks = 0, image = 0;
     double run_s = 0, gpus = 1, spread = 0;
     double run_time_s(TaskNumber task) const { return run_s * (1 + spread * task); }
-    std::map<TaskNumber, TaskRun> runs;    // by task, as its machine has it
-    std::map<TaskNumber, double> saved_s;  // progress in a checkpoint
+    std::map<TaskNumber, TaskRun> runs;    // tasks on machines
+    std::map<TaskNumber, double> saved_s;  // progress saved in a checkpoint
     double gang_started = -1, gang_saved = 0, gang_lost_at = -1;
     std::set<TaskNumber> done;
     double submitted = 0;
-    std::map<TaskNumber, double> started_at;  // when, of each task that has run for long enough to count
+    std::map<TaskNumber, double> started_at;  // of tasks that have run for long enough to count as started
     void record_start(TaskNumber task, double at_s) { started_at.try_emplace(task, at_s); }
   };
 
@@ -143,7 +144,7 @@
   /// controller.
   struct User {
     std::string ref;
-    Json body;  // as it is sent
+    Json body;  // of the submission
     double next_request_at = 0, withdraws_at = 1e18, queries_until = -1;
     bool accepted = false, finished = false, withdrawn = false, final = false;
   };
@@ -176,7 +177,7 @@
   void command(std::map<std::string, SimulatedMachine>::iterator machine_it, const DirectCommands& commands);
   void report(const std::string& name, SimulatedMachine& machine);
   void take_answer(const std::string& name, SimulatedMachine& machine, const ReportAnswer& answer);
-  /// Takes note of tasks that have just started or stopped on this agent.
+  /// Records tasks that have just started or stopped on this agent.
   void after_commands(const std::string& name, SimulatedMachine& machine);
   double progress(const SimulatedJob& job, const TaskRun& r) const;
   /// The task has left its machine; progress since its last checkpoint is lost.
@@ -191,7 +192,7 @@
   // --- Faults and invariants.
 
   std::size_t busiest_owner() const;
-  /// Machines that are up, in an order of this seed's.
+  /// Machines that are up, in random order by the seed.
   std::vector<std::string> pick_machines(std::uint32_t count);
   void kill_machine(const std::string& name);
   void apply(const Fault& fault_spec);
@@ -241,7 +242,8 @@
   SecondSample& current_sample() { return result.samples.back(); }
 
   ClusterResult play();
-  /// By job, as its user saw it: whether it was served and how late its last task started.
+  /// Counts, for each job that was accepted and not withdrawn, whether it has started and how long that
+  /// took.
   void count_served();
   void record_reconciled();
 
@@ -249,7 +251,7 @@
   SimulationVariant variant;
   std::mt19937_64 random;
   double now = 0;
-  static constexpr double wall_ahead = 1e-6;  // known, and as good as none
+  static constexpr double wall_ahead = 1e-6;  // offset of the wall clock: not absent, and negligible
   std::vector<std::string> zone_names;
   StateStore store;
   RunLog run_log;
@@ -266,7 +268,7 @@
          isolated_until = -1, end_cancels_fraction = 0, end_cancels_until = -1, repeated_queries_until = -1,
          invalid_requests_until = -1, fast_boots_until = -1, next_invalid_request = 0, max_response_delay = 6;
   std::vector<WorkerReport> retained_reports;
-  std::map<std::uint32_t, Revision> ownership_revisions;  // by partition: of the owner seen last
+  std::map<std::uint32_t, Revision> ownership_revisions;  // by partition: of the latest owner seen
   std::uint64_t invalid_request_count = 0;
   std::string isolated_zone;
   double delayed_writes_fraction = 0, delayed_writes_until = -1, report_copies_fraction = 0,
--- a/src/simulation/cluster_users.cpp
+++ b/src/simulation/cluster_users.cpp
@@ -1,4 +1,4 @@
-// Users of the fleet's world: what they submit, ask and call off, through any node.
+// Users of the simulated cluster: submissions, queries and withdrawals through any controller.
 #include "cluster_simulation_impl.h"
 
 namespace oxbowmill::simulation {
@@ -78,7 +78,7 @@
                                                : poll(process, user.ref);
   invariants.on_answer(user.ref, answer, now);
   if (answer == JobAnswer::no_answer && user.finished) {
-    user.finished = false;  // who got no answer asks again
+    user.finished = false;  // without an answer the user asks again
     user.next_request_at = now + 1.5;
   }
   record_answer(user, answer);
@@ -135,7 +135,7 @@
                                   : withdraws    ? RequestKind::withdrawal
                                                  : RequestKind::status);
     user.next_request_at = now + (what == JobAnswer::no_answer ? 1.5 : 5);
-    // Some ask again later, through others.
+    // Some users ask again later, through other controllers.
     bool final = what == JobAnswer::done || what == JobAnswer::cancelled;
     user.finished = final && !chance(0.7);
   }
@@ -169,7 +169,7 @@
                                              Json* value, std::uint64_t* revision) const {
   using Step = service::QueryStep;
   if (step == Step::wait_for_replica) {
-    // Its tables are current where a watch that was opened after the question came has been answered.
+    // The replica is current once a watch that was opened after the query has been answered.
     bool current = reaches_state(process) && delay_s() == 0 && process.next_sync > now &&
                    process.pending_watches.empty();
     if (current) process.controller->sync(now);
--- a/src/simulation/decision_simulation.cpp
+++ b/src/simulation/decision_simulation.cpp
@@ -309,7 +309,7 @@
       stale_s_ += published.size() == 1 ? step_s : 0;
     }
     if (published.size() < editions.size()) {
-      ++row_.violations;  // left unpublished
+      ++row_.violations;  // not published in time
       return;
     }
     if (row_.variant == unpaired) return;
@@ -333,7 +333,7 @@
   const DecisionScenario& scenario_;
   DecisionRow row_;
   DecisionSimulation simulation_;
-  std::string tag_;                      // of the present revision, in the names of its jobs
+  std::string tag_;                      // of the present revision, part of its jobs' names
   std::map<std::string, double> run_s_;  // by job
   std::vector<double> to_publish_;       // by revision: from rendered until both publishing jobs run
   double stale_s_ = 0, total_s_ = 0;
--- a/src/simulation/invariant_checker.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr double forgotten_after_s = 75;
-constexpr double abandoned_after_s = 90;  // a job waits no longer where it could start
+constexpr double abandoned_after_s = 90;  // longest time that a job may wait while it could start
 constexpr double slack = 1e-6;
 }  // namespace
 
@@ -53,7 +53,7 @@
                                                 [](const auto& t) { return !t.second.empty(); }));
 }
 
-/// The task would be where the job does not allow it, given its other tasks.
+/// The job does not allow a task at this place, given where its other tasks are.
 bool InvariantChecker::misplaced(const Job& job_state, const MachinePlacement& place) const {
   const JobTerms& terms = job_state.terms;
   if (place.spot && !terms.spot) return true;
@@ -77,7 +77,7 @@
   if (after >= 0) ++late_starts;
   bool late = after >= 0 && after > std::min(start_tolerance_s_, cancel_s_);
   if (late) {
-    cancelled_.erase(job);  // said once
+    cancelled_.erase(job);  // reported once
     record_violation("ran_cancelled", job, now);
   }
   if (misplaced(job_state, place)) record_violation("wrong_place", job, now);
@@ -109,7 +109,7 @@
 void InvariantChecker::on_stored(const std::string& job, bool there, double now) {
   Job& j = jobs_[job];
   if (there || !j.accepted || j.forgotten) return;
-  j.forgotten = true;  // said once
+  j.forgotten = true;  // reported once
   record_violation("forgotten", job, now);
 }
 
@@ -124,7 +124,8 @@
   return most <= 0 || (used == gpus_by_team_.end() ? 0 : used->second) + wanted <= most + slack;
 }
 
-/// Machines have had room all the time since then for what the job lacks (of an array: one task).
+/// All the time since then, machines have had free capacity for the tasks that the job misses (array: one
+/// task).
 bool InvariantChecker::has_capacity_since(const Job& job_state, double since) const {
   const JobTerms& terms = job_state.terms;
   std::map<std::string, std::size_t> room;  // tasks by zone
--- a/src/simulation/market_baselines.cpp
+++ b/src/simulation/market_baselines.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int delivery_samples = 40;  // observations from which the oracle's delivery distribution is built
-constexpr double certain_loss_chance = 0.9;  // a market that loses more is of no use at all
+constexpr double certain_loss_chance = 0.9;  // the oracle ignores a market that loses more
 constexpr double raise_margin = 1.05, price_margin = 1.03;
 
 /// The fraction of ordered machines that the market is going to deliver now, on average.
--- a/src/simulation/market_simulation.cpp
+++ b/src/simulation/market_simulation.cpp
@@ -71,7 +71,7 @@
   std::uniform_real_distribution<> uniform(0, 1);
   for (std::uint32_t i = 0; i < scenario.jobs; ++i) {
     JobArrival arrival;
-    // Half of it stands there when the zone drops, the rest comes over the following minutes.
+    // Half of the jobs exist when the zone is lost, the others arrive over the following minutes.
     arrival.arrives_at = scenario.drop_at_s + (i % 2 == 0 ? 0 : uniform(random_) * scenario.duration_s / 3);
     arrival.run_s = scenario.run_s * (0.6 + 0.8 * uniform(random_));
     arrival.due_s = arrival.run_s + scenario.slack_s * (0.6 + 0.8 * uniform(random_));
--- a/src/simulation/random_histories.cpp
+++ b/src/simulation/random_histories.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr double abandoned_after_s =
-    90;  // the longest that a rule waits for: a job that could begin, and does not
+    90;  // the longest time that an invariant waits: for a job that could start and does not
 }  // namespace
 
 ClusterScenario fault_combination_scenario() {
@@ -38,7 +38,8 @@
   scenario.small_array_fraction = 0.7;
   scenario.zone_bound_fraction = 0.3;
   scenario.withdrawn_fraction = 0.3;
-  scenario.gang_wait_s = 3;  // shorter than images differ in their fetch: members give up and come back
+  scenario.gang_wait_s =
+      3;  // shorter than the differences of image downloads: members time out and are placed again
   scenario.duration_s = scenario.warm_up_s;
   return scenario;
 }
@@ -53,7 +54,7 @@
 ClusterScenario random_history(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   auto draw = [&](double a, double b) { return std::uniform_real_distribution<double>(a, b)(random); };
-  // Each with its longest time and largest share.
+  // Each kind with its longest duration and largest fraction.
   struct FaultTemplate {
     FaultKind kind;
     double duration_s, fraction;
--- a/src/simulation/scale_controller_settings.cpp
+++ b/src/simulation/scale_controller_settings.cpp
@@ -1,4 +1,4 @@
-// The platform's settings file of a controller of a scale run.
+// Writes the platform's settings file of a controller of a scale run.
 #include "scale_controller_settings.h"
 
 #include <fstream>
--- a/src/simulation/scale_report.cpp
+++ b/src/simulation/scale_report.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Beyond these a simulator, not the service, was the limit, and the run gives no figures.
+// Beyond these a simulator, not the controllers, limited the run, and its figures do not count.
 constexpr double max_processor_fraction = 0.85, max_lateness_s = 0.5;
 
 Json distribution_json(const Distribution& distribution) {
@@ -43,7 +43,7 @@
   return json;
 }
 
-/// Why a simulator was the limit of this run; empty: none was.
+/// Why a simulator limited this run; empty: none did.
 std::vector<std::string> limits_of_simulators(const ScaleEvaluator& evaluator,
                                               const std::vector<ScaleProcess>& processes, double seconds) {
   std::vector<std::string> reasons;
--- a/src/simulation/scale_report.h
+++ b/src/simulation/scale_report.h
@@ -1,4 +1,5 @@
-// Figures of a scale run, from what its processes used and its evaluator counted.
+// Makes the report of a scale run from the resources that its processes used and from its evaluator. No
+// state.
 #pragma once
 
 #include <string>
--- a/src/simulation/scale_run.cpp
+++ b/src/simulation/scale_run.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr std::uint16_t lowest_port = 10000, ports = 20000;  // below those that the system hands out
-constexpr double events_settle_s = 1.5;                      // a process's events may arrive this late
+constexpr std::uint16_t lowest_port = 10000, ports = 20000;  // below the system's ephemeral ports
+constexpr double events_settle_s = 1.5;                      // events of a process may arrive this late
 constexpr double sample_every_s = 1, progress_every_s = 10;
 
 volatile std::sig_atomic_t interrupted = 0;
@@ -235,7 +235,7 @@
   bool warmed_up_ = false;
 };
 
-/// While it lives, SIGINT and SIGTERM end the run in order, with its processes.
+/// During its lifetime SIGINT and SIGTERM end the run and its processes in order.
 class InterruptGuard {
  public:
   InterruptGuard() {
--- a/src/simulation/scale_settings.cpp
+++ b/src/simulation/scale_settings.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double max_workers = 5000, max_controllers = 9, longest_run_s = 300, max_tasks = 100000;
-constexpr double settles_s = 5;  // after a trouble, until nothing of it is under way
+constexpr double settles_s = 5;  // after a fault, until none of its consequences is in flight
 constexpr std::size_t max_kinds = 16, max_faults = 32;
 
 constexpr ScaleFaultKind fault_kinds[] = {
--- a/src/simulation/simulated_market.cpp
+++ b/src/simulation/simulated_market.cpp
@@ -70,7 +70,7 @@
 }
 
 void SimulatedMarket::withdraw(const std::string& name) {
-  // The name is used up, also by the withdrawal of a bid that has not arrived yet.
+  // No later bid may use the name, also where the withdrawal arrives before the bid.
   bool is_new = bids_.find(name) == bids_.end();
   Bid& bid = bids_[name];
   if (is_new || bid.phase == "open" || bid.phase == "raised") {
@@ -201,7 +201,7 @@
 void SimulatedMarket::deliver(const std::string& name, Bid& bid, double now) {
   bid.deliveries.pop_back();
   if (bid.delivers_twice) {
-    // Another bid's machine, sold again.
+    // A machine of another bid, sold again.
     for (const auto& [host, h] : hosts_) {
       if (h.bid == name || !h.alive) continue;
       bid.hosts.insert(host);
--- a/src/simulation/state_server.cpp
+++ b/src/simulation/state_server.cpp
@@ -146,7 +146,7 @@
 }
 
 bool StateServer::answer_watch(const Watch& watch, bool over) {
-  if (store_.outage()) return false;  // open watches wait
+  if (store_.outage()) return false;  // open watches wait until the outage is over
   Json update = Json::array();
   auto first = std::upper_bound(log_.begin(), log_.end(), watch.from,
                                 [](std::uint64_t from, const LogEntry& l) { return from < l.revision; });
