--- /dev/null
+++ b/include/oxbowmill/market/delivery_intake.h
@@ -0,0 +1,47 @@
+// What markets deliver under bids: new machines are checked and given to partitions, those that were not bid
+// for are returned, and the outcome is counted in the market's reputation. Holds no state of its own beyond
+// the bids'; used on the controller's thread only.
+#pragma once
+
+#include <string>
+
+#include "oxbowmill/cluster/cluster_state.h"
+#include "oxbowmill/market/bid_book.h"
+#include "oxbowmill/market/charge_guard.h"
+#include "oxbowmill/market/machine_callbacks.h"
+#include "oxbowmill/market/market_registry.h"
+#include "oxbowmill/market/return_queue.h"
+
+namespace oxbowmill::market {
+
+/// Adopts delivered machines.
+class DeliveryIntake {
+ public:
+  /// All of them must outlive it; `on_delivered` may be set later.
+  DeliveryIntake(const ClusterState& state, const MarketRegistry& markets, BidBook& bids,
+                 ChargeGuard& charges, ReturnQueue& returns, const DeliveryHandler& on_delivered)
+      : state_(state),
+        markets_(markets),
+        bids_(bids),
+        charges_(charges),
+        returns_(returns),
+        on_delivered_(on_delivered) {}
+
+  /// Adopts the machines of an update that are new.
+  void adopt_hosts(Bid& bid, const BidUpdate& update, Seconds now);
+  /// Counts once, at the end of deliveries, how many of its machines came.
+  void evaluate(Bid& bid);
+
+ private:
+  void adopt_host(Bid& bid, const HostUpdate& host, Seconds now);
+  const std::string* other_bid_of(const Bid& bid, const std::string& host, MachineIndex machine) const;
+
+  const ClusterState& state_;
+  const MarketRegistry& markets_;
+  BidBook& bids_;
+  ChargeGuard& charges_;
+  ReturnQueue& returns_;
+  const DeliveryHandler& on_delivered_;
+};
+
+}  // namespace oxbowmill::market
--- a/src/market/bid.cpp
+++ b/src/market/bid.cpp
@@ -2,71 +2,96 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
 #include <array>
 #include <cmath>
 
+#include "oxbowmill/market/state_set.h"
+
 namespace oxbowmill::market {
 
 namespace {
-using S = BidState;
-constexpr std::size_t state_count = static_cast<std::size_t>(S::closed) + 1;
-
-constexpr std::uint32_t state_bit(S s) {
-  return 1U << static_cast<unsigned>(s);
-}
+using State = BidState;
+constexpr std::size_t state_count = static_cast<std::size_t>(State::closed) + 1;
 
-/// By state: those that may follow it.
-constexpr std::array<std::uint32_t, state_count> allowed_transitions = {
-    /* committing  */ state_bit(S::committed) | state_bit(S::closed),
-    /* committed   */ state_bit(S::submitted) | state_bit(S::settling),
-    /* asked       */ state_bit(S::open) | state_bit(S::raised) | state_bit(S::won) | state_bit(S::running) |
-        state_bit(S::withdrawing) | state_bit(S::settling),
-    /* in_doubt    */ state_bit(S::open) | state_bit(S::raised) | state_bit(S::won) | state_bit(S::running) |
-        state_bit(S::withdrawing) | state_bit(S::settling),
-    /* open        */ state_bit(S::raised) | state_bit(S::won) | state_bit(S::running) |
-        state_bit(S::withdrawing) | state_bit(S::settling),
-    /* raised      */ state_bit(S::confirming) | state_bit(S::open) | state_bit(S::won) |
-        state_bit(S::running) | state_bit(S::withdrawing) | state_bit(S::settling),
-    /* confirming  */ state_bit(S::raised) | state_bit(S::open) | state_bit(S::won) | state_bit(S::running) |
-        state_bit(S::withdrawing) | state_bit(S::settling),
-    /* won         */ state_bit(S::running) | state_bit(S::withdrawing) | state_bit(S::settling),
-    /* running     */ state_bit(S::settling),
-    /* withdrawing */ state_bit(S::running) | state_bit(S::settling),
-    /* settling    */ state_bit(S::closed),
-    /* closed      */ 0,
-};
+/// By state: its successors.
+constexpr std::array<StateSet<State>, state_count> allowed_transitions = {{
+    /* committing  */ {State::committed, State::closed},
+    /* committed   */ {State::submitted, State::settling},
+    /* submitted   */
+    {State::open, State::raised, State::won, State::running, State::withdrawing, State::settling},
+    /* unconfirmed */
+    {State::open, State::raised, State::won, State::running, State::withdrawing, State::settling},
+    /* open        */ {State::raised, State::won, State::running, State::withdrawing, State::settling},
+    /* raised      */
+    {State::confirming, State::open, State::won, State::running, State::withdrawing, State::settling},
+    /* confirming  */
+    {State::raised, State::open, State::won, State::running, State::withdrawing, State::settling},
+    /* won         */ {State::running, State::withdrawing, State::settling},
+    /* running     */ {State::settling},
+    /* withdrawing */ {State::running, State::settling},
+    /* settling    */ {State::closed},
+    /* closed      */ {},
+}};
 }  // namespace
 
 const char* name_of(BidState state) {
-  static constexpr const char* names[] = {"committing", "committed",   "asked",      "in_doubt",
-                                          "open",       "raised",      "confirming", "won",
-                                          "running",    "withdrawing", "settling",   "closed"};
-  return names[static_cast<int>(state)];
+  static constexpr std::array<const char*, state_count> names = {
+      "committing", "committed", "submitted", "unconfirmed", "open",     "raised",
+      "confirming", "won",       "running",   "withdrawing", "settling", "closed"};
+  return names.at(static_cast<std::size_t>(state));
 }
 
-const char* name_of(BidPriority demand_class) {
-  static constexpr const char* names[] = {"guaranteed", "starved", "high", "standard", "best_effort"};
-  return names[static_cast<int>(demand_class)];
+const char* name_of(BidPriority priority) {
+  static constexpr std::array<const char*, 5> names = {"guaranteed", "starved", "high", "standard",
+                                                       "best_effort"};
+  return names.at(static_cast<std::size_t>(priority));
 }
 
 bool may_follow(BidState from, BidState to) {
-  return (allowed_transitions[static_cast<std::size_t>(from)] & state_bit(to)) != 0;
+  return allowed_transitions.at(static_cast<std::size_t>(from)).contains(to);
 }
 
 bool set_state(Bid& bid, BidState to, const std::string& why) {
   if (bid.state == to) return true;
   if (!may_follow(bid.state, to)) {
-    SPDLOG_ERROR("bid {}: {} cannot become {} ({})", bid.name, name_of(bid.state), name_of(to), why);
+    SPDLOG_ERROR("bid state change refused bid={} from={} to={} reason=\"{}\"", bid.name, name_of(bid.state),
+                 name_of(to), why);
     return false;
   }
-  SPDLOG_INFO("bid {}: {} -> {}: {}", bid.name, name_of(bid.state), name_of(to), why);
+  SPDLOG_INFO("bid state changed bid={} from={} to={} reason=\"{}\"", bid.name, name_of(bid.state),
+              name_of(to), why);
   bid.state = to;
   return true;
 }
 
+std::string bid_name_prefix(const std::string& controller_name, Revision leadership_revision) {
+  return controller_name + "-" + std::to_string(leadership_revision) + "-b";
+}
+
+std::uint32_t missing_machines(const Bid& bid) {
+  switch (bid.state) {
+    case State::running:
+    case State::settling:
+    case State::closed:
+      return 0;
+    default:
+      return bid.record.count() - std::min(bid.record.count(), bid.delivered);
+  }
+}
+
+bool is_overdue(const Bid& bid, Seconds now) {
+  return missing_machines(bid) > 0 && bid.first_sent_at >= 0 && now > bid.abandon_at;
+}
+
+bool is_delivery_late(const Bid& bid, Seconds now) {
+  bool given_up = bid.withdraw_requested || bid.state == State::withdrawing;
+  return missing_machines(bid) > 0 && (given_up || (bid.first_sent_at >= 0 && now > bid.late_after));
+}
+
 MoneyAmount worst_case(MoneyAmount limit, double max_paid_s, std::uint32_t machines) {
-  double one = std::ceil(static_cast<double>(limit) * max_paid_s / 3600);
-  return static_cast<MoneyAmount>(one) * static_cast<MoneyAmount>(machines);
+  double per_machine = std::ceil(static_cast<double>(limit) * max_paid_s / seconds_per_hour);
+  return static_cast<MoneyAmount>(per_machine) * static_cast<MoneyAmount>(machines);
 }
 
 MoneyAmount worst_case(const BidRecord& record) {
--- /dev/null
+++ b/src/market/charge_guard.cpp
@@ -0,0 +1,81 @@
+#include "oxbowmill/market/charge_guard.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <vector>
+
+namespace oxbowmill::market {
+
+namespace {
+constexpr std::size_t max_settled_bids = 5000;   // remembered
+constexpr MoneyAmount rounding_tolerance = 100;  // millionths, in sums of charges
+constexpr Seconds min_charged_s = 60;            // a market may charge at least that long for a machine
+
+std::string amount_text(MoneyAmount amount) {
+  return std::to_string(to_currency(amount));
+}
+}  // namespace
+
+void ChargeGuard::check_charge(Bid& bid, MoneyAmount charged, Seconds now) {
+  if (bid.disputed) return;
+  MoneyAmount most = worst_case(bid.record);
+  if (bid.charged_since >= 0) {
+    // How long its machines have been there shows an excess long before the worst case is passed.
+    double longest_s = now - bid.charged_since + min_charged_s;
+    most = std::min(most, worst_case(bid.record.price_limit, longest_s, bid.record.count()));
+  }
+  if (charged > most + rounding_tolerance)
+    dispute(bid, "charges " + amount_text(charged) + " where " + amount_text(most) + " is the most");
+}
+
+void ChargeGuard::on_charges(MarketClient& client, const Answer& answer, Revision leadership_revision,
+                             Seconds now) {
+  for (const ChargeUpdate& charge : answer.charges) {
+    client.on_charge_read(charge.number);
+    Bid* bid = bids_.find(charge.bid);
+    if (bid == nullptr) {
+      check_settled_charge(client, charge, leadership_revision);
+      continue;
+    }
+    if (bid->record.market != client.market_settings().index) continue;
+    check_charge(*bid, charge.amount, now);
+    if (bid->state != BidState::settling) bid->charged = std::max(bid->charged, charge.amount);
+  }
+}
+
+void ChargeGuard::check_settled_charge(MarketClient& client, const ChargeUpdate& charge,
+                                       Revision leadership_revision) {
+  auto settled = settled_costs_.find(charge.bid);
+  if (settled != settled_costs_.end()) {
+    if (charge.amount > settled->second + rounding_tolerance)
+      client.suspend("charges " + amount_text(charge.amount) + " for bid " + charge.bid + ", which was over");
+    return;
+  }
+  bool own = charge.bid.rfind(bid_name_prefix(state_.settings.controller_name, leadership_revision), 0) == 0;
+  if (own && charge.amount > rounding_tolerance)
+    client.suspend("charges " + amount_text(charge.amount) + " for bid " + charge.bid +
+                   ", which it never got");
+}
+
+void ChargeGuard::dispute(Bid& bid, const std::string& why) {
+  SPDLOG_ERROR("bid disputed bid={} reason=\"{}\"", bid.name, why);
+  bid.disputed = true;
+  markets_.find(bid.record.market)->suspend("bid " + bid.name + ": " + why);
+  std::vector<MachineIndex> machines;
+  for (const std::string& host : bid.hosts) {
+    MachineIndex machine = state_.find_recorded(host);
+    if (!machine.valid()) continue;
+    // A machine that reported before the market named it has a record without a bid.
+    const MachineRecord& record = state_.machine(machine).record;
+    if (record.market == bid.record.market && (record.bid.empty() || record.bid == bid.name))
+      machines.push_back(machine);
+  }
+  if (!machines.empty() && on_overpriced_) on_overpriced_(machines);
+}
+
+void ChargeGuard::on_settled(const Bid& bid) {
+  if (settled_costs_.size() < max_settled_bids) settled_costs_[bid.name] = bid.charged;
+}
+
+}  // namespace oxbowmill::market
--- a/src/market/ledger.cpp
+++ b/src/market/ledger.cpp
@@ -2,26 +2,43 @@
 
 #include <algorithm>
 #include <cmath>
-#include <limits>
 
 namespace oxbowmill::market {
 
+namespace {
+constexpr std::uint32_t no_machine_limit = 1'000'000;  // more than any plan asks for
+
+/// Lowers `machines` to what a limit still allows at `each` for a machine; 0: no such limit.
+void limit_machines(std::uint32_t& machines, MoneyAmount limit, MoneyAmount used, MoneyAmount each) {
+  if (limit <= 0 || each <= 0) return;
+  MoneyAmount affordable = std::max<MoneyAmount>(0, limit - used) / each;
+  machines = static_cast<std::uint32_t>(std::min<MoneyAmount>(machines, affordable));
+}
+
+/// Which limit would be exceeded by this much more; null: none.
+const char* exceeded_limit(const SpendingLimit& limit, const Ledger::Usage& usage, MoneyAmount per_hour,
+                           MoneyAmount worst) {
+  if (limit.per_hour > 0 && usage.per_hour + per_hour > limit.per_hour) return "per hour";
+  if (limit.per_window > 0 && usage.in_window + worst > limit.per_window) return "per window";
+  return nullptr;
+}
+}  // namespace
+
 std::int64_t Ledger::window_number(double wall) const {
   return static_cast<std::int64_t>(std::floor(wall / settings_.window_s));
 }
 
-void Ledger::load(const LedgerRecord& rec, double wall) {
-  // A clock that was set back does not bring spending of a later window to nothing.
-  std::int64_t now = std::max(window_number(wall), rec.window);
-  spent_ = rec.window == now ? rec : LedgerRecord{now, {}};
+void Ledger::load(const LedgerRecord& record, double wall) {
+  // A clock that was set back must not clear the spending of a later window.
+  std::int64_t window = std::max(window_number(wall), record.window);
+  spent_ = record.window == window ? record : LedgerRecord{window, {}};
 }
 
 Ledger::Usage Ledger::usage() const {
   Usage current_usage;
   for (const auto& [partition, amount] : spent_.spent) current_usage.in_window += amount;
   for (const auto& [name, reservation] : reservations_) {
-    current_usage.per_hour +=
-        reservation.record.price_limit * static_cast<MoneyAmount>(reservation.record.count());
+    current_usage.per_hour += reservation.per_hour();
     current_usage.in_window += worst_case(reservation.record);
   }
   return current_usage;
@@ -30,8 +47,7 @@
 MoneyAmount Ledger::starved_per_hour() const {
   MoneyAmount sum = 0;
   for (const auto& [name, reservation] : reservations_) {
-    if (reservation.starved)
-      sum += reservation.record.price_limit * static_cast<MoneyAmount>(reservation.record.count());
+    if (reservation.starved) sum += reservation.per_hour();
   }
   return sum;
 }
@@ -56,43 +72,29 @@
 
 std::uint32_t Ledger::affordable_machines(PartitionIndex partition, MoneyAmount limit,
                                           double max_paid_s) const {
-  constexpr std::uint32_t plenty = 1'000'000;
-  MoneyAmount one = worst_case(limit, max_paid_s, 1);
-  std::uint32_t most = plenty;
-  auto within = [&](const SpendingLimit& spending_limit, const Usage& current_usage) {
-    auto bound = [&](MoneyAmount ceiling, MoneyAmount used, MoneyAmount each) {
-      if (ceiling <= 0 || each <= 0) return;
-      MoneyAmount n = std::max<MoneyAmount>(0, ceiling - used) / each;
-      most = static_cast<std::uint32_t>(std::min<MoneyAmount>(most, n));
-    };
-    bound(spending_limit.per_hour, current_usage.per_hour, limit);
-    bound(spending_limit.per_window, current_usage.in_window, one);
+  MoneyAmount worst = worst_case(limit, max_paid_s, 1);
+  std::uint32_t machines = no_machine_limit;
+  auto apply = [&](const SpendingLimit& spending_limit, const Usage& current_usage) {
+    limit_machines(machines, spending_limit.per_hour, current_usage.per_hour, limit);
+    limit_machines(machines, spending_limit.per_window, current_usage.in_window, worst);
   };
-  within(settings_.total_limit, usage());
-  if (const SpendingLimit* c = team_limit(partition)) within(*c, usage(partition));
-  return most;
+  apply(settings_.total_limit, usage());
+  if (const SpendingLimit* team = team_limit(partition)) apply(*team, usage(partition));
+  return machines;
 }
 
 std::optional<std::string> Ledger::rejection_reason(const BidRecord& record) const {
-  auto over = [](const SpendingLimit& spending_limit, const Usage& current_usage, MoneyAmount hour,
-                 MoneyAmount worst) -> const char* {
-    if (spending_limit.per_hour > 0 && current_usage.per_hour + hour > spending_limit.per_hour)
-      return "per hour";
-    if (spending_limit.per_window > 0 && current_usage.in_window + worst > spending_limit.per_window)
-      return "per window";
-    return nullptr;
-  };
   auto machines = static_cast<MoneyAmount>(record.count());
-  if (const char* what =
-          over(settings_.total_limit, usage(), record.price_limit * machines, worst_case(record)))
-    return std::string("the ceiling ") + what + " is reached";
+  if (const char* which =
+          exceeded_limit(settings_.total_limit, usage(), record.price_limit * machines, worst_case(record)))
+    return std::string("the ceiling ") + which + " is reached";
   for (const auto& [partition, machine_count] : record.machines) {
-    const SpendingLimit* c = team_limit(partition);
-    if (c == nullptr) continue;
-    if (const char* what =
-            over(*c, usage(partition), record.price_limit * static_cast<MoneyAmount>(machine_count),
-                 worst_case(record.price_limit, record.max_paid_s, machine_count)))
-      return std::string("a team's ceiling ") + what + " is reached";
+    const SpendingLimit* team = team_limit(partition);
+    if (team == nullptr) continue;
+    if (const char* which = exceeded_limit(*team, usage(partition),
+                                           record.price_limit * static_cast<MoneyAmount>(machine_count),
+                                           worst_case(record.price_limit, record.max_paid_s, machine_count)))
+      return std::string("a team's ceiling ") + which + " is reached";
   }
   return std::nullopt;
 }
@@ -103,7 +105,7 @@
   MoneyAmount left = charged;
   auto machines = static_cast<MoneyAmount>(record.count());
   for (auto it = record.machines.begin(); it != record.machines.end() && machines > 0; ++it) {
-    // The last takes what rounding leaves, so that the parts add up to the whole.
+    // The last partition takes what rounding leaves, so that the shares add up to the whole.
     MoneyAmount partition_cost =
         std::next(it) == record.machines.end() ? left : charged * it->second / machines;
     ledger_record.spent[it->first] += partition_cost;
--- /dev/null
+++ b/src/market/pricing.cpp
@@ -0,0 +1,73 @@
+#include "oxbowmill/market/pricing.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace oxbowmill::market {
+
+namespace {
+/// How much of a machine's value is lost when the deadline is missed; the rest is lost beyond the tolerance.
+constexpr double deadline_weight = 0.7;
+
+/// What a machine that does not come in time costs, in machine-hours of the reference price.
+double lateness_weight(BidPriority priority) {
+  switch (priority) {
+    case BidPriority::guaranteed:
+      return 12;
+    case BidPriority::high:
+      return 8;
+    case BidPriority::starved:
+    case BidPriority::standard:
+      return 5;
+    case BidPriority::best_effort:
+      return 2.5;
+  }
+  return 1;
+}
+
+double run_hours(const Demand& demand) {
+  return std::max(demand.run_s, min_run_s) / seconds_per_hour;
+}
+}  // namespace
+
+double Pricing::unserved_cost(const Demand& demand, double reference) {
+  return lateness_weight(demand.priority) * reference * run_hours(demand);
+}
+
+double Pricing::machines_per_unit(const Demand& demand, const Offer& offer) {
+  if (offer.spot && !demand.spot) return 0;
+  if (demand.zone.valid() && demand.zone != offer.zone) return 0;
+  if (offer.type.value >= demand.per_machine.size() || demand.per_machine[offer.type.value] == 0) return 0;
+  double most_tasks = *std::max_element(demand.per_machine.begin(), demand.per_machine.end());
+  return most_tasks / demand.per_machine[offer.type.value];
+}
+
+double Pricing::bid_limit(const Demand& demand, const Offer& offer, double reference,
+                          const Settings& settings) {
+  if (!offer.market.valid()) return offer.price_limit;
+  // Best-effort work takes what is quoted and never outbids.
+  if (demand.priority == BidPriority::best_effort || demand.priority == BidPriority::starved)
+    return std::min(offer.quoted_price, settings.limit_factor * reference);
+  // No more is paid than it costs to leave the work unserved.
+  return std::min(
+      {offer.price_limit, lateness_weight(demand.priority) * reference, settings.limit_factor * reference});
+}
+
+double Pricing::on_time_probability(const Demand& demand, const Offer& offer, const Settings& settings) {
+  double slack = std::isfinite(demand.slack_s) ? demand.slack_s : settings.delivery_tolerance_s;
+  // Work that is late already still gains from a machine soon: it is not left unserved for ever.
+  double later = std::max(slack, 0.0) + offer.promised_delivery_s + settings.delivery_tolerance_s;
+  double on_time_weight = deadline_weight * std::clamp(slack / settings.delivery_tolerance_s, 0.0, 1.0);
+  double probability = on_time_weight * offer.delivery_distribution.probability_within(slack) +
+                       (1 - on_time_weight) * offer.delivery_distribution.probability_within(later);
+  return offer.delivered_fraction * probability;
+}
+
+double Pricing::expected_cost(const Demand& demand, const Offer& offer, double reference,
+                              const Settings& settings) {
+  // What comes is paid for, also when late; what never comes costs only what lateness costs.
+  return offer.delivered_fraction * offer.expected_price * run_hours(demand) +
+         (1 - on_time_probability(demand, offer, settings)) * unserved_cost(demand, reference);
+}
+
+}  // namespace oxbowmill::market
--- a/src/market/reputation.cpp
+++ b/src/market/reputation.cpp
@@ -5,26 +5,24 @@
 #include <boost/math/distributions/students_t.hpp>
 #include <cmath>
 
-#include "oxbowmill/market/settings.h"
-
 namespace oxbowmill::market {
 
-MoneyAmount to_money_amount(double amount) {
-  return static_cast<MoneyAmount>(std::llround(amount * static_cast<double>(currency_unit)));
-}
-
 namespace {
-// Priors: what is thought of a market that nobody has dealt with.
+// Priors: what is expected of a market that nobody has dealt with.
 constexpr double prior_delivered = 2, prior_undelivered = 1;
 constexpr double prior_weight = 4;
 constexpr double prior_delay_sd = 0.25, prior_drift_sd = 0.1;
-// A market may change: evidence halves in weight every so many machines, or deliveries.
+// A market may change: the weight of evidence halves with so many more machines, or deliveries.
 constexpr double half_life_machines = 60, half_life_events = 25;
-constexpr double overall_weight = 6;  // machines' worth of the whole market's evidence in that of a kind
-constexpr double min_ratio = 0.02, max_ratio = 50;
+constexpr double overall_weight =
+    6;  // machines that the whole market's evidence counts for at most in a kind's
+constexpr double min_ratio = 0.02, max_ratio = 50;  // ratios are cut off there
+constexpr double min_quoted = 1e-9;
+constexpr Seconds min_delay_s = 1;
+constexpr double lower_decile = 0.1, upper_decile = 0.9;
 
-double fading(double sample_weight, double half) {
-  return std::exp2(-sample_weight / half);
+double fading(double sample_weight, double half_life) {
+  return std::exp2(-sample_weight / half_life);
 }
 
 /// Running mean and sum of squared deviations, with the old evidence faded.
@@ -32,41 +30,55 @@
   double keep = fading(1, half_life_events);
   sample_weight = sample_weight * keep + 1;
   m2 *= keep;
-  double d = value - mean;
-  mean += d / sample_weight;
-  m2 += d * (value - mean);
+  double deviation = value - mean;
+  mean += deviation / sample_weight;
+  m2 += deviation * (value - mean);
 }
 
 /// Student t of the next value, from a prior around 0.
 struct PredictiveDistribution {
   double center, scale, degrees_of_freedom;
   PredictiveDistribution(double sample_weight, double mean, double m2, double prior_sd) {
-    double all = prior_weight + sample_weight;
-    center = sample_weight * mean / all;
-    degrees_of_freedom = all;
-    double var = prior_weight * prior_sd * prior_sd + m2 + prior_weight * sample_weight / all * mean * mean;
-    scale = std::sqrt(var / degrees_of_freedom * (1 + 1 / all));
+    double total_weight = prior_weight + sample_weight;
+    center = sample_weight * mean / total_weight;
+    degrees_of_freedom = total_weight;
+    double sum_of_squares =
+        prior_weight * prior_sd * prior_sd + m2 + prior_weight * sample_weight / total_weight * mean * mean;
+    scale = std::sqrt(sum_of_squares / degrees_of_freedom * (1 + 1 / total_weight));
   }
   double cdf(double value) const {
     return boost::math::cdf(boost::math::students_t(degrees_of_freedom), (value - center) / scale);
   }
-  double quantile(double p) const {
-    return center + scale * boost::math::quantile(boost::math::students_t(degrees_of_freedom), p);
+  double quantile(double probability) const {
+    return center + scale * boost::math::quantile(boost::math::students_t(degrees_of_freedom), probability);
   }
 };
 
-double log_ratio(double a, double b) {
-  return std::log(std::clamp(a / std::max(b, 1e-9), min_ratio, max_ratio));
+double log_ratio(double actual, double stated) {
+  return std::log(std::clamp(actual / std::max(stated, min_quoted), min_ratio, max_ratio));
+}
+
+PredictiveDistribution delay_distribution(const Evidence& evidence) {
+  return {evidence.delay_weight, evidence.delay_mean, evidence.delay_m2, prior_delay_sd};
+}
+
+PredictiveDistribution drift_distribution(const Evidence& evidence) {
+  return {evidence.drift_weight, evidence.drift_mean, evidence.drift_m2, prior_drift_sd};
 }
 }  // namespace
 
-double DeliveryDistribution::probability_within(Seconds s) const {
-  if (!(s > shortest_s)) return s <= 0 ? 0 : probability_.front() * s / shortest_s;
-  double at = std::log(s / shortest_s) / std::log(longest_s / shortest_s) * (sample_count - 1);
-  if (at >= sample_count - 1) return probability_.back();
-  auto i = static_cast<std::size_t>(at);
-  double f = at - static_cast<double>(i);
-  return probability_[i] * (1 - f) + probability_[i + 1] * f;
+Seconds DeliveryDistribution::sample_time(std::size_t sample) {
+  const double step = std::log(longest_s / shortest_s) / (sample_count - 1);
+  return shortest_s * std::exp(step * static_cast<double>(sample));
+}
+
+double DeliveryDistribution::probability_within(Seconds within_s) const {
+  if (!(within_s > shortest_s)) return within_s <= 0 ? 0 : probabilities_.front() * within_s / shortest_s;
+  double position = std::log(within_s / shortest_s) / std::log(longest_s / shortest_s) * (sample_count - 1);
+  if (position >= sample_count - 1) return probabilities_.back();
+  auto sample = static_cast<std::size_t>(position);
+  double fraction = position - static_cast<double>(sample);
+  return probabilities_[sample] * (1 - fraction) + probabilities_[sample + 1] * fraction;
 }
 
 void Reputation::record_machines(double kept, double broken) {
@@ -77,7 +89,7 @@
 
 void Reputation::record_delivery(Seconds promised_s, Seconds actual_s) {
   add_observation(evidence_.delay_weight, evidence_.delay_mean, evidence_.delay_m2,
-                  log_ratio(std::max(actual_s, 1.0), std::max(promised_s, 1.0)));
+                  log_ratio(std::max(actual_s, min_delay_s), std::max(promised_s, min_delay_s)));
 }
 
 void Reputation::record_price(double quoted, double paid) {
@@ -96,50 +108,38 @@
 }
 
 double Reputation::uncertainty() const {
-  return delivered_fraction_quantile(0.9) - delivered_fraction_quantile(0.1);
+  return delivered_fraction_quantile(upper_decile) - delivered_fraction_quantile(lower_decile);
 }
 
 Seconds Reputation::delay_quantile(Seconds promised_s, double probability) const {
-  return std::max(promised_s, 1.0) *
-         std::exp(PredictiveDistribution(evidence_.delay_weight, evidence_.delay_mean, evidence_.delay_m2,
-                                         prior_delay_sd)
-                      .quantile(probability));
+  return std::max(promised_s, min_delay_s) * std::exp(delay_distribution(evidence_).quantile(probability));
 }
 
 double Reputation::on_time_probability(Seconds promised_s, Seconds within_s) const {
   if (within_s <= 0) return 0;
-  return PredictiveDistribution(evidence_.delay_weight, evidence_.delay_mean, evidence_.delay_m2,
-                                prior_delay_sd)
-      .cdf(std::log(within_s / std::max(promised_s, 1.0)));
+  return delay_distribution(evidence_).cdf(std::log(within_s / std::max(promised_s, min_delay_s)));
 }
 
 DeliveryDistribution Reputation::delivery_distribution(Seconds promised_s) const {
-  DeliveryDistribution distribution;
-  double step = std::log(DeliveryDistribution::longest_s / DeliveryDistribution::shortest_s) /
-                (DeliveryDistribution::sample_count - 1);
-  for (std::size_t i = 0; i < DeliveryDistribution::sample_count; ++i)
-    distribution.probability_[i] = on_time_probability(
-        promised_s, DeliveryDistribution::shortest_s * std::exp(step * static_cast<double>(i)));
-  return distribution;
+  DeliveryDistribution::Samples probabilities{};
+  for (std::size_t i = 0; i < probabilities.size(); ++i)
+    probabilities[i] = on_time_probability(promised_s, DeliveryDistribution::sample_time(i));
+  return DeliveryDistribution(probabilities);
 }
 
 double Reputation::price_drift() const {
-  return std::exp(
-      PredictiveDistribution(evidence_.drift_weight, evidence_.drift_mean, evidence_.drift_m2, prior_drift_sd)
-          .center);
+  return std::exp(drift_distribution(evidence_).center);
 }
 
 double Reputation::price_drift_quantile(double probability) const {
-  return std::exp(
-      PredictiveDistribution(evidence_.drift_weight, evidence_.drift_mean, evidence_.drift_m2, prior_drift_sd)
-          .quantile(probability));
+  return std::exp(drift_distribution(evidence_).quantile(probability));
 }
 
 Reputation Reputation::combined_with(const Reputation& whole) const {
-  // The kind's own machines count fully; of the rest of the market as much as `overall_weight` machines say.
+  // The kind's own machines count fully, those of the whole market as `overall_weight` machines at most.
   Evidence evidence = whole.evidence_;
-  double all = evidence.delivered + evidence.undelivered;
-  double scale = all > overall_weight ? overall_weight / all : 1;
+  double overall = evidence.delivered + evidence.undelivered;
+  double scale = overall > overall_weight ? overall_weight / overall : 1;
   evidence.delivered = evidence.delivered * scale + evidence_.delivered;
   evidence.undelivered = evidence.undelivered * scale + evidence_.undelivered;
   return Reputation(evidence);
