--- a/tests/bench/reconciliation_bench.cpp
+++ b/tests/bench/reconciliation_bench.cpp
@@ -73,13 +73,13 @@
 }
 
 BENCHMARK(first_reports_after_failover)
-    ->ArgName("squared")
+    ->ArgName("reconciled")
     ->Arg(0)
     ->Arg(1)
     ->Unit(benchmark::kMillisecond)
     ->Iterations(10);
-BENCHMARK(steady_state_cycle)->ArgName("squared")->Arg(0)->Arg(1)->Unit(benchmark::kMicrosecond);
-BENCHMARK(steady_state_report)->ArgName("squared")->Arg(0)->Arg(1)->Unit(benchmark::kMicrosecond);
+BENCHMARK(steady_state_cycle)->ArgName("reconciled")->Arg(0)->Arg(1)->Unit(benchmark::kMicrosecond);
+BENCHMARK(steady_state_report)->ArgName("reconciled")->Arg(0)->Arg(1)->Unit(benchmark::kMicrosecond);
 
 }  // namespace
 }  // namespace oxbowmill
