--- /dev/null
+++ b/include/oxbowmill/cluster/machine_table.h
@@ -0,0 +1,64 @@
+// Table of the machines that this controller knows. Owns the machines, the sets of machines of each partition
+// and the list of machines changed since it was last taken. Not thread-safe. Adding a machine invalidates
+// references to machines.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <set>
+#include <vector>
+
+#include "oxbowmill/cluster/machine.h"
+
+namespace oxbowmill {
+
+/// The known machines, and which of them may have changed.
+class MachineTable {
+ public:
+  /// For partitions with indices below `partition_count`.
+  explicit MachineTable(std::size_t partition_count) : in_(partition_count), requested_by_(partition_count) {}
+
+  /// Adds empty machines up to and with this index.
+  void add(MachineIndex machine_index);
+  /// Number of indices in use; machines without a record count.
+  std::uint32_t size() const { return static_cast<std::uint32_t>(machines_.size()); }
+  /// A machine that was added, for reading.
+  const Machine& at(MachineIndex machine_index) const { return machines_[machine_index.value]; }
+  /// A machine that was added, for changing: it counts as changed.
+  Machine& edit(MachineIndex machine_index) {
+    mark_changed(machine_index);
+    return machines_[machine_index.value];
+  }
+  /// Lists the machine among the changed ones, once.
+  void mark_changed(MachineIndex machine_index) {
+    Machine& machine = machines_[machine_index.value];
+    if (machine.change_noted) return;
+    machine.change_noted = true;
+    changed_.push_back(machine_index);
+  }
+  /// Machines changed since this was last called, each once, in order of their first change.
+  [[nodiscard]] std::vector<MachineIndex> take_changed();
+  /// Whether the index is in use and the state service holds a record of the machine.
+  bool is_recorded(MachineIndex machine_index) const;
+
+  /// Machines of the partition.
+  const std::set<MachineIndex>& in(PartitionIndex partition) const { return in_[partition.value]; }
+  /// Machines of other partitions that are to be handed over to this one.
+  const std::set<MachineIndex>& requested_by(PartitionIndex partition) const {
+    return requested_by_[partition.value];
+  }
+  /// Takes over a new record, and lists the machine by what it says.
+  void set_record(MachineIndex machine_index, const MachineRecord& record, Revision revision);
+  /// Notes that the record is gone.
+  void erase_record(MachineIndex machine_index);
+
+ private:
+  void unlist(MachineIndex machine_index);
+
+  std::vector<Machine> machines_;
+  std::vector<std::set<MachineIndex>> in_;
+  std::vector<std::set<MachineIndex>> requested_by_;
+  std::vector<MachineIndex> changed_;
+};
+
+}  // namespace oxbowmill
--- a/include/oxbowmill/cluster/placement_constraints.h
+++ b/include/oxbowmill/cluster/placement_constraints.h
@@ -1,8 +1,9 @@
 // What the controllers' durable decisions (docs/decisions.md) say of jobs: whether their tasks may be placed,
-// and what their placement has to find unchanged. Core asks, `accord` answers; without a counsel nothing is
-// held.
+// and which records a placement has to find unchanged. The scheduler asks, `decisions` implements; without an
+// implementation nothing is limited.
 #pragma once
 
+#include <cstdint>
 #include <limits>
 #include <vector>
 
@@ -10,20 +11,22 @@
 
 namespace oxbowmill {
 
+/// Limits on the placement of one job.
 struct PlacementLimits {
-  static constexpr std::uint32_t unlimited = std::numeric_limits<std::uint32_t>::max();
-  std::uint32_t max_tasks = unlimited;  // tasks that may be on machines at the same time
-  std::vector<Guard> guards;            // a placement that finds one of these changed is not made
-  double priority_boost_s = 0;          // goes in its rank as if it had come so much earlier
+  static constexpr std::uint32_t unlimited = std::numeric_limits<std::uint32_t>::max();  ///< no limit
+  std::uint32_t max_tasks = unlimited;  ///< tasks that may be on machines at the same time
+  std::vector<Guard> guards;            ///< conditions of every placement
+  double priority_boost_s = 0;  ///< seconds by which it counts as submitted earlier, within its priority
 };
 
+/// Source of limits.
 class PlacementConstraints {
  public:
   virtual ~PlacementConstraints() = default;
-  /// Narrows what is already in the advice; never widens it. Must answer by the tables alone: a job that was
-  /// read a moment ago is held as surely as one known for long.
+  /// Narrows what is already in `limits`; never widens it. Must answer from the tables alone: a job that was
+  /// read a moment ago is limited as surely as one known for long.
   virtual void constrain(JobIndex job, PlacementLimits& limits) const = 0;
-  /// Tasks of the part that are to leave their machines, with time to save.
+  /// Tasks of the partition that are to leave their machines, with time to save.
   virtual std::vector<TaskId> tasks_to_preempt(PartitionIndex) const { return {}; }
 };
 
--- a/src/checkpoint/saved_progress.cpp
+++ b/src/checkpoint/saved_progress.cpp
@@ -7,44 +7,47 @@
 
 namespace {
 
-double last_checkpoint(double progress, double save_every_s) {
-  return std::floor(progress / save_every_s) * save_every_s;
+double last_checkpoint(double progress, double checkpoint_interval_s) {
+  return std::floor(progress / checkpoint_interval_s) * checkpoint_interval_s;
 }
 
-SavedProgress progress_after_run(const SavedProgress& before, const RunTimeBounds& ran, const Settings& s) {
-  return {before.low + ran.min_s * s.min_speed, before.likely + ran.min_s,
-          before.high + std::max(ran.min_s, ran.max_s) * s.max_speed};
+SavedProgress progress_after_run(const SavedProgress& before, const RunTimeBounds& run_time,
+                                 const Settings& settings) {
+  return {before.low + run_time.min_s * settings.min_speed, before.likely + run_time.min_s,
+          before.high + std::max(run_time.min_s, run_time.max_s) * settings.max_speed};
 }
 
 }  // namespace
 
-SavedProgress after_loss(const SavedProgress& before, const RunTimeBounds& ran, double save_every_s,
-                         const Settings& s) {
-  if (save_every_s <= 0) return {};
-  SavedProgress now = progress_after_run(before, ran, s);
-  SavedProgress at = {last_checkpoint(now.low, save_every_s), last_checkpoint(now.likely, save_every_s),
-                      last_checkpoint(now.high, save_every_s)};
-  // A save at its stop may lie between two multiples: it is not lost again.
-  return {std::max(before.low, at.low), std::max(before.likely, at.likely), std::max(before.high, at.high)};
+SavedProgress after_loss(const SavedProgress& before, const RunTimeBounds& run_time,
+                         double checkpoint_interval_s, const Settings& settings) {
+  if (checkpoint_interval_s <= 0) return {};
+  SavedProgress reached = progress_after_run(before, run_time, settings);
+  SavedProgress saved = {last_checkpoint(reached.low, checkpoint_interval_s),
+                         last_checkpoint(reached.likely, checkpoint_interval_s),
+                         last_checkpoint(reached.high, checkpoint_interval_s)};
+  // What was saved at an earlier stop may lie between two multiples: it is not lost again.
+  return {std::max(before.low, saved.low), std::max(before.likely, saved.likely),
+          std::max(before.high, saved.high)};
 }
 
-SavedProgress after_store(const SavedProgress& before, const RunTimeBounds& ran, double save_every_s,
-                          const Settings& s) {
-  if (save_every_s <= 0) return {};
-  return progress_after_run(before, ran, s);
+SavedProgress after_store(const SavedProgress& before, const RunTimeBounds& run_time,
+                          double checkpoint_interval_s, const Settings& settings) {
+  if (checkpoint_interval_s <= 0) return {};
+  return progress_after_run(before, run_time, settings);
 }
 
 SavedProgress merged(const SavedProgress& a, const SavedProgress& b) {
-  SavedProgress m{std::max(a.low, b.low), std::max(a.likely, b.likely), std::max(a.high, b.high)};
-  m.likely = std::max(m.likely, m.low);
-  m.high = std::max(m.high, m.likely);
-  return m;
+  SavedProgress result{std::max(a.low, b.low), std::max(a.likely, b.likely), std::max(a.high, b.high)};
+  result.likely = std::max(result.likely, result.low);
+  result.high = std::max(result.high, result.likely);
+  return result;
 }
 
 double remaining_run_time(double estimate_s, const SavedProgress& saved) {
-  // An estimate is often wrong by half: what has run longer than it is not taken to end at once.
-  constexpr double least_share = 0.1;
-  return std::max(estimate_s - saved.likely, least_share * estimate_s);
+  // An estimate is often wrong by half: a task that ran longer than it is not expected to end at once.
+  constexpr double min_remaining_share = 0.1;
+  return std::max(estimate_s - saved.likely, min_remaining_share * estimate_s);
 }
 
 double execution_time(double elapsed_s, const SavedProgress& before) {
@@ -55,9 +58,10 @@
   std::stable_sort(finishes.begin(), finishes.end(), [](const FinishedTask& a, const FinishedTask& b) {
     return a.finished_at_s < b.finished_at_s;
   });
-  std::vector<double> out;
-  for (const FinishedTask& f : finishes) out.push_back(f.run_s);
-  return out;
+  std::vector<double> run_times;
+  run_times.reserve(finishes.size());
+  for (const FinishedTask& finished : finishes) run_times.push_back(finished.run_s);
+  return run_times;
 }
 
 }  // namespace oxbowmill::checkpoint
--- /dev/null
+++ b/src/cluster/job.cpp
@@ -0,0 +1,109 @@
+#include "oxbowmill/cluster/job.h"
+
+#include <algorithm>
+
+#include "oxbowmill/cluster/settings.h"
+
+namespace oxbowmill {
+
+namespace {
+std::uint32_t count_tasks(std::uint64_t bits) {
+  return static_cast<std::uint32_t>(__builtin_popcountll(bits));
+}
+}  // namespace
+
+Seconds Job::remaining_s() const {
+  if (checkpoints.empty() || spec.tasks == 0) return spec.estimate_s;
+  if (is_gang()) return checkpoint::remaining_run_time(spec.estimate_s, checkpoint_of(0));
+  double resumed_run_time = 0;
+  std::uint32_t resumed_count = 0;
+  for (const auto& [task, progress] : checkpoints) {
+    bool pending = placements.count(task) == 0 && task / tasks_per_chunk < done_or_placed.size() &&
+                   !has_task_bit(done_or_placed, task);
+    if (!pending) continue;
+    resumed_run_time += checkpoint::remaining_run_time(spec.estimate_s, progress);
+    ++resumed_count;
+  }
+  std::uint32_t pending = std::max(pending_count(), resumed_count);
+  return pending == 0 ? spec.estimate_s
+                      : (resumed_run_time + (pending - resumed_count) * spec.estimate_s) / pending;
+}
+
+void Job::mark_started(TaskNumber task) {
+  ever_started.resize(done_or_placed.size());
+  if (task / tasks_per_chunk < ever_started.size()) ever_started[task / tasks_per_chunk] |= task_bit(task);
+}
+
+std::vector<TaskNumber> Job::pending_tasks(std::size_t most) {
+  std::vector<TaskNumber> pending;
+  for (std::uint32_t chunk = scan_from; chunk < done_or_placed.size() && pending.size() < most; ++chunk) {
+    std::uint64_t free = ~done_or_placed[chunk];
+    if (free == 0 && chunk == scan_from) scan_from = chunk + 1;
+    while (free != 0 && pending.size() < most) {
+      TaskNumber task = chunk * tasks_per_chunk + static_cast<TaskNumber>(__builtin_ctzll(free));
+      free &= free - 1;
+      if (task < spec.tasks) pending.push_back(task);
+    }
+  }
+  return pending;
+}
+
+void Job::adopt_spec(const JobSpec& new_spec) {
+  spec = new_spec;
+  done_or_placed.assign((spec.tasks + tasks_per_chunk - 1) / tasks_per_chunk, 0);
+  for (const auto& [position, chunk] : chunks) {
+    if (position < done_or_placed.size()) done_or_placed[position] = chunk.done;
+  }
+  for (const auto& [task, placement] : placements) {
+    if (task < spec.tasks) done_or_placed[task / tasks_per_chunk] |= task_bit(task);
+  }
+}
+
+void Job::update_chunk(std::uint32_t position, const ChunkRecord& record, Revision new_revision,
+                       std::uint64_t busy) {
+  Chunk& chunk = chunks[position];
+  done_count += count_tasks(record.done) - count_tasks(chunk.done);
+  chunk = {new_revision, record.done, record.restarted, record.finishes};
+  for (const auto& [task, progress] : record.checkpoints)
+    checkpoints[task] = checkpoint::merged(checkpoints[task], progress);
+  if (position < done_or_placed.size()) {
+    done_or_placed[position] = busy;
+    scan_from = std::min(scan_from, position);
+  }
+}
+
+void Job::record_termination(const Placement& placement, const Settings& settings, Seconds now) {
+  if (!settings.progress.enabled || spec.checkpoint_interval_s <= 0 || placement.running_at < 0) return;
+  // A gang's progress is one. The first member of an attempt to leave decides what is saved: once it has left
+  // without saving, whatever another reports as stored is of no use (PROTOCOL, "Gangs").
+  if (is_gang() && checkpoint_attempt == placement.attempt) return;
+  checkpoint_attempt = placement.attempt;
+  checkpoint::RunTimeBounds run_time{placement.observed_run_s, now - placement.started_at};
+  // Members keep running, as far as reports show, for a while after one is lost.
+  if (is_gang() && !placement.checkpoint_saved)
+    run_time.min_s =
+        std::max(0.0, run_time.min_s - settings.gang_peer_timeout_s - settings.report_interval_s);
+  checkpoint::SavedProgress before = checkpoint_of(placement.task);
+  checkpoint::SavedProgress after =
+      placement.checkpoint_saved
+          ? checkpoint::after_store(before, run_time, spec.checkpoint_interval_s, settings.progress)
+          : checkpoint::after_loss(before, run_time, spec.checkpoint_interval_s, settings.progress);
+  checkpoints[is_gang() ? 0 : placement.task] = checkpoint::merged(before, after);
+}
+
+void Job::restore_progress() {
+  std::vector<checkpoint::FinishedTask> finishes;
+  for (const auto& [position, chunk] : chunks)
+    finishes.insert(finishes.end(), chunk.finishes.begin(), chunk.finishes.end());
+  finished_run_times = checkpoint::run_times_by_finish(std::move(finishes));
+  slow_baseline_s = time_not_set;
+  unrecorded_finishes.clear();
+  // What has saved progress has started; of a gang all members.
+  for (const auto& [first, progress] : checkpoints) {
+    if (!progress.any()) continue;
+    TaskNumber end = is_gang() ? spec.tasks : first + 1;
+    for (TaskNumber task = first; task < end; ++task) mark_started(task);
+  }
+}
+
+}  // namespace oxbowmill
--- /dev/null
+++ b/src/cluster/settings.cpp
@@ -0,0 +1,17 @@
+#include "oxbowmill/cluster/settings.h"
+
+namespace oxbowmill {
+
+namespace {
+constexpr double max_read_only_period_s = 12;
+}  // namespace
+
+double Settings::read_only_period_s() const {
+  // Controller lease, read-only period, machine lease and margins together stay below the cancel deadline: by
+  // then nothing is left of what an owner that was cut off kept alive.
+  double left =
+      cancel_deadline_s - operator_settings.controller_lease_s - lease_expiry_s() - 2 * safety_margin_s;
+  return std::clamp(left, 0.0, max_read_only_period_s);
+}
+
+}  // namespace oxbowmill
--- a/src/lease/controller_lease.cpp
+++ b/src/lease/controller_lease.cpp
@@ -10,7 +10,7 @@
 void ControllerLease::on_granted(std::uint64_t id, Seconds sent_at) {
   lease_id_ = id;
   renewal_sent_at_ = sent_at;
-  set_state(LeaseState::active);
+  state_ = LeaseState::active;
 }
 
 Authority ControllerLease::authority(Seconds now) const {
@@ -21,35 +21,47 @@
 }
 
 namespace {
-std::size_t partitions_owned(const ClusterState& model, const std::string& node) {
-  std::size_t n = 0;
-  for (std::uint32_t p = 0; p < model.partition_count(); ++p) {
-    const Ownership& c = model.ownership(PartitionIndex{p});
-    n += c.revision != 0 && c.record.controller == node ? 1 : 0;
+
+std::size_t partitions_owned(const ClusterState& state, const std::string& controller) {
+  std::size_t count = 0;
+  for (std::uint32_t i = 0; i < state.partition_count(); ++i) {
+    const Ownership& ownership = state.ownership(PartitionIndex{i});
+    if (ownership.revision != no_record && ownership.record.controller == controller) ++count;
   }
-  return n;
+  return count;
 }
+
+/// A controller's place among those that may acquire a partition; the lowest goes first.
+struct Candidate {
+  std::size_t owned = 0;    // partitions that it owns
+  std::size_t rotated = 0;  // position that differs by partition
+  std::string name;
+  bool operator<(const Candidate& other) const {
+    return std::tie(owned, rotated, name) < std::tie(other.owned, other.rotated, other.name);
+  }
+};
+
 }  // namespace
 
-bool needs_registration(const ClusterState& model, const ControllerLease& lease,
+bool needs_registration(const ClusterState& state, const ControllerLease& lease,
                         const std::string& own_name) {
-  auto it = model.controllers().find(own_name);
-  return lease.lease_id() != 0 &&
-         (it == model.controllers().end() || it->second.record.lease_id != lease.lease_id());
+  auto it = state.controllers().find(own_name);
+  return lease.lease_id() != no_lease &&
+         (it == state.controllers().end() || it->second.record.lease_id != lease.lease_id());
 }
 
-std::size_t acquisition_turn(const ClusterState& model, PartitionIndex partition, const std::string& own_name,
+std::size_t acquisition_turn(const ClusterState& state, PartitionIndex partition, const std::string& own_name,
                              const std::vector<std::string>& all) {
-  std::vector<std::tuple<std::size_t, std::size_t, std::string>> order;
+  std::vector<Candidate> order;
   for (std::size_t i = 0; i < all.size(); ++i) {
-    // Among equals each part prefers another node, so that they spread at the start.
+    // Among equals each partition prefers another controller, so that they spread at the start.
     std::size_t rotated = (i + all.size() - partition.value % all.size()) % all.size();
-    order.emplace_back(partitions_owned(model, all[i]), rotated, all[i]);
+    order.push_back({partitions_owned(state, all[i]), rotated, all[i]});
   }
   std::sort(order.begin(), order.end());
-  auto mine = std::find_if(order.begin(), order.end(),
-                           [&own_name](const auto& e) { return std::get<2>(e) == own_name; });
-  return static_cast<std::size_t>(mine - order.begin());
+  auto own = std::find_if(order.begin(), order.end(),
+                          [&own_name](const Candidate& candidate) { return candidate.name == own_name; });
+  return static_cast<std::size_t>(own - order.begin());
 }
 
 }  // namespace oxbowmill
