--- /dev/null
+++ b/src/autoscaling/cloud_inventory.cpp
@@ -0,0 +1,77 @@
+#include "oxbowmill/autoscaling/cloud_inventory.h"
+
+namespace oxbowmill::autoscaling {
+
+namespace {
+constexpr Seconds list_timeout_s = 30;  // a list that has not arrived by then is asked for again
+// In lags of the cloud's list:
+constexpr double adopt_after_lags = 3;    // until a listed machine without a record is adopted
+constexpr double missing_after_lags = 6;  // until a recorded machine that is not listed counts as failed
+}  // namespace
+
+void CloudInventory::request_list(Seconds now, Effects& out) {
+  if (now < next_list_at_ || (listing_ && now - listing_since_ <= list_timeout_s)) return;
+  next_list_at_ = now + environment_.state.settings.operator_settings.cloud_list_interval_s;
+  listing_ = true;
+  listing_since_ = now;
+  out.list_machines = true;
+}
+
+void CloudInventory::on_listed(const std::vector<ListedMachine>& machines, Seconds now) {
+  ClusterState& state = environment_.state;
+  listing_ = false;
+  std::map<std::string, Seconds> unrecorded;
+  std::set<MachineIndex> listed;
+  for (const ListedMachine& listed_machine : machines) {
+    MachineIndex machine_index = state.intern_machine(listed_machine.name);
+    listed.insert(machine_index);
+    if (state.machine(machine_index).revision != 0) {
+      update_recorded(machine_index, listed_machine);
+      continue;
+    }
+    if (deletions_.is_confirmed(machine_index)) continue;
+    // Without a record: delivered by a scale-out whose answer was lost, or there from the start. It may also
+    // be a machine that an earlier leader deleted and a late list still shows: wait until that is excluded.
+    auto seen = unrecorded_since_.find(listed_machine.name);
+    Seconds since = seen == unrecorded_since_.end() ? now : seen->second;
+    unrecorded[listed_machine.name] = since;
+    if (now - since >= adopt_after_lags * state.settings.cloud_list_lag_s) adopt_unrecorded(listed_machine);
+  }
+  unrecorded_since_ = std::move(unrecorded);
+  mark_missing_as_failed(listed, now);
+}
+
+void CloudInventory::update_recorded(MachineIndex machine_index, const ListedMachine& listed_machine) {
+  ClusterState& state = environment_.state;
+  if (state.machine(machine_index).address.empty())
+    state.edit_machine(machine_index).address = listed_machine.address;
+  if (listed_machine.phase == ListedMachine::Phase::failed)
+    state.edit_machine(machine_index).reported_failed = true;
+}
+
+void CloudInventory::adopt_unrecorded(const ListedMachine& listed_machine) {
+  const Names& names = environment_.state.names;
+  MachineRecord record;
+  record.partition = idle_pool;
+  record.type = names.types.find(listed_machine.type);
+  record.zone = names.zones.find(listed_machine.zone);
+  record.spot = listed_machine.spot;
+  if (record.type.valid() && record.zone.valid()) adoption_.queue(listed_machine.name, record);
+}
+
+void CloudInventory::mark_missing_as_failed(const std::set<MachineIndex>& listed, Seconds now) {
+  ClusterState& state = environment_.state;
+  // The cloud may have taken the machine. Its list does not prove that: the machine is deleted, and the
+  // answer to the deletion is the proof.
+  for (std::uint32_t i = 0; i < state.machine_count(); ++i) {
+    MachineIndex machine_index{i};
+    const Machine& machine = state.machine(machine_index);
+    // The cloud does not list machines of markets.
+    if (machine.revision != 0 && machine.has_booted && !machine.record.market.valid() &&
+        listed.count(machine_index) == 0 &&
+        now - machine.known_since > missing_after_lags * state.settings.cloud_list_lag_s)
+      state.edit_machine(machine_index).reported_failed = true;
+  }
+}
+
+}  // namespace oxbowmill::autoscaling
