--- a/src/reconciliation/agent_liveness.cpp
+++ b/src/reconciliation/agent_liveness.cpp
@@ -12,8 +12,9 @@
 }  // namespace
 
 const char* name_of(AgentLiveness liveness) {
-  static constexpr const char* names[] = {"none",    "booting",   "awaited",   "heard", "differing",
-                                          "squared", "suspected", "condemned", "lost"};
+  static constexpr const char* names[] = {"none",       "booting",    "awaited",   "reported",
+                                          "mismatched", "reconciled", "suspected", "marked_for_deletion",
+                                          "lost"};
   return names[static_cast<int>(liveness)];
 }
 
--- a/src/reconciliation/difference.cpp
+++ b/src/reconciliation/difference.cpp
@@ -8,16 +8,16 @@
 namespace oxbowmill::reconciliation {
 
 const char* name_of(Difference difference) {
-  static constexpr const char* names[] = {"old token",     "not reported", "not placed", "elsewhere",
-                                          "other try",     "ended",        "final",      "gang broken",
-                                          "to be cleared", "market"};
+  static constexpr const char* names[] = {
+      "stale_token",      "not_reported", "not_placed",  "placed_elsewhere", "other_attempt",
+      "ended_unreported", "job_finished", "gang_broken", "uncleared_task",   "market_managed"};
   return names[static_cast<int>(difference)];
 }
 
 bool Differences::any() const {
   for (std::size_t i = 0; i < difference_kind_count; ++i) {
     auto kind = static_cast<Difference>(i);
-    // A first word never shows the new token: that is waited for (`heard`), and tells nothing by itself.
+    // A first report never shows the new fencing token: it is awaited, and proves nothing by itself.
     bool settles_itself = kind == Difference::market_managed || kind == Difference::uncleared_task ||
                           kind == Difference::stale_token;
     if (!settles_itself && count[i] != 0) return true;
@@ -62,7 +62,7 @@
   for (TaskId id : m.placed_tasks) {
     const Job* job = model.known_job(id.job);
     const Placement* placement = model.find_placement(id);
-    // What this owner placed itself is no difference but an order under way.
+    // What this owner placed itself is not a difference but a command under way.
     if (job == nullptr || placement == nullptr || is_off_machine(placement->state) || !placement->inherited)
       continue;
     const TaskReport* task_report = find_task_report(report, job->spec.ref, id.task);
--- a/src/reconciliation/reconciler.cpp
+++ b/src/reconciliation/reconciler.cpp
@@ -8,20 +8,41 @@
 
 namespace {
 constexpr double cycle_interval_s = 0.2;
-constexpr double max_cycle_gap_s =
-    1;  // between two passes: what was not heard meanwhile is this node's own fault
-constexpr double peer_status_lifetime_s = 3;         // a peer's word counts so long
-constexpr std::uint32_t min_reporting_machines = 4;  // machines that can speak for a zone
-constexpr double ramping_down_windows = 2;
-// A worker without an owner knocks again every second, or after the time-out of a report that hangs.
+/// After a longer gap between two cycles, missing reports are this controller's own fault.
+constexpr double max_cycle_gap_s = 1;
+constexpr double peer_status_lifetime_s = 3;         // how long a peer's status and suspicions count
+constexpr std::uint32_t min_reporting_machines = 4;  // due in a zone for it to be judged by its reports
+constexpr double ramping_down_windows = 2;           // length of that phase, in demand windows
+// An agent without an owner reports every second, or after the time-out of a report without an answer.
 constexpr double first_report_s = oxbowmill::Settings::report_timeout_s + 2;
-constexpr double max_report_intervals =
-    1.6;  // report intervals within which a machine that is there has spoken
+// Report intervals, and seconds besides, within which a machine that is up has reported.
+constexpr double max_report_intervals = 1.6, report_delay_s = 0.5;
+constexpr Seconds never_s = 1e9;  // a threshold that no silence reaches
+
+bool is_doubted(AgentLiveness liveness) {
+  return liveness == AgentLiveness::suspected || liveness == AgentLiveness::marked_for_deletion;
+}
+
+bool has_reported(AgentLiveness liveness) {
+  return liveness == AgentLiveness::reported || liveness == AgentLiveness::mismatched ||
+         liveness == AgentLiveness::reconciled;
+}
+
+/// The differences that were counted, as " kind=count" each.
+std::string describe(const Differences& differences) {
+  std::string text;
+  for (std::size_t i = 0; i < difference_kind_count; ++i) {
+    if (differences.count[i] != 0)
+      text += fmt::format(" {}={}", name_of(static_cast<Difference>(i)), differences.count[i]);
+  }
+  return text;
+}
 }  // namespace
 
 const char* name_of(PartitionPhase phase) {
-  static constexpr const char* names[] = {"absent",   "reading", "listening", "squaring",
-                                          "settling", "easing",  "serving"};
+  static constexpr const char* names[] = {"not_owned",   "loading_state",    "awaiting_reports",
+                                          "reconciling", "observing_demand", "ramping_down",
+                                          "serving"};
   return names[static_cast<int>(phase)];
 }
 
@@ -43,18 +64,14 @@
   PartitionState& partition_state = partitions_[partition.value];
   if (partition_state.phase == phase) return;
   const Counts& counts = partition_state.counts;
-  std::string kinds;
-  for (std::size_t i = 0; i < difference_kind_count; ++i) {
-    if (counts.first_differences.count[i] != 0)
-      kinds += fmt::format(", {} {}", name_of(static_cast<Difference>(i)), counts.first_differences.count[i]);
-  }
   SPDLOG_INFO(
-      "start of part {}: {} -> {} after {:.1f} s: {} expected, {} heard, {} matched{}; {} suspected, {} "
-      "deleted on suspicion, {} lost; {} strangers, {} stale; held back {} rentals, {} returns",
+      "reconciliation phase changed partition={} from={} to={} after_s={:.1f} expected={} reported={} "
+      "matched={}{} suspected={} marked_for_deletion={} lost={} unregistered={} stale={} "
+      "delayed_scale_outs={} delayed_returns={}",
       state_.names.partitions.name(partition), name_of(partition_state.phase), name_of(phase),
-      now - partition_state.since, counts.expected, counts.reported, counts.matched, kinds, counts.suspected,
-      counts.marked_for_deletion, counts.lost, counts.unregistered, counts.stale,
-      counts.delayed_scale_outs.size(), counts.delayed_returns.size());
+      now - partition_state.since, counts.expected, counts.reported, counts.matched,
+      describe(counts.first_differences), counts.suspected, counts.marked_for_deletion, counts.lost,
+      counts.unregistered, counts.stale, counts.delayed_scale_outs.size(), counts.delayed_returns.size());
   partition_state.phase = phase;
   if (phase == PartitionPhase::observing_demand || phase == PartitionPhase::serving) {
     if (partition_state.reconciled_at < 0) partition_state.reconciled_at = now;
@@ -65,32 +82,29 @@
 void Reconciler::set_state(MachineIndex machine_index, AgentLiveness liveness) {
   AgentLiveness& current_liveness = mutable_liveness(machine_index);
   if (current_liveness == liveness) return;
-  // No longer ours, perhaps without a record: nothing is counted of it any more.
+  // Another owner's now, perhaps without a record: it is no longer counted.
   if (liveness == AgentLiveness::none) {
     current_liveness = liveness;
     return;
   }
-  SPDLOG_DEBUG("word of machine {}: {} -> {}", state_.names.machines.name(machine_index),
+  SPDLOG_DEBUG("agent liveness changed machine={} from={} to={}", state_.names.machines.name(machine_index),
                name_of(current_liveness), name_of(liveness));
   const Machine& machine = state_.machine(machine_index);
   Counts& counts = partitions_[machine.record.partition.value].counts;
-  bool doubted =
-      current_liveness == AgentLiveness::suspected || current_liveness == AgentLiveness::marked_for_deletion;
-  bool speaks = liveness == AgentLiveness::reported || liveness == AgentLiveness::mismatched ||
-                liveness == AgentLiveness::reconciled;
+  bool doubted = is_doubted(current_liveness);
   if (liveness == AgentLiveness::suspected && !doubted) {
     ++counts.suspected;
-    SPDLOG_INFO("machine {}: suspected, silent while others of {} speak",
-                state_.names.machines.name(machine_index), state_.names.zones.name(machine.record.zone));
+    SPDLOG_INFO("agent suspected machine={} zone={}", state_.names.machines.name(machine_index),
+                state_.names.zones.name(machine.record.zone));
   }
   if (liveness == AgentLiveness::marked_for_deletion) ++counts.marked_for_deletion;
   if (liveness == AgentLiveness::lost) ++counts.lost;
-  if (doubted && speaks) {
+  if (doubted && has_reported(liveness)) {
     suspicion_statistics_.record_return();
     ++counts.returned;
-    SPDLOG_INFO("machine {}: speaks again", state_.names.machines.name(machine_index));
+    SPDLOG_INFO("agent reachable again machine={}", state_.names.machines.name(machine_index));
   }
-  // What was deleted on suspicion tells nothing about whether the suspicion was right.
+  // The deletion of a suspect does not show whether the suspicion was right.
   if (current_liveness == AgentLiveness::suspected && liveness == AgentLiveness::lost)
     suspicion_statistics_.record_loss();
   current_liveness = liveness;
@@ -161,7 +175,7 @@
   PartitionState& partition_state = partitions_[partition.value];
   partition_state.zones.resize(state_.names.zones.size());
   for (Zone& z : partition_state.zones) z.reports_due = z.reported = 0;
-  const double recent = max_report_intervals * state_.settings.report_interval_s + 0.5;
+  const double recent = max_report_intervals * state_.settings.report_interval_s + report_delay_s;
   for (MachineIndex m : state_.machines_of(partition)) {
     const Machine& machine = state_.machine(m);
     if (may_be_silent(machine) || machine.state == MachineState::lease_expired) continue;
@@ -174,8 +188,8 @@
     Zone& zone = partition_state.zones[i];
     zone.has_enough_reports = zone.reports_due >= min_reporting_machines &&
                               zone.reported >= settings_.reported_fraction * zone.reports_due;
-    // Where a zone as a whole is not heard, no single machine of it is to blame. In a start all had the same
-    // time to speak, so it counts from there.
+    // Where a zone as a whole is silent, no single machine of it is suspected. While first reports are
+    // awaited all machines have had the same time, so their silence counts from the takeover.
     if ((!zone.has_enough_reports && partition_state.phase != PartitionPhase::awaiting_reports) ||
         scheduler_.is_unreachable(ZoneIndex{i}, now))
       zone.silence_counted_from = now;
@@ -188,7 +202,7 @@
   for (MachineIndex machine_index : state_.machines_of(partition)) {
     const Machine& machine = state_.machine(machine_index);
     AgentLiveness& current_liveness = mutable_liveness(machine_index);
-    // Handed over, taken in or up since: it is one of ours now.
+    // Handed over, adopted or booted since the last cycle.
     if (may_be_silent(machine)) {
       if (current_liveness == AgentLiveness::none) set_state(machine_index, AgentLiveness::booting);
       if (current_liveness == AgentLiveness::suspected && machine.record.mark == MachineMark::deleting)
@@ -204,8 +218,9 @@
         current_liveness == AgentLiveness::lost)
       set_state(machine_index, spoken ? AgentLiveness::reconciled : AgentLiveness::awaited);
     Zone& zone = partition_state.zones[machine.record.zone.value];
-    // An earlier owner that lacks only the state service keeps its workers through its grace: they are well,
-    // and with it. (Without this a cut of one owner had 268 machines deleted that ran on.)
+    // An earlier owner that lacks only the state service keeps its agents through its read-only period: they
+    // are healthy and report to it. (Without this, one owner's loss of the state service had 268 healthy
+    // machines deleted.)
     Seconds from = std::max(
         {machine.last_answered_report_at,
          machine.inherited ? scheduler_.exclusively_owned_since(machine) : machine.in_partition_since,
@@ -214,10 +229,9 @@
     if (machine.inherited && machine.last_answered_report_at < 0 && state_.all_reacquired_since() >= 0) {
       double t =
           suspicion_threshold(zone.first_report_delays_s, zone.expected, first_report_s, patience, settings_);
-      after = t < 0 ? 1e9 : t;
+      after = t < 0 ? never_s : t;
     }
-    if (current_liveness != AgentLiveness::suspected &&
-        current_liveness != AgentLiveness::marked_for_deletion) {
+    if (!is_doubted(current_liveness)) {
       if (zone.has_enough_reports && now - from > after) set_state(machine_index, AgentLiveness::suspected);
     }
     if (current_liveness == AgentLiveness::suspected && settings_.delete_suspects &&
@@ -226,7 +240,7 @@
       DeletionTradeoff s =
           deletion_tradeoff(state_, machine_index, proof_at,
                             report_probability(suspicion_statistics_, now - from, proof_at - now), now);
-      // Each costs changes that others' work waits for too: from the same budget as returns.
+      // A deletion costs writes that other work waits for: it is paid from the same budget as returns.
       if (s.is_worthwhile() && return_budget_.take(1, now))
         set_state(machine_index, AgentLiveness::marked_for_deletion);
     }
@@ -242,23 +256,22 @@
     bool at_start = machine.inherited && !may_be_silent(machine);
     open += static_cast<unsigned int>(
         at_start && (liveness == AgentLiveness::awaited || liveness == AgentLiveness::reported ||
-                     liveness == AgentLiveness::mismatched || liveness == AgentLiveness::suspected ||
-                     liveness == AgentLiveness::marked_for_deletion));
+                     liveness == AgentLiveness::mismatched || is_doubted(liveness)));
     waited_for += static_cast<unsigned int>(at_start && liveness == AgentLiveness::awaited);
   }
   if (partition_state.phase == PartitionPhase::awaiting_reports) {
-    // By what was heard, not by a clock; the clock only ends the wait for machines that nobody hears.
+    // By the reports received; the timeout only ends the wait for machines that never report.
     bool enough =
         partition_state.counts.reported >= settings_.sufficient_fraction * partition_state.counts.expected;
     if (enough || waited_for == 0 || now - partition_state.since > state_.settings.first_report_timeout_s())
       set_state(partition, PartitionPhase::reconciling, now);
   }
-  // Nothing was running before: there is nothing to square and no demand that was forgotten.
+  // Nothing was running before: there is nothing to reconcile and no demand to learn anew.
   bool fresh = partition_state.counts.expected == 0;
   for (std::uint32_t i = 0; i < partitions_.size(); ++i)
     fresh = fresh && state_.machines_of(PartitionIndex{i}).empty();
-  // What is still open once every silence is proof holds nothing back any more: a machine that a lease says
-  // nothing of (empty, and handed over to us) must not keep all others from going back.
+  // Once silence proves every machine empty, open ones hold nothing back any more: a machine that no lease
+  // covers (empty, and handed over to this owner) must not keep all others from being returned.
   bool proved =
       now - partition_state.since > state_.settings.failover_silence_s() + state_.settings.report_interval_s;
   if (partition_state.phase == PartitionPhase::reconciling && (open == 0 || proved))
@@ -330,15 +343,14 @@
     if (partitions_[i].ownership_revision == 0) continue;
     for (MachineIndex m : state_.machines_of(PartitionIndex{i})) {
       AgentLiveness s = agent_liveness(m);
-      if (out.size() < most && (s == AgentLiveness::suspected || s == AgentLiveness::marked_for_deletion))
-        out.push_back(m);
+      if (out.size() < most && is_doubted(s)) out.push_back(m);
     }
   }
   return out;
 }
 
 void Reconciler::on_peer_status(const PartitionStatus& w, Seconds now) {
-  // Hints of several terms may cross: the later claim speaks.
+  // Messages of successive ownerships may cross: the later ownership counts.
   if (w.partition.valid() && w.partition.value < peer_status_.size() &&
       w.ownership_revision >= peer_status_[w.partition.value].status.ownership_revision)
     peer_status_[w.partition.value] = {w, now};
@@ -349,9 +361,7 @@
 }
 
 bool Reconciler::suspected(MachineIndex machine_index) const {
-  AgentLiveness s = agent_liveness(machine_index);
-  return s == AgentLiveness::suspected || s == AgentLiveness::marked_for_deletion ||
-         peer_suspects_.count(machine_index) != 0;
+  return is_doubted(agent_liveness(machine_index)) || peer_suspects_.count(machine_index) != 0;
 }
 
 bool Reconciler::marked_for_deletion(MachineIndex machine_index) const {
@@ -366,19 +376,19 @@
   if (ownership.revision != 0 && peer_status.status.ownership_revision == ownership.revision &&
       now - peer_status.received_at < peer_status_lifetime_s)
     return peer_status.status.phase <= PartitionPhase::awaiting_reports;
-  // Nobody's, or its owner says nothing (it may be of an older version): for as long as a start may listen.
+  // Without an owner, or one that publishes no status (an older version): as long as first reports may take.
   return now - std::max(ownership.since, partitions_[idle_pool.value].since) <=
          state_.settings.first_report_timeout_s();
 }
 
 bool Reconciler::may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) {
   if (guaranteed || !scheduler_.owns(idle_pool)) return true;
-  // A leader that was there before knows what is up. (Held for sixteen seconds in the middle of a burst,
-  // while an earlier owner kept its workers, rentals came too late on maktaba-monastir-voice.)
+  // A leader that was up before knows the running machines. (Delayed by 16 s in the middle of a burst, while
+  // an earlier owner kept its agents, scale-outs came too late on maktaba-monastir-voice.)
   if (first_cycle_at_ < 0 || now - first_cycle_at_ > 2 * state_.settings.first_report_timeout_s())
     return true;
   PartitionState& pool = partitions_[idle_pool.value];
-  // Without recorded machines there is nothing that could yet turn up and make a rental needless.
+  // Without recorded machines none can yet report and make a scale-out needless.
   bool nothing = state_.machines_of(partition).empty() && state_.machines_of(idle_pool).empty();
   bool delayed = pool.ownership_revision != 0 && !nothing &&
                  (still_awaiting_reports(partition, now) || still_awaiting_reports(idle_pool, now));
