--- /dev/null
+++ b/include/oxbowmill/scheduling/job_transaction_builder.h
@@ -0,0 +1,52 @@
+// Builds the one transaction that brings a job's records up to date. Owns what it has collected of that
+// transaction; made for one job, used once.
+#pragma once
+
+#include <map>
+
+#include "oxbowmill/scheduling/transaction_queue.h"
+
+namespace oxbowmill {
+
+/// Collects the changed chunks of a job, up to what one transaction holds; the rest follows in the next.
+class JobTransactionBuilder {
+ public:
+  /// `planned` are tasks to be placed; all must outlive this object.
+  JobTransactionBuilder(ClusterState& state, JobIndex job_index, const std::vector<PlacedTask>& planned,
+                        Seconds now);
+
+  /// Finds out which chunks change. False: there is nothing to write.
+  [[nodiscard]] bool collect_changes();
+  /// The transaction for the collected chunks; once.
+  JobTransaction build(const Guard& ownership_guard);
+
+ private:
+  bool is_open() const { return job_.phase == JobPhase::open; }
+  /// All tasks of a job that is over are off their machines.
+  bool is_cleanup() const { return job_.is_final() && ended_count_ == job_.placements.size(); }
+  bool touch(TaskNumber task);
+  void add_chunk(std::uint32_t chunk_number, ChunkRecord& record);
+  void add_placements(std::uint32_t chunk_number, ChunkRecord& record);
+  void add_finish(const Placement& placement, ChunkRecord& record);
+  void add_planned(std::uint32_t chunk_number, ChunkRecord& record);
+  void add_checkpoints(std::uint32_t chunk_number, ChunkRecord& record) const;
+  void add_placement_guards();
+  void add_end_of_job();
+  bool can_delete_all_records() const;
+  void delete_all_records(JobPhase final_phase);
+  void delete_some_chunks();
+  Urgency urgency() const;
+
+  ClusterState& state_;
+  JobIndex job_index_;
+  Job& job_;
+  const std::vector<PlacedTask>& planned_;
+  Seconds now_;
+  std::map<std::uint32_t, ChunkRecord> records_;  // by chunk
+  std::size_t ended_count_ = 0;
+  bool has_finished_ = false, has_terminated_ = false;
+  std::uint32_t done_count_;  // once the transaction is applied
+  JobTransaction result_;
+};
+
+}  // namespace oxbowmill
--- /dev/null
+++ b/src/scheduling/machine_monitor.cpp
@@ -0,0 +1,135 @@
+#include "oxbowmill/scheduling/machine_monitor.h"
+
+#include <spdlog/spdlog.h>
+
+namespace oxbowmill {
+
+namespace {
+constexpr double idle_retention_factor = 3;  // an empty machine is kept so much longer while something waits
+constexpr double recent_report_intervals = 1.6;  // a report this many intervals old still counts as recent,
+constexpr double recent_report_slack_s = 0.5;    // with this much on top
+}  // namespace
+
+void MachineMonitor::check_partition(PartitionIndex partition, Clock clock, Effects& out) {
+  const Seconds now = clock.now;
+  WaitingWork waiting = waiting_work(partition);
+  auto machines = state_.machines_of(partition);
+  for (MachineIndex machine_index : machines) {
+    const Machine& machine = state_.machine(machine_index);
+    count_for_zone(machine, now);
+    check_lease(machine_index, now);
+    if (machine.state == MachineState::deleting) continue;
+    if (delete_if_suspected(machine_index, out)) continue;
+    evict_if_leaving(machine_index, now);
+    return_if_unneeded(machine_index, waiting, now, out);
+  }
+}
+
+MachineMonitor::WaitingWork MachineMonitor::waiting_work(PartitionIndex partition) const {
+  // What waits for spot machines does not keep the others.
+  WaitingWork waiting;
+  for (JobIndex job_index : state_.live_jobs(partition)) {
+    const JobSpec& spec = state_.job(job_index).spec;
+    if (state_.placeable_tasks(job_index) == 0) continue;
+    waiting.spot = waiting.spot || spec.spot;
+    waiting.on_demand = waiting.on_demand || !spec.spot || spec.shape != JobShape::array;
+  }
+  return waiting;
+}
+
+void MachineMonitor::count_for_zone(const Machine& machine, Seconds now) {
+  if (machine.last_answered_report_at < 0 || machine.state == MachineState::deleting) return;
+  double recent_s = recent_report_intervals * state_.settings.report_interval_s + recent_report_slack_s;
+  zones_.count_machine(machine.record.zone, now - machine.last_answered_report_at < recent_s);
+}
+
+void MachineMonitor::check_lease(MachineIndex machine_index, Seconds now) {
+  const Machine& machine = state_.machine(machine_index);
+  // While a machine has not shown our token, the earlier owner may have kept it alive in its read-only
+  // period.
+  bool counted = machine.last_answered_report_at >= 0 || machine.state == MachineState::unreconciled ||
+                 (machine.state == MachineState::deleting && machine.inherited);
+  if (!counted || now <= ownership_.proven_empty_at(machine)) return;
+  bool known_silent = machine.state == MachineState::lease_expired || machine.state == MachineState::deleting;
+  if (known_silent && !evictor_.may_run_tasks(machine)) return;
+  SPDLOG_INFO("machine lease expired machine={}", state_.names.machines.name(machine_index));
+  evictor_.mark_empty(machine_index, now);
+  if (machine.state != MachineState::deleting)
+    state_.set_state(machine_index, MachineState::lease_expired, now);
+}
+
+bool MachineMonitor::delete_if_suspected(MachineIndex machine_index, Effects& out) {
+  const Machine& machine = state_.machine(machine_index);
+  if (recovery_admission_ == nullptr || machine.writing ||
+      !recovery_admission_->marked_for_deletion(machine_index))
+    return false;
+  // Its tasks stay on it in the cluster state until the deletion is confirmed and the record goes.
+  SPDLOG_INFO("suspected machine deleted machine={}", state_.names.machines.name(machine_index));
+  MachineRecord record = machine.record;
+  record.mark = MachineMark::deleting;
+  record.requested_by = PartitionIndex{};
+  write_record(machine_index, Urgency::placement, record, out);
+  return true;
+}
+
+bool MachineMonitor::is_overdue(const Machine& machine, Seconds now) const {
+  return machine.state == MachineState::expected &&
+         now - machine.in_partition_since > 2 * state_.settings.first_report_timeout_s();
+}
+
+void MachineMonitor::evict_if_leaving(MachineIndex machine_index, Seconds now) {
+  const Machine& machine = state_.machine(machine_index);
+  if (machine.preemption_notice || machine.faulty_until > now || machine.record.requested_by.valid())
+    evictor_.stop_all(machine_index, now);
+  // What was placed in advance on a machine that does not arrive was never sent.
+  if (is_overdue(machine, now)) evictor_.stop_unsent(machine_index, now);
+}
+
+MachineMonitor::EmptyMachineUse MachineMonitor::use_of_empty(const Machine& machine,
+                                                             const WaitingWork& waiting, Seconds now) const {
+  const OperatorSettings& operator_settings = state_.settings.operator_settings;
+  double boot_s = state_.catalog[machine.record.type.value].boot_s;
+  bool stuck =
+      !machine.has_booted &&
+      now - machine.known_since > operator_settings.boot_timeout_factor * boot_s + state_.settings.lease_s;
+  bool awaited = waiting.on(machine);
+  double retention_s = awaited ? idle_retention_factor * operator_settings.release_to_pool_s
+                               : operator_settings.release_to_pool_s;
+  bool idle = machine.state == MachineState::ready && now - machine.idle_since > retention_s;
+  bool unneeded = !awaited && now - machine.known_since > boot_s && is_overdue(machine, now);
+  EmptyMachineUse use;
+  use.useless = machine.preemption_notice || machine.faulty_until > now ||
+                machine.state == MachineState::lease_expired || stuck;
+  use.requested = machine.record.requested_by.valid();
+  use.leaves = idle || use.useless || unneeded || use.requested;
+  return use;
+}
+
+void MachineMonitor::return_if_unneeded(MachineIndex machine_index, const WaitingWork& waiting, Seconds now,
+                                        Effects& out) {
+  const Machine& machine = state_.machine(machine_index);
+  // A placement that is being written may become durable before the move: its task would be on a machine of a
+  // partition whose owner does not know the job.
+  if (machine.record.partition == idle_pool || !machine.placed_tasks.empty() || machine.writing ||
+      machine.reservations != 0)
+    return;
+  EmptyMachineUse use = use_of_empty(machine, waiting, now);
+  if (!use.leaves) return;
+  MachineRecord record = machine.record;
+  record.partition = use.requested && !use.useless ? machine.record.requested_by : idle_pool;
+  record.requested_by = PartitionIndex{};
+  // The next owner cannot know what made this machine useless, so the record says that it is to be deleted.
+  if (use.useless) record.mark = MachineMark::deleting;
+  write_record(machine_index, use.requested ? Urgency::placement : Urgency::other, record, out);
+}
+
+void MachineMonitor::write_record(MachineIndex machine_index, Urgency urgency, const MachineRecord& record,
+                                  Effects& out) {
+  const Machine& machine = state_.machine(machine_index);
+  Transaction txn;
+  txn.guards = {ownership_.guard(machine.record.partition), {MachineKey{machine_index}, machine.revision}};
+  txn.changes = {{MachineKey{machine_index}, record}};
+  transactions_.queue(out, urgency, std::move(txn), {machine_index}, {}, nullptr);
+}
+
+}  // namespace oxbowmill
--- a/src/scheduling/pending_reason.cpp
+++ b/src/scheduling/pending_reason.cpp
@@ -1,29 +1,34 @@
 #include "oxbowmill/scheduling/pending_reason.h"
 
+#include <spdlog/spdlog.h>
+
 namespace oxbowmill {
 
 const char* name_of(PendingReason reason) {
-  static constexpr const char* names[] = {"nothing",
-                                          "its turn",
-                                          "its team's limit",
-                                          "machines with room",
-                                          "cheap machines that come",
-                                          "room that is being left or comes",
-                                          "machines with its image, which the leader is asked for",
-                                          "the rest of it, while changes are scarce",
-                                          "a transaction",
-                                          "a pause after failures",
-                                          "its earlier attempt to end",
-                                          "word from its machine after a takeover",
-                                          "its start order to be taken",
-                                          "its image",
-                                          "the rest of its gang",
-                                          "its stop"};
+  static constexpr const char* names[] = {"none",
+                                          "queue_order",
+                                          "quota",
+                                          "no_capacity",
+                                          "awaiting_spot",
+                                          "capacity_coming",
+                                          "awaiting_leader",
+                                          "write_budget",
+                                          "transaction_pending",
+                                          "error_backoff",
+                                          "previous_attempt",
+                                          "agent_silent",
+                                          "start_unconfirmed",
+                                          "image_fetch",
+                                          "gang_members",
+                                          "stopping"};
   return names[static_cast<int>(reason)];
 }
 
 namespace {
 
+constexpr double wait_log_delay_s = 60;     // a job has waited for long from then on
+constexpr double wait_log_interval_s = 30;  // between two lines about the same job
+
 PendingReason pending_reason_of(const Placement& placement) {
   switch (placement.state) {
     case PlacementState::placed:
@@ -46,20 +51,35 @@
 }  // namespace
 
 PendingStatus pending_status_of(const ClusterState& model, const Job& job, Seconds now) {
-  PendingStatus wait;
-  if (job.phase != JobPhase::open || model.settings.operator_settings.start_deadline_s <= 0) return wait;
-  for (const auto& [t, p] : job.placements) {
-    if (p.state == PlacementState::finished || job.has_started(t) || p.has_started(now)) continue;
-    PendingReason cause = pending_reason_of(p);
-    if (cause == PendingReason::none) continue;  // it runs, though not for long
-    ++wait.tasks;
-    if (wait.reason == PendingReason::none) wait.reason = cause;
+  PendingStatus status;
+  if (job.phase != JobPhase::open || model.settings.operator_settings.start_deadline_s <= 0) return status;
+  for (const auto& [task, placement] : job.placements) {
+    if (placement.state == PlacementState::finished || job.has_started(task) || placement.has_started(now))
+      continue;
+    PendingReason reason = pending_reason_of(placement);
+    if (reason == PendingReason::none) continue;  // it runs, though not for long
+    ++status.tasks;
+    if (status.reason == PendingReason::none) status.reason = reason;
+  }
+  // Tasks without a machine wait longest.
+  if (!awaits_first_start(job)) return status;
+  status.tasks += job.pending_count();
+  status.reason = job.pending_reason;
+  return status;
+}
+
+void log_wait_reasons(ClusterState& state, PartitionIndex partition, Clock clock) {
+  for (JobIndex job_index : state.live_jobs(partition)) {
+    Job& job = state.job(job_index);
+    Seconds waited = clock.wall - job.spec.submitted_at;
+    if (waited < wait_log_delay_s || clock.now - job.pending_reason_logged_at < wait_log_interval_s) continue;
+    PendingStatus status = pending_status_of(state, job, clock.now);
+    if (status.tasks == 0) continue;
+    job.pending_reason_logged_at = clock.now;
+    SPDLOG_INFO("job pending job={} pending={} tasks={} waited_s={:.0f} reason={} start_deadline={}",
+                job.spec.ref, status.tasks, job.spec.tasks, waited, name_of(status.reason),
+                name_of(start_deadline_of(state, job.spec, clock.wall)));
   }
-  // What has no place waits longest.
-  if (!awaits_first_start(job)) return wait;
-  wait.tasks += job.pending_count();
-  wait.reason = job.pending_reason;
-  return wait;
 }
 
 }  // namespace oxbowmill
--- /dev/null
+++ b/src/scheduling/task_report_reader.cpp
@@ -0,0 +1,193 @@
+#include "oxbowmill/scheduling/task_report_reader.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <tuple>
+
+#include "oxbowmill/scheduling/done_mark_collector.h"
+
+namespace oxbowmill {
+
+namespace {
+
+constexpr double max_error_backoff_s = 30, first_error_backoff_s = 0.5;
+constexpr std::uint32_t max_backoff_doublings = 6;
+constexpr double faulty_duration_s = 600;
+constexpr std::uint32_t min_errors_of_faulty_machine = 3;  // of any jobs
+constexpr std::uint32_t max_errors_of_sound_job = 3;       // in a row; more and the job itself is at fault
+constexpr double blocked_report_intervals = 2;  // after a start for which a machine had no capacity
+constexpr double hung_report_intervals = 2;  // a task ran between two reports that are so far apart at most,
+constexpr double hung_slack_s = 1;           // with this much on top
+
+const TaskReport* find_task_report(const WorkerReport& report, const std::string& job_ref,
+                                   const Placement& placement) {
+  auto found = std::find_if(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task_report) {
+    return task_report.task == placement.task && task_report.attempt == placement.attempt &&
+           task_report.job == job_ref;
+  });
+  return found == report.tasks.end() ? nullptr : &*found;
+}
+
+}  // namespace
+
+StartUpdate TaskReportReader::read(MachineIndex machine_index, const WorkerReport& report,
+                                   const ReportProof& proof, Seconds now) {
+  Machine& machine = state_.edit_machine(machine_index);
+  Reading reading{report, proof, machine, now, {}};
+  auto task_ids = machine.placed_tasks;
+  for (TaskId id : task_ids) {
+    Placement& placement = *state_.edit_placement(id);
+    if (is_off_machine(placement.state)) continue;
+    const TaskReport* task_report = find_task_report(report, state_.job(id.job).spec.ref, placement);
+    if (task_report != nullptr) {
+      read_listed(reading, placement, *task_report);
+    } else {
+      read_absent(reading, placement);
+    }
+  }
+  check_gangs_and_marks(machine_index, task_ids, now);
+  return reading.starts;
+}
+
+void TaskReportReader::check_gangs_and_marks(MachineIndex machine_index, const std::vector<TaskId>& task_ids,
+                                             Seconds now) {
+  for (TaskId id : task_ids) {
+    Job& job = state_.job(id.job);
+    if (job.spec.shape == JobShape::gang) gangs_.check(job, now);
+  }
+  // Only an empty machine can be handed over or returned, so that the marks of its last tasks are needed.
+  const std::vector<TaskId>& placed = state_.machine(machine_index).placed_tasks;
+  bool all_off = !placed.empty() && std::all_of(placed.begin(), placed.end(), [this](TaskId id) {
+    return is_off_machine(state_.find_placement(id)->state);
+  });
+  if (all_off) request_done_marks(state_, machine_index);
+}
+
+void TaskReportReader::read_listed(Reading& reading, Placement& placement, const TaskReport& task_report) {
+  bool ended = task_report.phase == TaskPhase::ended;
+  if (ended && placement.state == PlacementState::placed && !placement.inherited &&
+      placement.sent_report_sequence == 0) {
+    // Of a gang member that gave up waiting and is started again here.
+    placement.earlier_start_listed = true;
+    return;
+  }
+  // Of an earlier owner's task only a report under our token shows its present state: a copy of an older one,
+  // come late, may show an end after which the same attempt was started again, or an agent epoch before the
+  // one in which it runs. (A gang's member, started again where it had ended `incomplete`, ran there and
+  // elsewhere.) What is done stays done.
+  bool unconfirmed_failover = placement.inherited && !reading.proof.fencing_token_shown;
+  if (ended && unconfirmed_failover && task_report.cause != EndCause::done) return;
+  reading.starts.arrived = reading.starts.arrived || placement.state == PlacementState::sent;
+  if (placement.started_at <= 0) placement.started_at = reading.now;
+  if (!unconfirmed_failover) {
+    placement.inherited = false;
+    if (placement.sent_agent_epoch == 0) {
+      placement.sent_agent_epoch = reading.report.agent_epoch;
+      placement.sent_report_sequence = reading.report.report_sequence;
+    }
+  }
+  placement.phase = task_report.phase;
+  if (ended) {
+    on_ended(reading, placement, task_report);
+  } else {
+    on_alive(reading, placement, task_report);
+  }
+}
+
+void TaskReportReader::on_alive(Reading& reading, Placement& placement, const TaskReport& task_report) {
+  Seconds now = reading.now;
+  if (task_report.phase == TaskPhase::running) {
+    // What is being stopped makes no more progress, and a machine that hung made none.
+    double max_gap_s = hung_report_intervals * state_.settings.report_interval_s + hung_slack_s;
+    bool ran_since = placement.last_running_at >= 0 && now - placement.last_running_at < max_gap_s;
+    if (ran_since && placement.state != PlacementState::stopping)
+      placement.observed_run_s += now - placement.last_running_at;
+    placement.last_running_at = now;
+  }
+  if (task_report.phase == TaskPhase::running && placement.running_at < 0) {
+    placement.running_at = now;
+    SPDLOG_DEBUG("task running task={}/{} machine={} after_s={:.1f}", state_.job(placement.job).spec.ref,
+                 placement.task, reading.report.machine, now - placement.started_at);
+  }
+  if (placement.state != PlacementState::stopping) state_.set_state(placement, PlacementState::reported, now);
+}
+
+void TaskReportReader::read_absent(Reading& reading, Placement& placement) {
+  const WorkerReport& report = reading.report;
+  // Absence counts with our token, in a later agent epoch, or where the agent has taken none of our
+  // responses, so not the one that carried the start.
+  bool start_not_taken = reading.proof.none_taken && placement.state == PlacementState::sent;
+  if (!reading.proof.fencing_token_shown && !start_not_taken &&
+      (placement.sent_agent_epoch == 0 || report.agent_epoch <= placement.sent_agent_epoch))
+    return;
+  // And only in a report newer than the one whose response carried the start: then that response was dropped
+  // or its effect is over.
+  bool newer = std::tie(report.agent_epoch, report.report_sequence) >
+               std::tie(placement.sent_agent_epoch, placement.sent_report_sequence);
+  if (!newer) return;
+  if (placement.state == PlacementState::sent) {
+    state_.set_state(placement, PlacementState::placed, reading.now);  // the start was lost: it is sent again
+    reading.starts.lost = true;
+  } else if (placement.state == PlacementState::reported || placement.state == PlacementState::stopping) {
+    placement.cause = EndCause::none;
+    state_.set_state(placement, PlacementState::terminated, reading.now);
+  } else {
+    placement.inherited = false;  // placed by an earlier owner, never started: it may be started now
+    placement.started_at = 0;
+  }
+}
+
+void TaskReportReader::on_ended(Reading& reading, Placement& placement, const TaskReport& task_report) {
+  Job& job = state_.job(placement.job);
+  Machine& machine = reading.machine;
+  Seconds now = reading.now;
+  placement.cause = task_report.cause;
+  placement.checkpoint_saved = task_report.checkpoint_saved;
+  SPDLOG_DEBUG("task ended task={}/{} machine={} cause={}", job.spec.ref, placement.task,
+               state_.names.machines.name(placement.machine), name_of(task_report.cause));
+  if (task_report.cause == EndCause::done) {
+    on_done(placement, now);
+    return;
+  }
+  if (task_report.cause == EndCause::peers_lost) job.broken_attempt = placement.attempt;
+  if (task_report.cause == EndCause::error || task_report.cause == EndCause::no_such) {
+    on_error(reading, placement, task_report);
+  } else if (task_report.cause == EndCause::no_capacity) {
+    machine.blocked_until =
+        std::max(machine.blocked_until, now + blocked_report_intervals * state_.settings.report_interval_s);
+  }
+  state_.set_state(placement, PlacementState::terminated, now);
+}
+
+void TaskReportReader::on_done(Placement& placement, Seconds now) {
+  Job& job = state_.job(placement.job);
+  job.error_count = 0;
+  if (job.spec.shape == JobShape::array) {
+    double run_time_s =
+        checkpoint::execution_time(now - placement.started_at, job.checkpoint_of(placement.task));
+    job.finished_run_times.push_back(run_time_s);
+    if (state_.settings.progress.enabled && state_.wall_clock_offset_s != 0)
+      job.unrecorded_finishes[placement.task] = {placement.task, run_time_s,
+                                                 now + state_.wall_clock_offset_s - job.spec.submitted_at};
+  }
+  state_.set_state(placement, PlacementState::finished, now);
+}
+
+void TaskReportReader::on_error(Reading& reading, const Placement& placement, const TaskReport& task_report) {
+  Job& job = state_.job(placement.job);
+  Machine& machine = reading.machine;
+  ++job.error_count;
+  if (task_report.cause == EndCause::error) ++machine.error_count;
+  double backoff_s = std::min(
+      max_error_backoff_s,
+      first_error_backoff_s * static_cast<double>(1U << std::min(job.error_count, max_backoff_doublings)));
+  job.placement_backoff_until = reading.now + backoff_s;
+  SPDLOG_INFO("task failed task={}/{} machine={} cause={}", job.spec.ref, placement.task,
+              state_.names.machines.name(placement.machine), name_of(task_report.cause));
+  // A mistake in one job must not cost machines: only errors on several occasions make a machine suspected.
+  if (machine.error_count >= min_errors_of_faulty_machine && job.error_count <= max_errors_of_sound_job)
+    machine.faulty_until = reading.now + faulty_duration_s;
+}
+
+}  // namespace oxbowmill
--- /dev/null
+++ b/src/scheduling/whole_machines.cpp
@@ -0,0 +1,65 @@
+#include "oxbowmill/scheduling/whole_machines.h"
+
+#include <algorithm>
+
+namespace oxbowmill {
+
+namespace {
+
+constexpr double whole_machine_fraction = 0.5;  // no second task fits next to one that takes more
+
+bool accepts_spot(const Job& job, const CandidateMachine& candidate) {
+  return candidate.spot && is_allowed_on(job.spec, candidate.type, candidate.zone, true);
+}
+
+/// Tasks of the job that fit on coming spot machines next to others.
+std::size_t count_coming_places(const ClusterState& state, const Job& job, const CycleCapacity& capacity) {
+  std::size_t places = 0;
+  for (const ForecastMachine& machine : capacity.coming) {
+    if (accepts_spot(job, machine.candidate) &&
+        packs_with_others(job.spec, state.catalog[machine.candidate.type.value]))
+      places += static_cast<std::size_t>(how_many_fit(job.spec.task_resources, machine.expected_capacity));
+  }
+  return places;
+}
+
+/// Takes coming capacity for that many tasks, so that jobs behind this one do not count on it.
+void reserve_coming(const Job& job, std::size_t tasks, CycleCapacity& capacity) {
+  for (ForecastMachine& machine : capacity.coming) {
+    if (!accepts_spot(job, machine.candidate)) continue;
+    while (tasks > 0 && fits(job.spec.task_resources, machine.expected_capacity)) {
+      machine.expected_capacity -= job.spec.task_resources;
+      --tasks;
+    }
+  }
+}
+
+}  // namespace
+
+bool needs_whole_machines(const ClusterState& state, PartitionIndex partition) {
+  const auto& live = state.live_jobs(partition);
+  return std::any_of(live.begin(), live.end(), [&state](JobIndex job_index) {
+    const Job& job = state.job(job_index);
+    return job.spec.shape == JobShape::gang && job.machine_fraction > whole_machine_fraction;
+  });
+}
+
+std::vector<TaskNumber> keep_whole_machines_free(const ClusterState& state, const Job& job, Seconds now,
+                                                 CycleCapacity& capacity, SelectionQuery& query,
+                                                 std::vector<TaskNumber> tasks) {
+  if (job.spec.shape != JobShape::array || !job.spec.spot) return tasks;
+  query.avoid_whole_machines = true;
+  std::size_t elsewhere = capacity.free->count_packed_places(query, tasks.size());
+  if (tasks.size() <= elsewhere) return tasks;
+  std::size_t coming = count_coming_places(state, job, capacity);
+  bool patient = now - job.first_seen < state.settings.operator_settings.scale_out_delay_s;
+  if (!patient && tasks.size() > elsewhere + coming) {
+    query.avoid_whole_machines = false;  // more than comes: what is left over may have the whole ones
+    return tasks;
+  }
+  reserve_coming(job, tasks.size() - elsewhere, capacity);
+  tasks.resize(elsewhere);
+  return tasks;
+}
+
+}  // namespace oxbowmill
