--- a/include/oxbowmill/scheduling/capacity_tracker.h
+++ b/include/oxbowmill/scheduling/capacity_tracker.h
@@ -1,5 +1,6 @@
-// Keeps the free capacity of every partition up to date from what changes in the model and from what time
-// alone brings about. Pure. Seconds on the steady clock.
+// Keeps the free capacity of every partition up to date from what changes in the cluster state and from what
+// time alone brings about. Owns the index of each partition and its version. Pure. Seconds on the steady
+// clock.
 #pragma once
 
 #include <queue>
@@ -8,13 +9,17 @@
 
 namespace oxbowmill {
 
+/// The free capacity of all partitions.
 class CapacityTracker {
  public:
+  /// `model` must outlive this object.
   explicit CapacityTracker(ClusterState& model);
 
-  /// Takes in what has changed since the last time, and gives back what was taken provisionally.
+  /// Applies what has changed since the last time, and releases what was taken provisionally.
   void refresh(Seconds now);
+  /// The partition's free capacity, for taking from it.
   FreeCapacity& free_capacity(PartitionIndex partition) { return partitions_[partition.value]; }
+  /// The partition's free capacity.
   const FreeCapacity& free_capacity(PartitionIndex partition) const { return partitions_[partition.value]; }
   /// Rises whenever a machine of the partition offers something else than before.
   std::uint64_t version(PartitionIndex partition) const { return versions_[partition.value]; }
@@ -34,7 +39,7 @@
   CapacityEstimate estimate_booting_capacity(MachineIndex machine, Seconds now) const;
   void add_tasks(const Machine& machine, MachineCapacity& capacity) const;
   void update(MachineIndex machine, Seconds now);
-  /// Rooms of types decide in which group a machine stands.
+  /// The capacities of machine types decide in which group a machine stands.
   void refresh_type_capacities();
 
   ClusterState& state_;
--- a/include/oxbowmill/scheduling/gangs.h
+++ b/include/oxbowmill/scheduling/gangs.h
@@ -1,4 +1,4 @@
-// What a gang's members say together.
+// The state of a gang as its placements show it. Stateless.
 #pragma once
 
 #include "oxbowmill/cluster/cluster_state.h"
@@ -10,7 +10,12 @@
 /// stopping them all would throw away fetches that take longer than the gang waits, and so for ever.
 GangState gang_state(const Job& job);
 /// What is to be done with the members that are still on their machines.
-enum class GangAction : std::uint8_t { none, finish_all, stop_all };
+enum class GangAction : std::uint8_t {
+  none,        ///< nothing
+  finish_all,  ///< one is done, so all are
+  stop_all,    ///< they cannot go on
+};
+/// What the state of the gang asks for.
 GangAction gang_action(const Job& job);
 
 }  // namespace oxbowmill
--- a/src/scheduling/capacity_tracker.cpp
+++ b/src/scheduling/capacity_tracker.cpp
@@ -58,7 +58,7 @@
   Seconds unavailable_until = std::max(m.blocked_until, m.faulty_until);
   if (unavailable_until > now) return {std::nullopt, unavailable_until};
   // A machine just handed over reports here within moments: its tasks may be placed already. One that has
-  // missed reports may be gone: nothing new goes there until it speaks again.
+  // missed reports may be gone: nothing new is placed there until it reports again.
   Seconds until = m.state == MachineState::expected ? m.in_partition_since + settings.first_report_timeout_s()
                   : m.state == MachineState::ready
                       ? m.last_answered_report_at + tolerated_missed_reports * settings.report_interval_s + 1
@@ -79,9 +79,9 @@
   for (TaskId id : machine.placed_tasks) {
     const Placement& placement = *state_.find_placement(id);
     const JobSpec& spec = state_.job(id.job).spec;
-    // A member that gave up waiting has its image here and comes back as soon as its end is durable. (Taken
-    // by another gang in that moment, the machine cost it a second fetch, longer than a gang waits; so gangs
-    // with large images began after 340 s.)
+    // A member that gave up waiting has its image here and is placed here again as soon as its end is
+    // durable. (Taken by another gang in that moment, the machine cost it a second fetch, longer than a gang
+    // waits; so gangs with large images began after 340 s.)
     if (placement.state == PlacementState::terminated && placement.cause == EndCause::incomplete)
       capacity.candidate.free_capacity -= spec.task_resources;
     if (is_off_machine(placement.state)) continue;
--- a/src/scheduling/free_capacity.cpp
+++ b/src/scheduling/free_capacity.cpp
@@ -142,8 +142,8 @@
   return !spared;
 }
 
-/// Machines of one group on which a task fits, best first: all of them start it at the same time and spoil
-/// the same, so the least room decides.
+/// Machines of one group on which a task fits, best first: all of them start it at the same time at the
+/// same opportunity cost, so the least free capacity decides.
 class FreeCapacity::Stream {
  public:
   Stream(const FreeCapacity& index, const JobSpec& spec, const CapacityOrder& order, CandidateMachine like,
@@ -224,7 +224,8 @@
   struct LessPreferred {
     bool operator()(const Head& a, const Head& b) const { return is_better(b, a); }
   };
-  /// The order of preference: soonest start with what it spoils, then what it costs, spot, least room.
+  /// The order of preference: soonest start with its opportunity cost, then acquisition cost, spot, least
+  /// free capacity.
   static bool is_better(const Head& left, const Head& right) {
     auto key = [](const Head& h) {
       const CandidateMachine& n = h.candidate;
--- a/src/scheduling/machine_selection.cpp
+++ b/src/scheduling/machine_selection.cpp
@@ -46,9 +46,9 @@
 
 namespace {
 
-// Machines shared by short and lasting work are never empty again for a gang or for the cloud, and whole
-// ordinary ones are what gangs wait for. Below a fetch of a middling image, so that a task still goes where
-// its image is.
+// Machines shared by short and long-running work never become empty for a gang or to be deleted, and whole
+// on-demand machines are what gangs wait for. Less than the fetch of a medium-sized image, so that a task is
+// still placed where its image is.
 constexpr Seconds long_running_on_whole_s = 6, long_running_on_mixed_s = 3;
 constexpr Seconds short_on_whole_s = 8, short_on_long_running_s = 4, short_on_mixed_s = 2,
                   short_on_cheap_whole_s = 1;
@@ -84,8 +84,8 @@
 
 namespace {
 
-/// Bins that can take a task, best first: soonest start, with what it spoils, then cheap kind, then least
-/// room.
+/// Candidates on which a task fits, best first: soonest start, with its opportunity cost, then spot, then
+/// least free capacity.
 std::vector<std::size_t> ranked_candidates(const JobSpec& spec, const std::vector<CandidateMachine>& bins,
                                            ZoneIndex only) {
   std::vector<std::size_t> out;
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -31,7 +31,8 @@
   });
 }
 
-/// Machines' worth of room that the part's running tasks leave each second, by their owners' estimates.
+/// Machines' worth of capacity that the partition's running tasks release each second, as their owner
+/// estimates.
 double capacity_release_rate(const ClusterState& model, PartitionIndex partition) {
   double rate = 0;
   for (JobIndex ji : model.live_jobs(partition)) {
@@ -74,9 +75,9 @@
   return given_up;
 }
 
-/// What is given up for a deadline, or outranked, would otherwise wait as long as others come: its place then
-/// is decided by the time by which it has to begin. How much may cross ranks at a time is bounded, so that
-/// where there is never room enough the ranks still mean something.
+/// What is given up for a deadline, or has a lower priority, would otherwise wait as long as others come: its
+/// place is then decided by its start deadline. How much may cross priorities at a time is bounded, so that
+/// they still mean something where there is never enough capacity.
 void apply_start_deadlines(const ClusterState& model, PartitionIndex partition, Clock clock,
                            std::vector<QueueEntry>& entries) {
   constexpr int before_all_ranks = -100;
@@ -116,7 +117,7 @@
     const Job& job = model.job(job_index);
     if (model.placeable_tasks(job_index) == 0) continue;
     if (job.spec.shape == JobShape::gang && !gang_may_be_placed(job)) continue;
-    // What was saved before its machines were lost is worth its place: those nearest their end go on first.
+    // Progress that was saved before its machines were lost counts: those nearest their end continue first.
     double since = job.spec.submitted_at - model.placement_limits(job_index).priority_boost_s -
                    (job.spec.estimate_s - job.remaining_s());
     QueueEntry e{-static_cast<int>(job.spec.priority), 1, since, since, job_index};
