--- /dev/null
+++ b/src/state/job_records.cpp
@@ -0,0 +1,163 @@
+// Records of jobs and of their chunks of tasks.
+#include <algorithm>
+#include <cmath>
+#include <cstdlib>
+
+#include "oxbowmill/state/keys.h"
+#include "record_codecs.h"
+#include "stored_fields.h"
+#include "stored_names.h"
+
+namespace oxbowmill::state {
+
+using wire::Json;
+
+namespace {
+
+std::string to_hex(std::uint64_t bits) {
+  char text[20];
+  std::snprintf(text, sizeof text, "%llx", static_cast<unsigned long long>(bits));
+  return text;
+}
+
+std::uint64_t from_hex(const Json& json) {
+  return json.is_string() ? std::strtoull(json.get_ref<const std::string&>().c_str(), nullptr, 16) : 0;
+}
+
+std::uint64_t read_bits(const Json& record, const char* field) {
+  return record.count(field) != 0 ? from_hex(record[field]) : 0;
+}
+
+std::optional<JobPhase> phase_of(const std::string& text) {
+  for (JobPhase phase : {JobPhase::open, JobPhase::done, JobPhase::cancelled}) {
+    if (text == name_of(phase)) return phase;
+  }
+  return std::nullopt;
+}
+
+Json encode_placement(const PlacedTask& placed, const Names& names) {
+  Json row = Json::array(
+      {placed.task, names.machines.name(placed.machine), placed.attempt, placed.restarting ? 1 : 0});
+  if (placed.placed_after_s >= 0) row.push_back(static_cast<std::int64_t>(placed.placed_after_s));
+  return row;
+}
+
+std::optional<PlacedTask> decode_placement(const Json& row, ClusterState& cluster) {
+  if (!row.is_array() || row.size() < 4 || !row[0].is_number() || !row[1].is_string() ||
+      !row[2].is_number() || !row[3].is_number()) {
+    return std::nullopt;
+  }
+  return PlacedTask{row[0].get<TaskNumber>(), cluster.intern_machine(row[1].get<std::string>()),
+                    row[2].get<Attempt>(), row[3].get<int>() != 0,
+                    row.size() > 4 && row[4].is_number() ? row[4].get<double>() : -1};
+}
+
+/// Checkpoints and run times only improve decisions. A value of the state service is bounded in size, and
+/// placements, which must be stored, take precedence: run times are dropped first, then checkpoints.
+void drop_hints_over_limit(Json& value, const ChunkRecord& record, double max_value_kb) {
+  constexpr std::size_t rows_that_surely_fit = 24;
+  if (record.placements.size() + record.checkpoints.size() + record.finishes.size() <= rows_that_surely_fit)
+    return;
+  for (const char* hint : {stored::chunk::finishes, stored::chunk::checkpoints}) {
+    if (static_cast<double>(value.dump().size()) > max_value_kb * 1024) value.erase(hint);
+  }
+}
+
+/// The well-formed rows of a list of hints; malformed ones are skipped, since hints are optional.
+std::vector<const Json*> hint_rows(const Json& value, const char* field, std::size_t least_size) {
+  std::vector<const Json*> rows;
+  auto list = value.find(field);
+  if (list == value.end() || !list->is_array()) return rows;
+  for (const Json& row : *list) {
+    bool well_formed = row.is_array() && row.size() >= least_size &&
+                       std::all_of(row.begin(), row.end(), [](const Json& item) { return item.is_number(); });
+    if (well_formed) rows.push_back(&row);
+  }
+  return rows;
+}
+
+}  // namespace
+
+std::optional<JobPhase> read_phase(const Json& value) {
+  return value.is_object() ? phase_of(read_string(value, stored::job::phase)) : std::nullopt;
+}
+
+Json with_phase(Json value, JobPhase phase) {
+  value[stored::job::phase] = name_of(phase);
+  return value;
+}
+
+Json job_value(const JobSpec& spec, JobPhase phase, const Names& names) {
+  return {{stored::job::spec, wire::write_submission(spec, names)},
+          {stored::job::phase, name_of(phase)},
+          {stored::job::submitted_at, spec.submitted_at}};
+}
+
+Json encode_record(const JobRecord& record, const ClusterState& cluster) {
+  return job_value(record.spec, record.phase, cluster.names);
+}
+
+Json encode_record(JobPhase final_phase, const ClusterState&) {
+  return {{stored::job::phase, name_of(final_phase)}};
+}
+
+std::optional<JobRecord> decode_job(const Json& value, ClusterState& cluster) {
+  auto submission = value.find(stored::job::spec);
+  auto submitted_at = value.find(stored::job::submitted_at);
+  auto phase = read_phase(value);
+  if (submission == value.end() || !submission->is_object() || !phase || submitted_at == value.end() ||
+      !submitted_at->is_number()) {
+    return std::nullopt;
+  }
+  // The catalog may have dropped a type since the job was accepted; the record must still be readable.
+  for (const std::string& type : wire::submitted_types(*submission)) cluster.intern_type(type);
+  JobRecord record;
+  if (wire::read_submission(*submission, cluster.names, record.spec)) return std::nullopt;
+  record.spec.submitted_at = submitted_at->get<double>();
+  record.phase = *phase;
+  return record;
+}
+
+Json encode_record(const ChunkRecord& record, const ClusterState& cluster) {
+  Json placements = Json::array();
+  for (const PlacedTask& placed : record.placements)
+    placements.push_back(encode_placement(placed, cluster.names));
+  Json value = {{stored::chunk::done, to_hex(record.done)},
+                {stored::chunk::restarted, to_hex(record.restarted)},
+                {stored::chunk::placements, std::move(placements)}};
+  // Rounded outwards, so that neither bound gets tighter than what is known.
+  for (const auto& [task, saved] : record.checkpoints) {
+    value[stored::chunk::checkpoints].push_back(
+        Json::array({task, std::floor(saved.low), std::floor(saved.likely), std::ceil(saved.high)}));
+  }
+  for (const checkpoint::FinishedTask& finished : record.finishes) {
+    value[stored::chunk::finishes].push_back(Json::array(
+        {finished.task, std::round(10 * finished.run_s) / 10, std::floor(finished.finished_at_s)}));
+  }
+  drop_hints_over_limit(value, record, cluster.settings.max_value_kb);
+  return value;
+}
+
+std::optional<ChunkRecord> decode_chunk(const Json& value, ClusterState& cluster) {
+  ChunkRecord record;
+  record.done = read_bits(value, stored::chunk::done);
+  record.restarted = read_bits(value, stored::chunk::restarted);
+  auto placements = value.find(stored::chunk::placements);
+  if (placements == value.end() || !placements->is_array()) return std::nullopt;
+  for (const Json& row : *placements) {
+    auto placed = decode_placement(row, cluster);
+    if (!placed) return std::nullopt;
+    record.placements.push_back(*placed);
+  }
+  for (const Json* row : hint_rows(value, stored::chunk::checkpoints, 4)) {
+    record.checkpoints[row->at(0).get<TaskNumber>()] = {row->at(1).get<double>(), row->at(2).get<double>(),
+                                                        row->at(3).get<double>()};
+  }
+  for (const Json* row : hint_rows(value, stored::chunk::finishes, 3)) {
+    record.finishes.push_back(
+        {row->at(0).get<TaskNumber>(), row->at(1).get<double>(), row->at(2).get<double>()});
+  }
+  return record;
+}
+
+}  // namespace oxbowmill::state
--- /dev/null
+++ b/src/wire/agent_codec.cpp
@@ -0,0 +1,143 @@
+#include "oxbowmill/wire/agent_codec.h"
+
+#include "field_reader.h"
+#include "name_table.h"
+#include "shared_names.h"
+
+namespace oxbowmill::wire {
+
+namespace {
+
+namespace field {
+// Of reports.
+constexpr const char* machine = "host";
+constexpr const char* agent_epoch = "tenure";
+constexpr const char* report_sequence = "serial";
+constexpr const char* fencing_token = "warrant";
+constexpr const char* preemption_notice_s = "recall_s";
+constexpr const char* tasks = "shards";
+// Of tasks, in reports and commands.
+constexpr const char* task = "shard";
+constexpr const char* attempt = "try";
+constexpr const char* cause = "cause";
+constexpr const char* checkpoint_saved = "stored";
+// Of answers and commands.
+constexpr const char* owner = "foreman";
+constexpr const char* commands = "orders";
+constexpr const char* command_kind = "verb";
+constexpr const char* termination_timeout_s = "wind_down_s";
+}  // namespace field
+
+constexpr WireName<TaskPhase> task_phases[] = {{"fetching", TaskPhase::fetching},
+                                               {"gathering", TaskPhase::gathering},
+                                               {"running", TaskPhase::running},
+                                               {"saving", TaskPhase::saving},
+                                               {"ended", TaskPhase::ended}};
+
+constexpr WireName<EndCause> end_causes[] = {
+    {"done", EndCause::done},        {"stopped", EndCause::stopped},
+    {"peers", EndCause::peers_lost}, {"incomplete", EndCause::incomplete},
+    {"error", EndCause::error},      {"no_room", EndCause::no_capacity},
+    {"busy", EndCause::busy},        {"no_such", EndCause::no_such}};
+
+constexpr WireName<CommandKind> command_kinds[] = {
+    {"start", CommandKind::start}, {"kill", CommandKind::kill}, {"clear", CommandKind::clear}};
+
+struct NamedTask {
+  std::string job;
+  TaskNumber task = 0;
+};
+
+/// "run-000412/3": job and task number.
+std::optional<NamedTask> read_task_id(const std::string& text) {
+  constexpr std::size_t max_digits = 9;  // any such number fits into a TaskNumber
+  std::size_t slash = text.rfind('/');
+  if (slash == std::string::npos || slash + 1 == text.size() || text.size() - slash > max_digits + 1)
+    return std::nullopt;
+  std::uint64_t number = 0;
+  for (std::size_t i = slash + 1; i < text.size(); ++i) {
+    if (text[i] < '0' || text[i] > '9') return std::nullopt;
+    number = number * 10 + static_cast<std::uint64_t>(text[i] - '0');
+  }
+  NamedTask id{text.substr(0, slash), static_cast<TaskNumber>(number)};
+  return valid_id(id.job) ? std::optional<NamedTask>(std::move(id)) : std::nullopt;
+}
+
+std::string write_task_id(const std::string& job, TaskNumber task) {
+  return job + "/" + std::to_string(task);
+}
+
+/// A cause that this version does not know still says that the task has ended.
+EndCause read_end_cause(FieldReader& fields) {
+  std::string name = fields.has(field::cause) ? fields.text(field::cause) : std::string();
+  return value_of(end_causes, name).value_or(EndCause::error);
+}
+
+std::optional<TaskReport> read_task(const Json& json) {
+  if (!json.is_object()) return std::nullopt;
+  FieldReader fields(json);
+  auto id = read_task_id(fields.text(field::task));
+  if (!id) return std::nullopt;
+  TaskReport task;
+  task.job = std::move(id->job);
+  task.task = id->task;
+  task.attempt = fields.count(field::attempt);
+  auto phase = value_of(task_phases, fields.text(shared::phase));
+  if (!fields.ok() || !phase) return std::nullopt;
+  task.phase = *phase;
+  if (task.phase == TaskPhase::ended) task.cause = read_end_cause(fields);
+  const Json* saved = fields.optional(field::checkpoint_saved);
+  task.checkpoint_saved = saved != nullptr && saved->is_boolean() && saved->get<bool>();
+  return task;
+}
+
+Json write_commands(const std::vector<AgentCommand>& commands) {
+  Json out = Json::array();
+  for (const AgentCommand& command : commands) {
+    Json json = {{field::command_kind, name_on_wire(command_kinds, command.kind)},
+                 {field::task, write_task_id(command.job, command.task)},
+                 {field::attempt, command.attempt}};
+    if (command.kind == CommandKind::kill) json[field::termination_timeout_s] = command.termination_timeout_s;
+    out.push_back(std::move(json));
+  }
+  return out;
+}
+
+}  // namespace
+
+std::optional<WorkerReport> read_report(const Json& json) {
+  FieldReader fields(json);
+  WorkerReport report;
+  report.machine = fields.text(field::machine);
+  if (!valid_id(report.machine)) fields.fail(field::machine);
+  report.address = fields.text(shared::address);
+  report.type = fields.text(shared::machine_type);
+  report.zone = fields.text(shared::zone);
+  report.spot = fields.flag(shared::spot);
+  report.agent_epoch = fields.count(field::agent_epoch);
+  report.report_sequence = fields.count(field::report_sequence);
+  report.fencing_token = fields.count(field::fencing_token);
+  report.preemption_notice_s =
+      fields.has(field::preemption_notice_s) ? fields.amount(field::preemption_notice_s) : -1;
+  auto tasks = json.find(field::tasks);
+  if (!fields.ok() || tasks == json.end() || !tasks->is_array()) return std::nullopt;
+  for (const Json& task_json : *tasks) {
+    auto task = read_task(task_json);
+    if (!task) return std::nullopt;
+    report.tasks.push_back(std::move(*task));
+  }
+  return report;
+}
+
+Json write_report_answer(const ReportAnswer& answer) {
+  if (answer.kind == ReportAnswer::Kind::redirect) return {{field::owner, answer.owner}};
+  return {{field::fencing_token, answer.fencing_token}, {field::commands, write_commands(answer.commands)}};
+}
+
+Json write_direct_commands(const DirectCommands& commands) {
+  return {{field::fencing_token, commands.fencing_token},
+          {field::agent_epoch, commands.agent_epoch},
+          {field::commands, write_commands(commands.commands)}};
+}
+
+}  // namespace oxbowmill::wire
--- a/src/wire/market_codec.cpp
+++ b/src/wire/market_codec.cpp
@@ -1,8 +1,12 @@
 #include "oxbowmill/wire/market_codec.h"
 
+#include <algorithm>
 #include <cmath>
+#include <limits>
 
+#include "name_table.h"
 #include "oxbowmill/market/settings.h"
+#include "shared_names.h"
 
 namespace oxbowmill::wire {
 
@@ -12,175 +16,269 @@
 using market::AuctionPhase;
 using market::CallKind;
 
+namespace path {
+constexpr const char* quotes = "/quotes";
+constexpr const char* bids = "/bids";
+constexpr const char* confirm = "/confirm";
+constexpr const char* withdraw = "/withdraw";
+constexpr const char* returns = "/returns";
+constexpr const char* charges_from = "/charges?from=";
+}  // namespace path
+
+namespace field {
+// Of quotes and the request for them.
+constexpr const char* wanted_kinds = "wants";
+constexpr const char* quotes = "quotes";
+constexpr const char* quote_id = "quote";
+constexpr const char* rate = "rate";
+constexpr const char* valid_ms = "valid_ms";
+constexpr const char* deliver_s = "deliver_s";
+// Of bids.
+constexpr const char* bid = "bid";
+constexpr const char* price_limit = "limit";
+constexpr const char* max_paid_s = "term_s";
+constexpr const char* charged = "charged";
+constexpr const char* raised_rate = "raise";
+constexpr const char* round = "round";
+constexpr const char* expected_machines = "expects";
+constexpr const char* machine = "host";
+// Of returned machines and of charges.
+constexpr const char* returned_machines = "returned";
+constexpr const char* charges = "charges";
+constexpr const char* charge_number = "no";
+constexpr const char* charge_amount = "amount";
+}  // namespace field
+
+constexpr WireName<AuctionPhase> auction_phases[] = {
+    {"open", AuctionPhase::open}, {"raised", AuctionPhase::raised},       {"won", AuctionPhase::won},
+    {"lost", AuctionPhase::lost}, {"withdrawn", AuctionPhase::withdrawn}, {"closed", AuctionPhase::closed}};
+
+// What is beyond these is implausible.
 constexpr double max_duration_s = 7 * 86400.0;
 constexpr double max_amount = 1e9;
+constexpr std::uint64_t max_machines = 100'000;
+constexpr std::size_t max_name_bytes = 120;
 constexpr std::size_t max_quotes = 500, max_hosts = 1000, max_charges = 1000;
+constexpr std::uint64_t unbounded = std::numeric_limits<std::uint64_t>::max();
 
 std::optional<double> read_amount(const Json& json, const char* key, double most) {
   auto it = json.find(key);
   if (it == json.end() || !it->is_number()) return std::nullopt;
-  double v = it->get<double>();
-  if (!std::isfinite(v) || v < 0 || v > most) return std::nullopt;
-  return v;
+  auto amount = it->get<double>();
+  if (!std::isfinite(amount) || amount < 0 || amount > most) return std::nullopt;
+  return amount;
 }
 
 std::optional<std::uint64_t> read_count(const Json& json, const char* key, std::uint64_t most) {
   auto it = json.find(key);
   if (it == json.end() || !it->is_number_unsigned()) return std::nullopt;
-  auto v = it->get<std::uint64_t>();
-  return v > most ? std::nullopt : std::optional<std::uint64_t>(v);
+  auto count = it->get<std::uint64_t>();
+  return count > most ? std::nullopt : std::optional<std::uint64_t>(count);
 }
 
 std::optional<std::string> read_name(const Json& json, const char* key) {
-  constexpr std::size_t longest = 120;
   auto it = json.find(key);
   if (it == json.end() || !it->is_string()) return std::nullopt;
-  const auto& s = it->get_ref<const std::string&>();
-  bool printable = !s.empty() && s.size() <= longest &&
-                   std::all_of(s.begin(), s.end(), [](char c) { return c > ' ' && c < 127 && c != '/'; });
-  return printable ? std::optional<std::string>(s) : std::nullopt;
+  const auto& name = it->get_ref<const std::string&>();
+  bool usable = !name.empty() && name.size() <= max_name_bytes &&
+                std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127 && c != '/'; });
+  return usable ? std::optional<std::string>(name) : std::nullopt;
+}
+
+bool is_present(const Json& json, const char* key) {
+  return json.contains(key) && !json[key].is_null();
+}
+
+/// Nothing when it is no list, or one that is longer than plausible.
+const Json* read_list_field(const Json& json, const char* key, std::size_t most) {
+  auto it = json.find(key);
+  return it != json.end() && it->is_array() && it->size() <= most ? &*it : nullptr;
 }
 
 Json write_kind(const MachineKind& kind, const Names& names) {
-  return {
-      {"rig", names.types.name(kind.type)}, {"yard", names.zones.name(kind.zone)}, {"loaners", kind.spot}};
+  return {{shared::machine_type, names.types.name(kind.type)},
+          {shared::zone, names.zones.name(kind.zone)},
+          {shared::spot, kind.spot}};
 }
 
 /// Types and zones that are not known here stay invalid.
 std::optional<MachineKind> read_kind(const Json& json, const Names& names) {
-  auto rig = read_name(json, "rig"), yard = read_name(json, "yard");
-  auto spot = json.find("loaners");
-  if (!rig || !yard || spot == json.end() || !spot->is_boolean()) return std::nullopt;
-  return MachineKind{names.types.find(*rig), names.zones.find(*yard), spot->get<bool>()};
+  auto type = read_name(json, shared::machine_type), zone = read_name(json, shared::zone);
+  auto spot = json.find(shared::spot);
+  if (!type || !zone || spot == json.end() || !spot->is_boolean()) return std::nullopt;
+  return MachineKind{names.types.find(*type), names.zones.find(*zone), spot->get<bool>()};
 }
 
-const Json* read_list_field(const Json& json, const char* key, std::size_t most) {
-  auto it = json.find(key);
-  return it != json.end() && it->is_array() && it->size() <= most ? &*it : nullptr;
+/// Nothing for an implausible quote.
+std::optional<market::QuoteUpdate> read_quote(const Json& json, const Names& names) {
+  auto id = read_name(json, field::quote_id);
+  auto kind = read_kind(json, names);
+  auto machines = read_count(json, shared::count, max_machines);
+  auto rate = read_amount(json, field::rate, market::max_rate);
+  auto valid_ms = read_amount(json, field::valid_ms, max_duration_s * 1000);
+  auto deliver_s = read_amount(json, field::deliver_s, max_duration_s);
+  if (!id || !kind || !machines || !rate || *rate <= 0 || !valid_ms || !deliver_s) return std::nullopt;
+  return market::QuoteUpdate{*id,       *kind, static_cast<std::uint32_t>(*machines), *rate, *valid_ms / 1000,
+                             *deliver_s};
 }
 
 bool read_quotes(const Json& body, const Names& names, Answer& out) {
-  const Json* quotes = read_list_field(body, "quotes", max_quotes);
+  const Json* quotes = read_list_field(body, field::quotes, max_quotes);
   if (quotes == nullptr) return false;
-  for (const Json& quote : *quotes) {
-    if (!quote.is_object()) return false;
-    market::QuoteUpdate n;
-    auto id = read_name(quote, "quote");
-    auto kind = read_kind(quote, names);
-    auto machines = read_count(quote, "count", 100'000);
-    auto rate = read_amount(quote, "rate", market::max_rate);
-    auto valid = read_amount(quote, "valid_ms", max_duration_s * 1000),
-         deliver = read_amount(quote, "deliver_s", max_duration_s);
-    if (!id || !kind || !machines || !rate || *rate <= 0 || !valid || !deliver) {
+  for (const Json& quote_json : *quotes) {
+    if (!quote_json.is_object()) return false;
+    auto quote = read_quote(quote_json, names);
+    if (!quote) {
       ++out.implausible_quotes;
       continue;
     }
-    if (!kind->type.valid() || !kind->zone.valid() || *machines == 0) continue;
-    out.quotes.push_back({*id, *kind, static_cast<std::uint32_t>(*machines), *rate, *valid / 1000, *deliver});
+    if (!quote->kind.type.valid() || !quote->kind.zone.valid() || quote->count == 0) continue;
+    out.quotes.push_back(std::move(*quote));
+  }
+  return true;
+}
+
+bool read_raise(const Json& body, market::BidUpdate& out) {
+  auto raised_rate = read_amount(body, field::raised_rate, market::max_rate);
+  auto round = read_count(body, field::round, unbounded);
+  if (!raised_rate || !round || *raised_rate <= 0) return false;
+  out.raised_rate = market::to_money_amount(*raised_rate);
+  out.round = *round;
+  return true;
+}
+
+bool read_delivered_hosts(const Json& body, const Names& names, market::BidUpdate& out) {
+  const Json* hosts = read_list_field(body, shared::machines, max_hosts);
+  if (hosts == nullptr) return false;
+  for (const Json& host : *hosts) {
+    if (!host.is_object()) return false;
+    auto name = read_name(host, field::machine), address = read_name(host, shared::address);
+    auto kind = read_kind(host, names);
+    if (!name || !address || !kind) return false;
+    out.hosts.push_back({*name, *address, *kind});
   }
   return true;
 }
 
 bool read_bid(const Json& body, const std::string& bid_id, const Names& names, Answer& out) {
-  static constexpr std::pair<const char*, AuctionPhase> phases[] = {
-      {"open", AuctionPhase::open}, {"raised", AuctionPhase::raised},       {"won", AuctionPhase::won},
-      {"lost", AuctionPhase::lost}, {"withdrawn", AuctionPhase::withdrawn}, {"closed", AuctionPhase::closed}};
-  auto of = read_name(body, "bid"), phase = read_name(body, "phase");
-  auto charged = read_amount(body, "charged", max_amount);
-  if (!of || *of != bid_id || !phase || !charged) return false;
-  market::BidUpdate bid_update;
-  const auto* known =
-      std::find_if(std::begin(phases), std::end(phases), [&](const auto& p) { return *phase == p.first; });
-  if (known == std::end(phases)) return false;
-  bid_update.phase = known->second;
-  bid_update.charged = market::to_money_amount(*charged);
-  auto has = [&body](const char* key) { return body.contains(key) && !body[key].is_null(); };
-  if (has("rate")) {
-    auto rate = read_amount(body, "rate", market::max_rate);
+  auto of_bid = read_name(body, field::bid), phase_name = read_name(body, shared::phase);
+  auto charged = read_amount(body, field::charged, max_amount);
+  if (!of_bid || *of_bid != bid_id || !phase_name || !charged) return false;
+  auto phase = value_of(auction_phases, *phase_name);
+  if (!phase) return false;
+  market::BidUpdate update;
+  update.phase = *phase;
+  update.charged = market::to_money_amount(*charged);
+  if (is_present(body, field::rate)) {
+    auto rate = read_amount(body, field::rate, market::max_rate);
     if (!rate) return false;
-    bid_update.rate = market::to_money_amount(*rate);
+    update.rate = market::to_money_amount(*rate);
   }
-  if (bid_update.phase == AuctionPhase::raised) {
-    auto raise = read_amount(body, "raise", market::max_rate);
-    auto round = read_count(body, "round", ~0ULL);
-    if (!raise || !round || *raise <= 0) return false;
-    bid_update.raised_rate = market::to_money_amount(*raise);
-    bid_update.round = *round;
+  if (update.phase == AuctionPhase::raised && !read_raise(body, update)) return false;
+  if (is_present(body, field::expected_machines)) {
+    auto expected = read_count(body, field::expected_machines, max_machines);
+    if (!expected) return false;
+    update.expected_machines = static_cast<std::uint32_t>(*expected);
   }
-  if (has("expects")) {
-    auto expects = read_count(body, "expects", 100'000);
-    if (!expects) return false;
-    bid_update.expected_machines = static_cast<std::uint32_t>(*expects);
-  }
-  if (has("hosts")) {
-    const Json* hosts = read_list_field(body, "hosts", max_hosts);
-    if (hosts == nullptr) return false;
-    for (const Json& h : *hosts) {
-      if (!h.is_object()) return false;
-      auto host = read_name(h, "host"), address = read_name(h, "address");
-      auto kind = read_kind(h, names);
-      if (!host || !address || !kind) return false;
-      bid_update.hosts.push_back({*host, *address, *kind});
-    }
-  }
-  out.bid = std::move(bid_update);
+  if (is_present(body, shared::machines) && !read_delivered_hosts(body, names, update)) return false;
+  out.bid = std::move(update);
   return true;
 }
 
 bool read_charges(const Json& body, Answer& out) {
-  const Json* charges = read_list_field(body, "charges", max_charges);
+  const Json* charges = read_list_field(body, field::charges, max_charges);
   if (charges == nullptr) return false;
   for (const Json& charge : *charges) {
     if (!charge.is_object()) return false;
-    auto number = read_count(charge, "no", ~0ULL);
-    auto bid = read_name(charge, "bid");
-    auto sum = read_amount(charge, "amount", max_amount);
-    if (!number || !bid || !sum) return false;
-    out.charges.push_back({*number, *bid, market::to_money_amount(*sum)});
+    auto number = read_count(charge, field::charge_number, unbounded);
+    auto bid = read_name(charge, field::bid);
+    auto amount = read_amount(charge, field::charge_amount, max_amount);
+    if (!number || !bid || !amount) return false;
+    out.charges.push_back({*number, *bid, market::to_money_amount(*amount)});
   }
   return true;
 }
 
 bool read_returned(const Json& body, Answer& out) {
-  const Json* hosts = read_list_field(body, "returned", max_hosts);
+  const Json* hosts = read_list_field(body, field::returned_machines, max_hosts);
   if (hosts == nullptr) return false;
-  for (const Json& h : *hosts) {
-    if (!h.is_string()) return false;
-    out.returned_hosts.push_back(h.get<std::string>());
+  for (const Json& host : *hosts) {
+    if (!host.is_string()) return false;
+    out.returned_hosts.push_back(host.get<std::string>());
   }
   return true;
 }
+
+AnswerKind kind_of_status(int status) {
+  switch (status) {
+    case 0:
+      return AnswerKind::no_answer;
+    case 200:
+      return AnswerKind::ok;
+    case 429:
+    case 503:
+      return AnswerKind::throttled;
+    case 404:
+      return AnswerKind::not_found;
+    case 400:
+    case 409:
+    case 410:
+    case 422:
+      return AnswerKind::rejected;
+    default:
+      return AnswerKind::malformed;
+  }
+}
+
+/// False where the body is not what the call must be answered with.
+bool read_body(const market::Call& call, const Json& body, const Names& names, Answer& out) {
+  switch (call.kind) {
+    case CallKind::quotes:
+      return read_quotes(body, names, out);
+    case CallKind::release:
+      return read_returned(body, out);
+    case CallKind::charges:
+      return read_charges(body, out);
+    case CallKind::bid:
+    case CallKind::status:
+    case CallKind::confirm:
+    case CallKind::withdraw:
+      return read_bid(body, call.bid, names, out);
+  }
+  return false;
+}
 }  // namespace
 
 MarketRequest write_market_call(const market::Call& call, const Names& names) {
+  const std::string bid_path = std::string(path::bids) + "/" + call.bid;
   switch (call.kind) {
     case CallKind::quotes: {
-      Json wants = Json::array();
-      for (const MachineKind& k : call.kinds) wants.push_back(write_kind(k, names));
-      return {true, "/quotes", {{"wants", wants}}};
+      Json kinds = Json::array();
+      for (const MachineKind& kind : call.kinds) kinds.push_back(write_kind(kind, names));
+      return {true, path::quotes, {{field::wanted_kinds, kinds}}};
     }
     case CallKind::bid: {
       Json body = write_kind(call.kinds.at(0), names);
-      body["bid"] = call.bid;
-      body["quote"] = call.quote_id;
-      body["count"] = call.count;
-      body["limit"] = market::to_currency(call.limit);
-      body["term_s"] = call.max_paid_s;
-      body["deliver_s"] = call.deliver_within_s;
-      return {true, "/bids", std::move(body)};
+      body[field::bid] = call.bid;
+      body[field::quote_id] = call.quote_id;
+      body[shared::count] = call.count;
+      body[field::price_limit] = market::to_currency(call.limit);
+      body[field::max_paid_s] = call.max_paid_s;
+      body[field::deliver_s] = call.deliver_within_s;
+      return {true, path::bids, std::move(body)};
     }
     case CallKind::status:
-      return {false, "/bids/" + call.bid, nullptr};
+      return {false, bid_path, nullptr};
     case CallKind::confirm:
       return {true,
-              "/bids/" + call.bid + "/confirm",
-              {{"round", call.round}, {"rate", market::to_currency(call.rate)}}};
+              bid_path + path::confirm,
+              {{field::round, call.round}, {field::rate, market::to_currency(call.rate)}}};
     case CallKind::withdraw:
-      return {true, "/bids/" + call.bid + "/withdraw", Json::object()};
+      return {true, bid_path + path::withdraw, Json::object()};
     case CallKind::release:
-      return {true, "/returns", {{"hosts", call.hosts}}};
+      return {true, path::returns, {{shared::machines, call.hosts}}};
     case CallKind::charges:
-      return {false, "/charges?from=" + std::to_string(call.from), nullptr};
+      return {false, path::charges_from + std::to_string(call.from), nullptr};
   }
   return {};
 }
@@ -188,55 +286,20 @@
 Answer read_market_answer(const market::Call& call, int status, const std::string& body, double retry_after_s,
                           const Names& names) {
   Answer answer;
+  answer.kind = kind_of_status(status);
   answer.retry_after_s = retry_after_s;
-  switch (status) {
-    case 0:
-      answer.kind = AnswerKind::no_answer;
-      return answer;
-    case 429:
-    case 503:
-      answer.kind = AnswerKind::throttled;
-      return answer;
-    case 404:
-      answer.kind = AnswerKind::not_found;
-      return answer;
-    case 400:
-    case 409:
-    case 410:
-    case 422:
-      answer.kind = AnswerKind::rejected;
-      return answer;
-    case 200:
-      break;
-    default:
-      answer.kind = AnswerKind::malformed;
-      return answer;
-  }
+  if (answer.kind != AnswerKind::ok) return answer;
   answer.kind = AnswerKind::malformed;
   if (body.size() > max_market_body_size) return answer;
   Json json = Json::from_cbor(body, true, false);
   if (!json.is_object()) return answer;
-  bool good = false;
-  switch (call.kind) {
-    case CallKind::quotes:
-      good = read_quotes(json, names, answer);
-      break;
-    case CallKind::release:
-      good = read_returned(json, answer);
-      break;
-    case CallKind::charges:
-      good = read_charges(json, answer);
-      break;
-    default:
-      good = read_bid(json, call.bid, names, answer);
-      break;
-  }
-  if (good) {
-    answer.kind = AnswerKind::ok;
-  } else {
+  if (!read_body(call, json, names, answer)) {
+    // What was read before the malformed field must not be used either.
     answer = Answer{};
     answer.kind = AnswerKind::malformed;
+    return answer;
   }
+  answer.kind = AnswerKind::ok;
   return answer;
 }
 
--- /dev/null
+++ b/src/wire/name_table.h
@@ -0,0 +1,33 @@
+// Tables that pair an enumerator with its name on the wire.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+#include <string>
+
+namespace oxbowmill::wire {
+
+template <class Enum>
+struct WireName {
+  const char* name;
+  Enum value;
+};
+
+/// Nothing for a name that is not in the table.
+template <class Enum, std::size_t Size>
+std::optional<Enum> value_of(const WireName<Enum> (&table)[Size], const std::string& name) {
+  for (const auto& entry : table) {
+    if (name == entry.name) return entry.value;
+  }
+  return std::nullopt;
+}
+
+template <class Enum, std::size_t Size>
+const char* name_on_wire(const WireName<Enum> (&table)[Size], Enum value) {
+  for (const auto& entry : table) {
+    if (entry.value == value) return entry.name;
+  }
+  return "";
+}
+
+}  // namespace oxbowmill::wire
