--- /dev/null
+++ b/src/net/event_util.h
@@ -0,0 +1,27 @@
+// Conversions between libevent's types and the standard library's.
+#pragma once
+
+#include <event2/buffer.h>
+#include <sys/time.h>
+
+#include <string>
+
+namespace oxbowmill::net {
+
+constexpr const char* body_content_type = "application/cbor";
+
+inline timeval to_timeval(double seconds) {
+  timeval tv;
+  tv.tv_sec = static_cast<time_t>(seconds);
+  tv.tv_usec = static_cast<suseconds_t>((seconds - static_cast<double>(tv.tv_sec)) * 1e6);
+  return tv;
+}
+
+/// Takes everything out of a buffer.
+inline std::string read_all(evbuffer* in) {
+  std::string body(evbuffer_get_length(in), '\0');
+  if (!body.empty()) evbuffer_remove(in, body.data(), body.size());
+  return body;
+}
+
+}  // namespace oxbowmill::net
