--- a/src/yaml/map.cpp
+++ b/src/yaml/map.cpp
@@ -4,31 +4,34 @@
 
 namespace oxbowmill::yaml {
 
+std::string error_line(const std::string& file, const std::string& key, const std::string& reason) {
+  return file + ": " + (key.empty() ? "" : key + ": ") + reason;
+}
+
 YAML::Node load(const std::string& file) {
   try {
     return YAML::LoadFile(file);
-  } catch (const YAML::Exception& e) {
-    throw Error(file + ": cannot be read as YAML: " + e.msg);
+  } catch (const YAML::Exception& error) {
+    throw Error(file, "", "cannot be read as YAML: " + error.msg);
   }
 }
 
-Map::Map(std::string file, std::string machine_name, const YAML::Node& yaml_node)
-    : file_(std::move(file)), path_(std::move(machine_name)) {
-  if (!yaml_node.IsMap())
-    throw Error(file_ + ": " + (path_.empty() ? "" : path_ + ": ") + "not a map of settings");
-  for (const auto& e : yaml_node) unread_[e.first.as<std::string>()] = e.second;
+Map::Map(std::string file, std::string path, const YAML::Node& yaml_node)
+    : file_(std::move(file)), path_(std::move(path)) {
+  if (!yaml_node.IsMap()) throw Error(file_, path_, "not a map of settings");
+  for (const auto& entry : yaml_node) unread_[entry.first.as<std::string>()] = entry.second;
 }
 
-void Map::fail(const std::string& key, const std::string& why) const {
-  throw Error(file_ + ": " + path(key) + ": " + why);
+void Map::fail(const std::string& key, const std::string& reason) const {
+  throw Error(file_, path(key), reason);
 }
 
 std::optional<YAML::Node> Map::take(const std::string& key) {
   auto it = unread_.find(key);
   if (it == unread_.end()) return std::nullopt;
-  YAML::Node n = it->second;
+  YAML::Node value = it->second;
   unread_.erase(it);
-  return n;
+  return value;
 }
 
 void Map::number(const std::string& key, double& out, double least, double most) {
@@ -42,14 +45,14 @@
 }
 
 std::string Map::text(const std::string& key) {
-  auto n = take(key);
-  if (!n || !n->IsScalar() || n->Scalar().empty()) fail(key, "missing or not text");
-  return n->Scalar();
+  auto value = take(key);
+  if (!value || !value->IsScalar() || value->Scalar().empty()) fail(key, "missing or not text");
+  return value->Scalar();
 }
 
 std::vector<std::string> Map::keys() const {
   std::vector<std::string> out;
-  for (const auto& [k, n] : unread_) out.push_back(k);
+  for (const auto& [key, value] : unread_) out.push_back(key);
   return out;
 }
 
