--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -7,12 +7,51 @@
 namespace oxbowmill::state {
 
 namespace {
+
+namespace path {
+constexpr const char* keys = "/store";
+constexpr const char* transactions = "/txn";
+constexpr const char* leases = "/holds";
+constexpr const char* watch = "/watch";
+}  // namespace path
+
 constexpr double call_timeout_s = 2.0;
-constexpr double user_queue_timeout_s = 0.8;  // longer than this no user's request waits here for its turn
-// A call that gets no answer holds its connection until it times out. With six of them a share of unanswered
-// transactions, or a slow service, held up everything else: polls, placements and the transactions' own
-// repeats.
+constexpr double list_timeout_s = 5.0;
+constexpr double lease_timeout_s = 1.5;
+constexpr double watch_timeout_margin_s = 60.0;     // beyond the time for which the service waits
+constexpr double user_queue_timeout_s = 0.8;        // a user's call is given up after waiting so long
+constexpr double limit_check_margin_s = 0.002;      // the timer must not expire just before the limit allows
+constexpr double pause_after_throttled_s = 0.1;     // after 429
+constexpr double pause_after_unavailable_s = 0.25;  // after 503
+constexpr int too_many_requests = 429;
+// An unanswered call occupies its connection until it times out. With six connections a share of unanswered
+// transactions, or a slow service, delayed everything else: polls, placements and the transactions' own
+// repetitions.
 constexpr std::size_t connections = 32;
+// The load is uneven across the controllers, so that together they may exceed the limits; the service's 429
+// corrects that.
+constexpr double share_of_single_controller = 0.9;
+constexpr double share_of_limits = 0.7;
+
+std::string lease_path(std::uint64_t id) {
+  return std::string(path::leases) + "/" + std::to_string(id);
+}
+
+/// A body that is no CBOR map makes the whole response count as none.
+StoreResponse read_response(const net::Response& http_response, const std::string& path, double sent_at) {
+  StoreResponse response;
+  response.status = http_response.status;
+  response.sent_at = sent_at;
+  if (http_response.body.empty()) return response;
+  response.body = Json::from_cbor(http_response.body, true, false);
+  if (response.body.is_discarded() || !response.body.is_object()) {
+    SPDLOG_ERROR("state service response unreadable path={}", path);
+    response.status = 0;
+    response.body = Json::object();
+  }
+  return response;
+}
+
 }  // namespace
 
 Store::Store(event_base* base, const net::Address& address, const Settings& settings,
@@ -28,18 +67,18 @@
   set_live_controllers(settings.controller_count);
 }
 
-void Store::set_live_controllers(std::size_t n) {
-  // The work is uneven over the nodes, so each may use more than an even share; 429 settles the rest.
-  double share = n <= 1 ? 0.9 : 0.7;
-  double rps = settings_.state_rps * share, writes = settings_.state_write_rps * share;
-  request_limit_.set_rate(rps, rps / 2);
-  change_limit_.set_rate(writes, std::max(writes / 2, static_cast<double>(settings_.max_transaction_ops)));
+void Store::set_live_controllers(std::size_t count) {
+  double share = count <= 1 ? share_of_single_controller : share_of_limits;
+  double requests_per_s = settings_.state_rps * share, changes_per_s = settings_.state_write_rps * share;
+  request_limit_.set_rate(requests_per_s, requests_per_s / 2);
+  change_limit_.set_rate(changes_per_s,
+                         std::max(changes_per_s / 2, static_cast<double>(settings_.max_transaction_ops)));
 }
 
 std::size_t Store::backlog() const {
-  std::size_t n = client_.queued();
-  for (const auto& q : queues_) n += q.size();
-  return n;
+  std::size_t waiting = client_.queued();
+  for (const Queue& queue : queues_) waiting += queue.size();
+  return waiting;
 }
 
 double Store::unresponsive_for() const {
@@ -47,12 +86,12 @@
 }
 
 void Store::drop_stale_user_calls(double now) {
-  // Its user would wait in vain and hold a connection: the answer is "come back", at once.
-  auto& queue = queues_[static_cast<std::size_t>(Urgency::user)];
+  // The user would wait in vain and occupy a connection; the client is told at once to try again.
+  Queue& queue = queues_[static_cast<std::size_t>(Urgency::user)];
   while (!queue.empty() && now - queue.front().queued_at > user_queue_timeout_s) {
-    StoreResponseHandler fn = std::move(queue.front().on_response);
+    StoreResponseHandler on_response = std::move(queue.front().on_response);
     queue.pop_front();
-    fn({});
+    on_response({});
   }
   if (!queue.empty() && !dispatch_timer_.pending()) dispatch_timer_.schedule(user_queue_timeout_s);
 }
@@ -70,26 +109,18 @@
     if (!dispatch_timer_.pending()) dispatch_timer_.schedule(paused_until_ - now);
     return;
   }
-  for (auto& queue : queues_) {
+  for (Queue& queue : queues_) {
     while (!queue.empty()) {
-      // What waits here goes in order of urgency; what waits for a connection does not.
+      // Calls wait here in order of urgency; those that wait for a connection are no longer reordered.
       if (client_.all_busy()) return;
-      // What changes nothing does not wait for changes: behind a burst of submissions, polls of jobs that
-      // were over waited until they were refused, while others were answered from the tables.
-      auto next = queue.begin();
-      double wait = request_limit_.wait_for(1, now);
-      double for_changes = next->changes > 0 ? change_limit_.wait_for(next->changes, now) : 0;
-      if (wait <= 0 && for_changes > 0) {
-        next = std::find_if(queue.begin(), queue.end(), [](const Call& c) { return c.changes == 0; });
-        if (next == queue.end()) wait = for_changes;
-      }
-      if (wait > 0) {
-        if (!dispatch_timer_.pending()) dispatch_timer_.schedule(wait + 0.002);
+      NextCall next = next_call(queue, now);
+      if (next.wait_s > 0) {
+        if (!dispatch_timer_.pending()) dispatch_timer_.schedule(next.wait_s + limit_check_margin_s);
         // Less urgent calls must not overtake by being smaller.
         return;
       }
-      Call call = std::move(*next);
-      queue.erase(next);
+      Call call = std::move(*next.call);
+      queue.erase(next.call);
       request_limit_.take(1, now);
       if (call.changes > 0) change_limit_.take(call.changes, now);
       send(client_, std::move(call));
@@ -97,78 +128,85 @@
   }
 }
 
+Store::NextCall Store::next_call(Queue& queue, double now) {
+  NextCall next{queue.begin(), request_limit_.wait_for(1, now)};
+  double wait_for_changes = next.call->changes > 0 ? change_limit_.wait_for(next.call->changes, now) : 0;
+  if (next.wait_s > 0 || wait_for_changes <= 0) return next;
+  // A read does not wait for the limit on changes: behind a burst of submissions, polls of finished jobs
+  // were refused after waiting, while others were answered from the replica.
+  next.call = std::find_if(queue.begin(), queue.end(), [](const Call& call) { return call.changes == 0; });
+  if (next.call == queue.end()) next.wait_s = wait_for_changes;
+  return next;
+}
+
 void Store::send(net::HttpClient& client, Call call) {
   double sent_at = clock_();
-  bool counts = &client == &client_;
-  if (counts && unanswered_++ == 0) last_response_at_ = sent_at;
+  bool counted = &client == &client_;
+  if (counted && unanswered_++ == 0) last_response_at_ = sent_at;
   client.send(call.method, call.path, std::move(call.body), call.timeout_s,
-              [this, sent_at, counts, on_response = std::move(call.on_response),
+              [this, sent_at, counted, on_response = std::move(call.on_response),
                path = call.path](const net::Response& http_response) {
-                if (counts) --unanswered_;
-                if (counts && http_response.status != 0) last_response_at_ = clock_();
-                StoreResponse response;
-                response.status = http_response.status;
-                response.sent_at = sent_at;
-                if (!http_response.body.empty()) {
-                  response.body = Json::from_cbor(http_response.body, true, false);
-                  if (response.body.is_discarded() || !response.body.is_object()) {
-                    SPDLOG_ERROR("state service: unreadable answer to {}", path);
-                    response.status = 0;
-                    response.body = Json::object();
-                  }
-                }
-                if (http_response.status == 429 || http_response.status == 503) {
-                  paused_until_ =
-                      std::max(paused_until_, clock_() + (http_response.status == 429 ? 0.1 : 0.25));
-                } else if (response.status != 0) {
-                  last_success_at_ = clock_();
-                }
+                if (counted) --unanswered_;
+                if (counted && http_response.status != 0) last_response_at_ = clock_();
+                StoreResponse response = read_response(http_response, path, sent_at);
+                note_response(http_response.status, response.status);
                 on_response(response);
-                if (counts) dispatch();
+                if (counted) dispatch();
               });
 }
 
+void Store::note_response(int http_status, int status) {
+  if (http_status == too_many_requests) {
+    paused_until_ = std::max(paused_until_, clock_() + pause_after_throttled_s);
+  } else if (http_status == HTTP_SERVUNAVAIL) {
+    paused_until_ = std::max(paused_until_, clock_() + pause_after_unavailable_s);
+  } else if (status != 0) {
+    last_success_at_ = clock_();
+  }
+}
+
 void Store::get(const std::string& key, Urgency urgency, StoreResponseHandler on_response) {
-  enqueue(urgency, {EVHTTP_REQ_GET, "/store/" + key, "", 0, call_timeout_s, std::move(on_response)});
+  enqueue(urgency, {EVHTTP_REQ_GET, std::string(path::keys) + "/" + key, "", 0, call_timeout_s,
+                    std::move(on_response)});
 }
 
 void Store::list(const std::string& prefix, const std::string& from, StoreResponseHandler on_response) {
-  std::string path = "/store?prefix=" + prefix + "&most=500";
+  std::string path = std::string(path::keys) + "?prefix=" + prefix + "&most=500";
   if (!from.empty()) path += "&from=" + from;
-  enqueue(Urgency::ownership, {EVHTTP_REQ_GET, path, "", 0, 5, std::move(on_response)});
+  enqueue(Urgency::ownership, {EVHTTP_REQ_GET, path, "", 0, list_timeout_s, std::move(on_response)});
 }
 
 void Store::commit(const Json& body, Urgency urgency, StoreResponseHandler on_response) {
   auto changes = static_cast<double>(body.at("apply").size());
-  enqueue(urgency,
-          {EVHTTP_REQ_POST, "/txn", wire::encode(body), changes, call_timeout_s, std::move(on_response)});
+  enqueue(urgency, {EVHTTP_REQ_POST, path::transactions, wire::encode(body), changes, call_timeout_s,
+                    std::move(on_response)});
 }
 
-void Store::acquire_lease(double life_s, StoreResponseHandler on_response) {
+void Store::send_lease_call(evhttp_cmd_type method, std::string path, std::string body,
+                            StoreResponseHandler on_response) {
   request_limit_.take(1, clock_());
-  send(lease_client_,
-       {EVHTTP_REQ_POST, "/holds", wire::encode({{"life_ms", static_cast<int>(life_s * 1000)}}), 0, 1.5,
-        std::move(on_response)});
+  send(lease_client_, {method, std::move(path), std::move(body), 0, lease_timeout_s, std::move(on_response)});
+}
+
+void Store::acquire_lease(double duration_s, StoreResponseHandler on_response) {
+  send_lease_call(EVHTTP_REQ_POST, path::leases,
+                  wire::encode({{"life_ms", static_cast<int>(duration_s * 1000)}}), std::move(on_response));
 }
 
 void Store::renew_lease(std::uint64_t id, StoreResponseHandler on_response) {
-  request_limit_.take(1, clock_());
-  send(lease_client_, {EVHTTP_REQ_POST, "/holds/" + std::to_string(id) + "/renew",
-                       wire::encode(Json::object()), 0, 1.5, std::move(on_response)});
+  send_lease_call(EVHTTP_REQ_POST, lease_path(id) + "/renew", wire::encode(Json::object()),
+                  std::move(on_response));
 }
 
 void Store::end_lease(std::uint64_t id, StoreResponseHandler on_response) {
-  request_limit_.take(1, clock_());
-  send(lease_client_,
-       {EVHTTP_REQ_DELETE, "/holds/" + std::to_string(id), "", 0, 1.5, std::move(on_response)});
+  send_lease_call(EVHTTP_REQ_DELETE, lease_path(id), "", std::move(on_response));
 }
 
 void Store::watch(const std::string& prefix, Revision from, double wait_s, StoreResponseHandler on_response) {
   request_limit_.take(1, clock_());
-  send(watch_client_, {EVHTTP_REQ_GET,
-                       "/watch?prefix=" + prefix + "&from=" + std::to_string(from) +
-                           "&hold_ms=" + std::to_string(static_cast<int>(wait_s * 1000)),
-                       "", 0, wait_s + 60, std::move(on_response)});
+  std::string path = std::string(path::watch) + "?prefix=" + prefix + "&from=" + std::to_string(from) +
+                     "&hold_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
+  send(watch_client_, {EVHTTP_REQ_GET, path, "", 0, wait_s + watch_timeout_margin_s, std::move(on_response)});
 }
 
 }  // namespace oxbowmill::state
