--- /dev/null
+++ b/include/oxbowmill/service/catalog_updater.h
@@ -0,0 +1,39 @@
+// Keeps the catalog of machine types in the cluster state: from the cloud, and until that has answered from
+// the copy in the state service. For the event loop's thread.
+#pragma once
+
+#include <functional>
+
+#include "oxbowmill/scheduling/scheduler.h"
+#include "oxbowmill/service/cloud_client.h"
+#include "oxbowmill/state/store.h"
+
+namespace oxbowmill::service {
+
+/// Owns when the catalog is read again, and whether a copy is stored.
+class CatalogUpdater {
+ public:
+  /// `clock`: steady time in seconds. The referenced objects must outlive the updater, and the store must not
+  /// call back once it is gone.
+  CatalogUpdater(CloudClient& cloud_client, state::Store& store, ClusterState& state,
+                 const Scheduler& scheduler, std::function<double()> clock);
+  /// Reads the cloud's catalog if that is due; called every cycle.
+  void run_cycle();
+  /// The copy in the state service was read.
+  void on_stored_catalog(const wire::Json& body);
+
+ private:
+  void on_cloud_catalog(const wire::Json& body);
+  void apply(const std::vector<wire::CatalogEntry>& entries);
+  void store_copy(const std::vector<wire::CatalogEntry>& entries);
+
+  CloudClient& cloud_client_;
+  state::Store& store_;
+  ClusterState& state_;
+  const Scheduler& scheduler_;
+  std::function<double()> clock_;
+  double next_fetch_at_ = 0;
+  bool is_stored_ = false;
+};
+
+}  // namespace oxbowmill::service
--- a/include/oxbowmill/service/market_service.h
+++ b/include/oxbowmill/service/market_service.h
@@ -1,4 +1,5 @@
-// The leader's trading with markets over HTTP: the desk's calls go out, answers come back within their time.
+// The leader's calls of markets over HTTP: sends what the bidding service asks for and hands it the answers.
+// For the event loop's thread.
 #pragma once
 
 #include <memory>
@@ -9,11 +10,16 @@
 
 namespace oxbowmill::service {
 
+/// Owns the bidding service and the calls under way. Every call gets exactly one answer: the market's, or
+/// none once its time is over.
 class MarketService {
  public:
-  /// `now` and `wall` in seconds. Registers itself as the fleet's source of machines.
-  MarketService(event_base* base, ClusterState& model, Scheduler& scheduler, Autoscaler& fleet,
-                market::Settings settings, std::function<double()> now, std::function<double()> wall);
+  /// Registers itself as the autoscaler's source of machines. `clock`: steady time, `wall_clock`: time of
+  /// day, both in seconds. It must outlive the autoscaler's use of it, and be destroyed only when the event
+  /// loop no longer runs.
+  MarketService(event_base* base, ClusterState& state, Scheduler& scheduler, Autoscaler& autoscaler,
+                market::Settings settings, std::function<double()> clock, std::function<double()> wall_clock);
+  /// Ends calls that are late, runs the bidding service and sends its calls.
   void run_cycle(Effects& out);
 
  private:
@@ -22,8 +28,8 @@
     double deadline = 0;
   };
   void send(const market::Call& call);
-  /// Once for each call: by the market, or by the clock.
-  void on_response(std::uint64_t call, const net::Response& http_response);
+  /// Does nothing for a call that has its answer already.
+  void on_response(std::uint64_t call_id, const net::Response& http_response);
   void time_out_calls();
   Clock clock() const { return {clock_(), wall_clock_()}; }
 
--- /dev/null
+++ b/include/oxbowmill/service/request_router.h
@@ -0,0 +1,27 @@
+// Maps the HTTP requests of users, agents and the platform to the objects that answer them.
+#pragma once
+
+#include "oxbowmill/service/report_handler.h"
+#include "oxbowmill/service/submission_service.h"
+
+namespace oxbowmill::service {
+
+/// Holds no state of its own. The referenced objects must outlive it.
+class RequestRouter {
+ public:
+  /// `is_ready`: whether this controller should get users' requests.
+  RequestRouter(SubmissionService& submission_service, ReportHandler& report_handler,
+                std::function<bool()> is_ready);
+  /// Answers the request, at once or later: 404 for a path it does not know, 405 for a wrong method.
+  void on_request(const net::Request& request);
+
+ private:
+  /// `job_path`: what follows "/submissions/".
+  void on_job_request(const net::Request& request, const std::string& job_path);
+
+  SubmissionService& submission_service_;
+  ReportHandler& report_handler_;
+  std::function<bool()> is_ready_;
+};
+
+}  // namespace oxbowmill::service
--- a/src/service/admission.cpp
+++ b/src/service/admission.cpp
@@ -1,12 +1,14 @@
 #include "oxbowmill/service/admission.h"
 
+#include "oxbowmill/service/transaction_body.h"
 #include "oxbowmill/state/keys.h"
 
 namespace oxbowmill::service {
 
 namespace {
 constexpr int bad_request_status = 400;
-constexpr double retry_window_s = 60;  // PROTOCOL: users repeat a submission for so long
+constexpr double bytes_per_kb = 1024;
+constexpr double retry_window_s = 60;  // users repeat a submission for this long (PROTOCOL)
 constexpr std::size_t max_remembered_attempts = 5000;
 }  // namespace
 
@@ -15,13 +17,13 @@
   if (ref == body.end() || !ref->is_string() || !wire::valid_id(ref->get_ref<const std::string&>()))
     return wall;
   expire(wall);
-  auto [it, fresh] = first_attempt_times_.try_emplace(ref->get<std::string>(), wall);
-  if (fresh) order_.push_back(it->first);
+  auto [it, is_new] = first_attempt_times_.try_emplace(ref->get<std::string>(), wall);
+  if (is_new) order_.push_back(it->first);
   return std::min(wall, it->second);
 }
 
 void FirstAttempts::expire(double wall) {
-  // In the order in which they came; a clock that was set back makes some stay longer.
+  // In the order of arrival; if the clock was set back, some stay longer.
   while (!order_.empty() && (order_.size() >= max_remembered_attempts ||
                              first_attempt_times_.at(order_.front()) < wall - retry_window_s)) {
     first_attempt_times_.erase(order_.front());
@@ -38,21 +40,24 @@
   if (admission.rejection) return admission;
   admission.spec.submitted_at = submitted_at;
   admission.record = state::job_value(admission.spec, JobPhase::open, names);
-  if (static_cast<double>(admission.record.dump().size()) > settings.max_value_kb * 1024)
+  if (static_cast<double>(admission.record.dump().size()) > settings.max_value_kb * bytes_per_kb)
     admission.rejection = wire::Rejection{bad_request_status, "too large"};
   return admission;
 }
 
 wire::Json submission_txn(const std::string& ref, const wire::Json& record) {
-  return {
-      {"guards", {{{"k", state::job_key(ref)}, {"stamp", 0}}, {{"k", state::final_key(ref)}, {"stamp", 0}}}},
-      {"apply", {{{"put", state::job_key(ref)}, {"value", record}}}}};
+  return TransactionBody()
+      .require(state::job_key(ref), 0)
+      .require(state::final_key(ref), 0)
+      .put(state::job_key(ref), record)
+      .json();
 }
 
 wire::Json withdrawal_txn(const std::string& ref, const wire::Json& record, Revision revision) {
-  return {
-      {"guards", {{{"k", state::job_key(ref)}, {"stamp", revision}}}},
-      {"apply", {{{"put", state::job_key(ref)}, {"value", state::with_phase(record, JobPhase::cancelled)}}}}};
+  return TransactionBody()
+      .require(state::job_key(ref), revision)
+      .put(state::job_key(ref), state::with_phase(record, JobPhase::cancelled))
+      .json();
 }
 
 }  // namespace oxbowmill::service
--- a/src/service/decision_service.cpp
+++ b/src/service/decision_service.cpp
@@ -5,27 +5,36 @@
 namespace oxbowmill::service {
 
 namespace {
-constexpr double decision_rate_fraction = 0.05;  // of the changes a second, for all decisions together
+constexpr double decision_rate_fraction =
+    0.05;  // of the state service's change limit, for all decisions together
+
+/// Reads a job's final phase for the release coordinator.
+void query_final_phase(release_calendar::ReleaseCoordinator& coordinator, state::Store& store,
+                       const std::string& ref, const std::function<double()>& clock) {
+  store.get(state::final_key(ref), Urgency::other,
+            [&coordinator, ref, clock](const state::StoreResponse& response) {
+              if (response.status == 404) return coordinator.on_final_phase(ref, std::nullopt, clock());
+              auto phase = response.status == 200 && response.body.contains("value")
+                               ? state::read_phase(response.body["value"])
+                               : std::nullopt;
+              if (!phase) return coordinator.on_query_failed(ref);
+              coordinator.on_final_phase(ref, *phase, clock());
+            });
 }
-
-DecisionService::DecisionService(ClusterState& model, Scheduler& scheduler, state::Store& store,
-                                 const config::Config& config, const std::function<double()>& now)
-    : state_(model),
-      decision_log_(model, scheduler, decision_rate_fraction),
-      planner_(model, decision_log_, scheduler, config.clock_skew_s),
-      model_autoscaler_(model, decision_log_, scheduler, config.models) {
-  planner_.load(config.calendar);
-  // A controller without a file of its own still holds what the shared state says is paired.
-  constraints_.add(&planner_);
+}  // namespace
+
+DecisionService::DecisionService(ClusterState& state, Scheduler& scheduler, state::Store& store,
+                                 const config::Config& config, const std::function<double()>& clock)
+    : state_(state),
+      decision_log_(state, scheduler, decision_rate_fraction),
+      release_coordinator_(state, decision_log_, scheduler, config.clock_skew_s),
+      model_autoscaler_(state, decision_log_, scheduler, config.models) {
+  release_coordinator_.load(config.calendar);
+  // A controller without a calendar file still observes the releases that are in the shared state.
+  constraints_.add(&release_coordinator_);
   if (!config.models.empty()) constraints_.add(&model_autoscaler_);
-  planner_.query_final_phase = [this, &store, now](const std::string& ref) {
-    store.get(state::final_key(ref), Urgency::other, [this, ref, now](const state::StoreResponse& a) {
-      if (a.status == 404) return planner_.on_final_phase(ref, std::nullopt, now());
-      auto phase =
-          a.status == 200 && a.body.contains("value") ? state::read_phase(a.body["value"]) : std::nullopt;
-      if (!phase) return planner_.on_query_failed(ref);
-      planner_.on_final_phase(ref, *phase, now());
-    });
+  release_coordinator_.query_final_phase = [this, &store, clock](const std::string& ref) {
+    query_final_phase(release_coordinator_, store, ref, clock);
   };
   state_.constraints = &constraints_;
 }
@@ -35,16 +44,16 @@
 }
 
 void DecisionService::run_cycle(Clock clock, Effects& out) {
-  planner_.run_cycle(clock, out);
+  release_coordinator_.run_cycle(clock, out);
   model_autoscaler_.run_cycle(clock, out);
 }
 
 void DecisionService::load(release_calendar::ReleaseCalendar calendar) {
   std::uint64_t version = calendar.version;
-  if (planner_.load(std::move(calendar))) {
-    SPDLOG_INFO("calendar of version {} read", version);
+  if (release_coordinator_.load(std::move(calendar))) {
+    SPDLOG_INFO("release calendar loaded version={}", version);
   } else {
-    SPDLOG_ERROR("calendar of version {} is older than the one that is known: not taken", version);
+    SPDLOG_ERROR("release calendar rejected as older than the current one version={}", version);
   }
 }
 
--- /dev/null
+++ b/src/service/lease_keeper.cpp
@@ -0,0 +1,95 @@
+#include "oxbowmill/service/lease_keeper.h"
+
+#include <spdlog/spdlog.h>
+
+namespace oxbowmill::service {
+
+using state::StoreResponse;
+
+namespace {
+constexpr double acquire_retry_s = 0.3;
+constexpr double renew_retry_s = 0.2;
+constexpr double renewals_per_lease = 4;
+}  // namespace
+
+LeaseKeeper::LeaseKeeper(state::Store& store, ControllerLease& lease, const ClusterState& state,
+                         std::function<double()> clock)
+    : store_(store), lease_(lease), state_(state), clock_(std::move(clock)) {}
+
+double LeaseKeeper::renewal_interval_s() const {
+  return state_.settings.operator_settings.controller_lease_s / renewals_per_lease;
+}
+
+void LeaseKeeper::maintain() {
+  double now = clock_();
+  bool without_lease = lease_.state() == LeaseState::none || lease_.state() == LeaseState::lost;
+  if (without_lease) {
+    if (now >= next_attempt_at_) acquire();
+  } else if (lease_.state() == LeaseState::active && !renewing_ && now >= next_attempt_at_) {
+    renew();
+  }
+}
+
+void LeaseKeeper::acquire() {
+  lease_.on_acquiring();
+  if (on_acquiring) on_acquiring();
+  store_.acquire_lease(
+      state_.settings.operator_settings.controller_lease_s, [this](const StoreResponse& response) {
+        if (response.status == 200 && response.body.contains("grant") && response.body["grant"].is_number()) {
+          lease_.on_granted(response.body["grant"].get<std::uint64_t>(), response.sent_at);
+          next_attempt_at_ = response.sent_at + renewal_interval_s();
+        } else {
+          lease_.on_acquire_failed();
+          next_attempt_at_ = clock_() + acquire_retry_s;
+        }
+      });
+}
+
+void LeaseKeeper::renew() {
+  renewing_ = true;
+  std::uint64_t lease_id = lease_.lease_id();
+  store_.renew_lease(lease_id, [this, lease_id](const StoreResponse& response) {
+    renewing_ = false;
+    if (response.status == 200) {
+      lease_.on_renewed(response.sent_at);
+      next_attempt_at_ = response.sent_at + renewal_interval_s();
+    } else if (response.status == 404 && lease_.lease_id() == lease_id) {
+      SPDLOG_INFO("controller lease lost lease={}", lease_id);
+      lease_.on_lost();
+    } else {
+      next_attempt_at_ = clock_() + renew_retry_s;
+    }
+  });
+}
+
+bool LeaseKeeper::is_from_previous_process(const OwnershipRecord& record) const {
+  return record.controller == state_.settings.controller_name && record.lease_id != 0 &&
+         record.lease_id != lease_.lease_id();
+}
+
+std::set<std::uint32_t> LeaseKeeper::revoke_previous_leases() {
+  // A controller is one process: while this one runs, the one before it is certainly gone, and its partitions
+  // need not wait for the expiry of a lease that nobody renews. After an outage of the state service that
+  // would take the whole duration of a lease.
+  std::set<std::uint32_t> partitions;
+  if (previous_leases_revoked_) return partitions;
+  previous_leases_revoked_ = true;
+  std::set<std::uint64_t> leases;
+  for (const auto& [name, live] : state_.controllers()) {
+    if (is_from_previous_process(live.record)) leases.insert(live.record.lease_id);
+  }
+  for (std::uint32_t partition = 0; partition < state_.partition_count(); ++partition) {
+    const auto& ownership = state_.ownership(PartitionIndex{partition});
+    if (ownership.revision == 0 || !is_from_previous_process(ownership.record)) continue;
+    leases.insert(ownership.record.lease_id);
+    partitions.insert(partition);
+  }
+  for (std::uint64_t lease_id : leases) {
+    SPDLOG_INFO("revoking lease of previous process lease={}", lease_id);
+    // Not retried: if the call is lost, the lease expires by itself a little later.
+    store_.end_lease(lease_id, [](const StoreResponse&) {});
+  }
+  return partitions;
+}
+
+}  // namespace oxbowmill::service
--- a/src/service/peers.cpp
+++ b/src/service/peers.cpp
@@ -8,16 +8,18 @@
 constexpr double publish_interval_s = 1.0;
 constexpr double publish_delay_s = 0.005;
 constexpr double peer_status_valid_s = 3.0;
-constexpr double serve_while_alone_s = 3.0;  // without the state service, while a peer has it
-constexpr double serve_in_outage_s = 60.0;   // without the state service, like everyone
-constexpr double relay_timeout_s = 1.0;      // a worker that gets no answer here must still find another node
+constexpr double serve_while_alone_s = 3.0;  // without the state service, while a peer reaches it
+constexpr double serve_in_outage_s = 60.0;   // without the state service, like all controllers
+constexpr double relay_timeout_s = 1.0;  // an agent without an answer must have time for another controller
 constexpr std::size_t relay_connections = 4;
+constexpr double update_timeout_s = 2;
+constexpr int update_field_count = 6;
 }  // namespace
 
 std::string encode(const PeerUpdate& update) {
   msgpack::sbuffer out;
   msgpack::packer<msgpack::sbuffer> packer(out);
-  packer.pack_map(6);
+  packer.pack_map(update_field_count);
   packer.pack("node");
   packer.pack(update.controller);
   packer.pack("revision");
@@ -57,7 +59,7 @@
     fields.at("state_ok").convert(update.state_service_ok);
     auto unreachable_zones = fields.find("dark");
     if (unreachable_zones != fields.end()) unreachable_zones->second.convert(update.unreachable_zones);
-    // Hints: one that cannot be read costs no more than one that is missing.
+    // Only hints: one that cannot be read counts as missing.
     read_optional_field(fields, "starts", update.reconciliations);
     read_optional_field(fields, "suspects", update.suspected_machines);
     return update;
@@ -80,14 +82,14 @@
                         periodic_timer_.schedule(publish_interval_s);
                       }),
       publish_timer_(base, [this] { publish(); }) {
-  for (const config::Peer& p : config.peers) {
-    update_clients_.push_back(std::make_unique<net::HttpClient>(base, p.address, 1));
-    relay_clients_[p.controller] = std::make_unique<net::HttpClient>(base, p.address, relay_connections);
+  for (const config::Peer& peer : config.peers) {
+    update_clients_.push_back(std::make_unique<net::HttpClient>(base, peer.address, 1));
+    relay_clients_[peer.controller] =
+        std::make_unique<net::HttpClient>(base, peer.address, relay_connections);
   }
-  busy_.assign(update_clients_.size(), false);
-  server_ =
-      std::make_unique<net::HttpServer>(base, config.peer_bind, wire::max_body_size,
-                                        [this](net::Request&& request) { on_request(std::move(request)); });
+  has_update_in_flight_.assign(update_clients_.size(), false);
+  server_ = std::make_unique<net::HttpServer>(base, config.peer_bind, wire::max_body_size,
+                                              [this](net::Request&& request) { on_request(request); });
   periodic_timer_.schedule(0);
 }
 
@@ -98,40 +100,48 @@
 void Peers::publish() {
   std::string body = encode(make_update_());
   for (std::size_t i = 0; i < update_clients_.size(); ++i) {
-    if (busy_[i]) continue;  // a peer that does not answer gets one message at a time
-    busy_[i] = true;
-    update_clients_[i]->send(EVHTTP_REQ_POST, "/peer", body, 2,
-                             [this, i](const net::Response&) { busy_[i] = false; });
+    if (has_update_in_flight_[i]) continue;  // a peer that does not respond gets one message at a time
+    has_update_in_flight_[i] = true;
+    update_clients_[i]->send(EVHTTP_REQ_POST, "/peer", body, update_timeout_s,
+                             [this, i](const net::Response&) { has_update_in_flight_[i] = false; });
   }
 }
 
-void Peers::relay(const std::string& node, const std::string& report, net::ResponseHandler on_response) {
-  auto to = relay_clients_.find(node);
-  auto peer_status = peer_status_.find(node);
-  if (to == relay_clients_.end() || peer_status == peer_status_.end() ||
-      clock_() - peer_status->second.received_at > peer_status_valid_s)
+bool Peers::is_current(const PeerStatus& status) const {
+  return clock_() - status.received_at < peer_status_valid_s;
+}
+
+void Peers::relay(const std::string& controller, const std::string& report,
+                  net::ResponseHandler on_response) {
+  auto client = relay_clients_.find(controller);
+  auto status = peer_status_.find(controller);
+  if (client == relay_clients_.end() || status == peer_status_.end() || !is_current(status->second))
     return on_response({});
-  to->second->send(EVHTTP_REQ_POST, "/relay", report, relay_timeout_s, std::move(on_response));
+  client->second->send(EVHTTP_REQ_POST, "/relay", report, relay_timeout_s, std::move(on_response));
 }
 
-void Peers::on_request(net::Request&& request) {
+void Peers::on_request(const net::Request& request) {
   if (request.method == EVHTTP_REQ_POST && request.path == "/relay" && on_relayed) return on_relayed(request);
   auto update = request.method == EVHTTP_REQ_POST && request.path == "/peer"
                     ? decode_peer_update(request.body)
                     : std::nullopt;
   if (!update) return request.responder->reply(400, "");
   request.responder->reply(200, "");
-  peer_status_[update->controller] = {clock_(), update->state_service_ok};
-  if (update->state_service_ok && on_revision) on_revision(update->revision);
-  for (const std::string& zone : update->unreachable_zones) {
+  on_peer_update(*update);
+}
+
+void Peers::on_peer_update(const PeerUpdate& update) {
+  peer_status_[update.controller] = {clock_(), update.state_service_ok};
+  if (update.state_service_ok && on_revision) on_revision(update.revision);
+  for (const std::string& zone : update.unreachable_zones) {
     if (on_unreachable_zone) on_unreachable_zone(zone);
   }
-  if (on_update) on_update(*update);
+  if (on_update) on_update(update);
 }
 
 bool Peers::any_reaches_state_service() const {
-  for (const auto& [node, h] : peer_status_) {
-    if (h.state_service_ok && clock_() - h.received_at < peer_status_valid_s) return true;
+  for (const auto& [controller, status] : peer_status_) {
+    if (status.state_service_ok && is_current(status)) return true;
   }
   return false;
 }
--- /dev/null
+++ b/src/service/report_handler.cpp
@@ -0,0 +1,55 @@
+#include "oxbowmill/service/report_handler.h"
+
+namespace oxbowmill::service {
+
+using wire::Json;
+
+namespace {
+constexpr int retry_after_s = 1;
+}  // namespace
+
+ReportHandler::ReportHandler(const StateReplica& replica, const ControllerLease& lease, Scheduler& scheduler,
+                             reconciliation::Reconciler* reconciler, ReportRelay& relay,
+                             MalformedMessageLog& malformed_messages, std::function<Clock()> clock)
+    : replica_(replica),
+      lease_(lease),
+      scheduler_(scheduler),
+      reconciler_(reconciler),
+      relay_(relay),
+      malformed_messages_(malformed_messages),
+      clock_(std::move(clock)) {}
+
+std::optional<WorkerReport> ReportHandler::read(const net::Request& request) {
+  auto body = wire::decode_map(request.body);
+  auto report = body ? wire::read_report(*body) : std::nullopt;
+  if (!report) malformed_messages_.record("report", body ? body->value("host", Json()).dump() : "unknown");
+  return report;
+}
+
+void ReportHandler::on_report(const net::Request& request, ReportOrigin origin) {
+  auto report = read(request);
+  if (!report) return request.responder->reply(400, "");
+  if (!replica_.is_live()) return request.responder->reply(503, "", retry_after_s);
+  if (reconciler_ != nullptr && lease_.authority(clock_().now) == Authority::full) {
+    scheduler_.detect_failovers(clock_().now);
+    reconciler_->on_report(*report, clock_().now);
+  }
+  reply(request, origin, report->machine, scheduler_.on_report(*report, clock_()));
+}
+
+void ReportHandler::reply(const net::Request& request, ReportOrigin origin, const std::string& machine,
+                          const ReportAnswer& answer) {
+  switch (answer.kind) {
+    case ReportAnswer::Kind::ok:
+      return request.responder->reply(200, wire::encode(wire::write_report_answer(answer)));
+    case ReportAnswer::Kind::redirect:
+      // A relayed report is not relayed again: it would circulate.
+      if (origin == ReportOrigin::agent && answer.owner_unreachable)
+        return relay_.relay(machine, answer.owner, request);
+      return request.responder->reply(421, wire::encode(wire::write_report_answer(answer)));
+    case ReportAnswer::Kind::refuse:
+      return request.responder->reply(503, "", retry_after_s);
+  }
+}
+
+}  // namespace oxbowmill::service
--- a/src/service/state_replica.cpp
+++ b/src/service/state_replica.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include <cmath>
+#include "oxbowmill/service/transaction_body.h"
 
 namespace oxbowmill::service {
 
@@ -10,27 +10,26 @@
 using wire::Json;
 
 namespace {
+constexpr double list_retry_s = 0.3;
+constexpr double watch_retry_s = 0.2;
 constexpr double watch_wait_s = 1.0;
-// A watch that answers at once is not opened again sooner: opening counts against the request limit.
+// A watch that returns at once is not followed by the next one sooner: each counts against the request limit.
 constexpr double watch_spacing_s = 0.12;
 constexpr double hinted_spacing_s = 0.03;
-// A node that owns nothing only has to know who does: were each to follow every change at once, watching
-// would take the room of placements as controllers are added, and most of a small node's processor.
+// A controller that owns nothing only has to know who does: if each followed every change at once, watches
+// would take the request limit from placements as controllers are added, and most of a small machine's
+// processor.
 constexpr double idle_spacing_s = 0.6;
-// Readers wait for the tables no longer than for a call of their own.
-constexpr double reader_timeout_s = 0.8;
-constexpr double read_rate_decay_s = 2;
-constexpr double frequent_reads = 8;  // reads remembered from which on watches answer at once and carry them
 constexpr double frequent_reads_spacing_s = 0.3;
 }  // namespace
 
-StateReplica::StateReplica(event_base* base, state::Store& store, ClusterState& model, Scheduler& scheduler,
-                           ControllerLease& lease, std::function<double()> now)
+StateReplica::StateReplica(event_base* base, state::Store& store, ClusterState& state, Scheduler& scheduler,
+                           ControllerLease& lease, std::function<double()> clock)
     : store_(store),
-      state_(model),
+      state_(state),
       scheduler_(scheduler),
       lease_(lease),
-      clock_(std::move(now)),
+      clock_(std::move(clock)),
       retry_timer_(base,
                    [this] {
                      if (freshness_.is_live()) {
@@ -39,46 +38,53 @@
                        start();
                      }
                    }),
-      reader_timer_(base, [this] { time_out_readers(); }) {}
+      readers_(base, clock_) {}
 
 void StateReplica::start() {
   freshness_.on_listing_started();
   listed_keys_.clear();
-  list_from("");
-}
-
-void StateReplica::list_from(const std::string& from) {
-  store_.list(state::live_prefix, from, [this](const StoreResponse& response) {
-    auto items = response.body.find("items");
-    if (response.status != 200 || items == response.body.end() || !items->is_array()) {
-      retry_timer_.schedule(0.3);
-      return;
-    }
-    freshness_.on_page(response.body.value("ledger_rev", Revision{0}), response.sent_at);
-    std::string last;
-    for (const Json& item : *items) {
-      last = item.value("k", std::string());
-      listed_keys_.insert(last);
-      auto value = item.find("value");
-      if (value != item.end()) apply_key(last, &*value, item.value("stamp", Revision{0}));
-    }
-    if (response.body.value("truncated", false) && !last.empty()) {
-      list_from(last);
-      return;
-    }
-    // Keys that were known before and are not listed went away while nobody watched.
-    std::vector<std::string> gone;
-    for (const auto& [key, revision] : revisions_) {
-      if (revision <= freshness_.revision() && listed_keys_.count(key) == 0) gone.push_back(key);
-    }
-    for (const std::string& key : gone) apply_key(key, nullptr, freshness_.revision());
-    listed_keys_.clear();
-    freshness_.on_listing_finished();
-    scheduler_.applied_revision(freshness_.revision());
-    lease_.on_watch_answered(freshness_.as_of());
-    SPDLOG_INFO("state read up to revision {}: {} keys", freshness_.revision(), revisions_.size());
-    watch();
-  });
+  request_page("");
+}
+
+void StateReplica::request_page(const std::string& last_key) {
+  store_.list(state::live_prefix, last_key, [this](const StoreResponse& response) { on_page(response); });
+}
+
+void StateReplica::on_page(const StoreResponse& response) {
+  auto items = response.body.find("items");
+  if (response.status != 200 || items == response.body.end() || !items->is_array()) {
+    retry_timer_.schedule(list_retry_s);
+    return;
+  }
+  freshness_.on_page(committed_revision(response.body), response.sent_at);
+  std::string last_key;
+  for (const Json& item : *items) {
+    last_key = item.value("k", std::string());
+    listed_keys_.insert(last_key);
+    auto value = item.find("value");
+    if (value != item.end()) apply_key(last_key, &*value, item.value("stamp", Revision{0}));
+  }
+  if (response.body.value("truncated", false) && !last_key.empty()) return request_page(last_key);
+  on_listing_finished();
+}
+
+void StateReplica::on_listing_finished() {
+  // Keys that were known before and are not listed were removed while nobody watched.
+  std::vector<std::string> removed;
+  for (const auto& [key, revision] : revisions_) {
+    if (revision <= freshness_.revision() && listed_keys_.count(key) == 0) removed.push_back(key);
+  }
+  for (const std::string& key : removed) apply_key(key, nullptr, freshness_.revision());
+  listed_keys_.clear();
+  freshness_.on_listing_finished();
+  publish_freshness();
+  SPDLOG_INFO("state replica listed revision={} keys={}", freshness_.revision(), revisions_.size());
+  watch();
+}
+
+void StateReplica::publish_freshness() {
+  scheduler_.applied_revision(freshness_.revision());
+  lease_.on_watch_answered(freshness_.as_of());
 }
 
 void StateReplica::on_revision_hint(Revision revision) {
@@ -88,112 +94,93 @@
   watch();
 }
 
-bool StateReplica::is_read_often() const {
-  return read_rate_ * std::exp((read_rate_at_ - clock_()) / read_rate_decay_s) >= frequent_reads;
+void StateReplica::when_current(CurrencyHandler on_done) {
+  double now = clock_();
+  readers_.record_read(now);
+  // A watch that was sent before the reader came shows an earlier moment, and one that is held open may
+  // return only much later.
+  bool is_late = readers_.is_watch_late(last_watch_at_, now);
+  if (!freshness_.is_live() || long_polling_ || is_late || !readers_.is_read_often()) return on_done(false);
+  readers_.wait_for_next_watch(std::move(on_done), now);
 }
 
-void StateReplica::when_current(std::function<void(bool)> on_done) {
-  double now = clock_();
-  read_rate_ = read_rate_ * std::exp((read_rate_at_ - now) / read_rate_decay_s) + 1;
-  read_rate_at_ = now;
-  // A watch that was open before the reader came speaks for an earlier moment, and one that is held open may
-  // say so only much later.
-  bool stuck = !watching_readers_.empty() && now - last_watch_at_ > reader_timeout_s / 2;
-  if (!freshness_.is_live() || long_polling_ || stuck || !is_read_often()) return on_done(false);
-  waiting_readers_.push_back({std::move(on_done), now});
-  if (!reader_timer_.pending()) reader_timer_.schedule(reader_timeout_s);
+void StateReplica::watch() {
+  last_watch_at_ = clock_();
+  long_polling_ = !readers_.is_read_often();
+  readers_.on_watch_sent();
+  store_.watch(state::live_prefix, freshness_.revision(), long_polling_ ? watch_wait_s : 0,
+               [this](const StoreResponse& response) { on_watch_response(response); });
 }
 
-void StateReplica::time_out_readers() {
-  double now = clock_();
-  std::vector<std::function<void(bool)>> late;
-  for (auto* q : {&watching_readers_, &waiting_readers_}) {
-    while (!q->empty() && now - q->front().since >= reader_timeout_s) {
-      late.push_back(std::move(q->front().on_done));
-      q->pop_front();
-    }
+void StateReplica::on_watch_response(const StoreResponse& response) {
+  long_polling_ = false;
+  std::vector<CurrencyHandler> readers = readers_.take_watching();
+  if (response.status != 200) {
+    for (const CurrencyHandler& on_done : readers) on_done(false);
+    // 410: the revision is too old to be watched from.
+    if (response.status == 410) return start();
+    return retry_timer_.schedule(watch_retry_s);
   }
-  if (!watching_readers_.empty() || !waiting_readers_.empty()) {
-    double since =
-        watching_readers_.empty() ? waiting_readers_.front().since : watching_readers_.front().since;
-    reader_timer_.schedule(std::max(0.001, since + reader_timeout_s - now));
+  bool has_changes = apply_events(response.body);
+  freshness_.on_watch_response(committed_revision(response.body), response.sent_at);
+  publish_freshness();
+  forget_confirmed_removals();
+  for (const CurrencyHandler& on_done : readers) on_done(true);
+  if (has_changes && on_change) on_change();
+  schedule_watch();
+}
+
+bool StateReplica::apply_events(const Json& body) {
+  auto events = body.find("news");
+  if (events == body.end() || !events->is_array()) return false;
+  for (const Json& event : *events) apply_event(event);
+  return !events->empty();
+}
+
+void StateReplica::apply_event(const Json& event) {
+  auto put_key = event.find("put");
+  auto removed_key = event.find("delete");
+  Revision revision = event.value("stamp", Revision{0});
+  if (put_key != event.end() && put_key->is_string()) {
+    auto value = event.find("value");
+    if (value != event.end()) apply_key(put_key->get<std::string>(), &*value, revision);
+  } else if (removed_key != event.end() && removed_key->is_string()) {
+    apply_key(removed_key->get<std::string>(), nullptr, revision);
   }
-  for (auto& fn : late) fn(false);
 }
 
-void StateReplica::watch() {
-  last_watch_at_ = clock_();
-  long_polling_ = !is_read_often();
-  for (Reader& r : waiting_readers_) watching_readers_.push_back(std::move(r));
-  waiting_readers_.clear();
-  Revision from = freshness_.revision();
-  store_.watch(state::live_prefix, from, long_polling_ ? watch_wait_s : 0,
-               [this](const StoreResponse& response) {
-                 long_polling_ = false;
-                 std::deque<Reader> readers = std::move(watching_readers_);
-                 watching_readers_.clear();
-                 auto answer = [&readers](bool current) {
-                   for (Reader& r : readers) r.on_done(current);
-                 };
-                 if (response.status != 200) answer(false);
-                 if (response.status == 410) {
-                   start();
-                   return;
-                 }
-                 if (response.status != 200) {
-                   retry_timer_.schedule(0.2);
-                   return;
-                 }
-                 auto watch_events = response.body.find("news");
-                 Revision revision = response.body.value("ledger_rev", Revision{0});
-                 bool any = false;
-                 if (watch_events != response.body.end() && watch_events->is_array()) {
-                   for (const Json& watch_event : *watch_events) {
-                     auto put = watch_event.find("put");
-                     auto removed_key = watch_event.find("delete");
-                     Revision stamp = watch_event.value("stamp", Revision{0});
-                     any = true;
-                     if (put != watch_event.end() && put->is_string()) {
-                       auto value = watch_event.find("value");
-                       if (value != watch_event.end()) apply_key(put->get<std::string>(), &*value, stamp);
-                     } else if (removed_key != watch_event.end() && removed_key->is_string()) {
-                       apply_key(removed_key->get<std::string>(), nullptr, stamp);
-                     }
-                   }
-                 }
-                 freshness_.on_watch_response(revision, response.sent_at);
-                 scheduler_.applied_revision(freshness_.revision());
-                 lease_.on_watch_answered(freshness_.as_of());
-                 for (auto it = unconfirmed_removals_.begin(); it != unconfirmed_removals_.end();) {
-                   it = it->second <= freshness_.revision() ? unconfirmed_removals_.erase(it) : std::next(it);
-                 }
-                 answer(true);
-                 if (any && on_change) on_change();
-                 double since = clock_() - last_watch_at_;
-                 double spacing = scheduler_.owns_any() ? watch_spacing_s
-                                  : is_read_often()     ? frequent_reads_spacing_s
-                                                        : idle_spacing_s;
-                 if (since >= spacing) {
-                   watch();
-                 } else {
-                   retry_timer_.schedule(spacing - since);
-                 }
-               });
-}
-
-bool StateReplica::accept_revision(const std::string& key, Revision revision, bool removal) {
-  // A put that is older than a removal already applied must not bring the key back.
-  auto r = unconfirmed_removals_.find(key);
-  if (r != unconfirmed_removals_.end() && revision <= r->second) return false;
-  auto it = revisions_.find(key);
-  if (it != revisions_.end() && revision <= it->second && !(removal && revision == it->second)) return false;
-  if (removal) {
-    if (it == revisions_.end()) return false;
-    revisions_.erase(it);
-    unconfirmed_removals_[key] = revision;
+void StateReplica::forget_confirmed_removals() {
+  for (auto it = unconfirmed_removals_.begin(); it != unconfirmed_removals_.end();) {
+    it = it->second <= freshness_.revision() ? unconfirmed_removals_.erase(it) : std::next(it);
+  }
+}
+
+void StateReplica::schedule_watch() {
+  double since = clock_() - last_watch_at_;
+  double spacing = scheduler_.owns_any()      ? watch_spacing_s
+                   : readers_.is_read_often() ? frequent_reads_spacing_s
+                                              : idle_spacing_s;
+  if (since >= spacing) {
+    watch();
   } else {
+    retry_timer_.schedule(spacing - since);
+  }
+}
+
+bool StateReplica::accept_revision(const std::string& key, Revision revision, bool is_removal) {
+  // A put that is older than a removal already applied must not bring the key back.
+  auto removal = unconfirmed_removals_.find(key);
+  if (removal != unconfirmed_removals_.end() && revision <= removal->second) return false;
+  auto applied = revisions_.find(key);
+  bool is_known = applied != revisions_.end();
+  if (is_known && revision <= applied->second && !(is_removal && revision == applied->second)) return false;
+  if (!is_removal) {
     revisions_[key] = revision;
+    return true;
   }
+  if (!is_known) return false;
+  revisions_.erase(applied);
+  unconfirmed_removals_[key] = revision;
   return true;
 }
 
@@ -205,7 +192,7 @@
   }
   auto change = state::decode(key, value, state_);
   if (!change) {
-    if (value != nullptr) SPDLOG_ERROR("state service: unreadable value of {}", key);
+    if (value != nullptr) SPDLOG_ERROR("unreadable value in state service key={}", key);
     return;
   }
   state_.apply(*change, revision, clock_());
@@ -213,8 +200,9 @@
 
 void StateReplica::apply_own_write(const std::vector<std::pair<std::string, Change>>& changes,
                                    Revision revision) {
-  if (revision <= freshness_.revision()) return;  // the watch has brought it already
+  if (revision <= freshness_.revision()) return;  // the watch has shown it already
   for (const auto& [key, change] : changes) {
+    // Final phases are not among the live keys that are watched.
     if (std::holds_alternative<FinalPhaseKey>(change.key)) continue;
     if (accept_revision(key, revision, change.is_removal())) state_.apply(change, revision, clock_());
   }
--- a/src/service/submission_service.cpp
+++ b/src/service/submission_service.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "oxbowmill/service/transaction_body.h"
+
 namespace oxbowmill::service {
 
 using state::StoreResponse;
@@ -20,58 +22,51 @@
 void reply_error(const net::ResponderPtr& responder, int status, const std::string& reason) {
   responder->reply(status, wire::encode({{"error", reason}}));
 }
+void reply_unknown_job(const net::ResponderPtr& responder) {
+  reply_error(responder, 404, "no such job");
+}
+
+/// The phase in the key that was read; nothing where there is no readable one.
+std::optional<JobPhase> read_stored_phase(const StoreResponse& response) {
+  if (response.status != 200 || !response.body.contains("value")) return std::nullopt;
+  return state::read_phase(response.body["value"]);
+}
+
+KeyReadResult to_read_result(const StoreResponse& response, std::optional<JobPhase> phase) {
+  if (phase) return {KeyReadResult::Kind::found, *phase};
+  KeyReadResult result;
+  if (response.status == 404) result.kind = KeyReadResult::Kind::absent;
+  return result;
+}
 }  // namespace
 
-void SubmissionService::remember_final_phase(const std::string& ref, JobPhase phase) {
-  if (!final_phases_.emplace(ref, phase).second) return;
-  final_phase_order_.push_back(ref);
-  if (final_phase_order_.size() > max_final_phases) {
-    final_phases_.erase(final_phase_order_.front());
-    final_phase_order_.pop_front();
+void FinalPhaseCache::remember(const std::string& ref, JobPhase phase) {
+  if (!phases_.emplace(ref, phase).second) return;
+  order_.push_back(ref);
+  if (order_.size() > max_final_phases) {
+    phases_.erase(order_.front());
+    order_.pop_front();
   }
 }
 
-bool SubmissionService::overloaded() const {
-  // While the state service does not answer, or has more to do than it can, a refusal at once is the better
-  // answer: nothing is held back in hope.
+std::optional<JobPhase> FinalPhaseCache::find(const std::string& ref) const {
+  auto it = phases_.find(ref);
+  return it == phases_.end() ? std::nullopt : std::make_optional(it->second);
+}
+
+bool SubmissionService::is_overloaded() const {
+  // While the state service does not respond, or has more to do than it can, an immediate refusal is better
+  // for the user than a request that is held until it times out.
   return !ready() || store_.backlog() >= max_backlog || store_.unresponsive_for() >= unresponsive_after_s;
 }
 
 void SubmissionService::advance(const PendingQueryPtr& pending, QueryStep step) {
-  using Kind = KeyReadResult::Kind;
   switch (step) {
     case QueryStep::wait_for_replica:
-      // A read each would take the state service's whole request limit at a thousand live jobs; the tables
-      // serve as well once they are known to be as new as the poll. Only what is not live there is read.
-      return when_replica_current([this, pending](bool current) {
-        const Job* j = current ? state_.live_job(state_.find_job(pending->ref)) : nullptr;
-        QueryStep next = pending->query.on_replica_current(
-            current, j != nullptr ? std::make_optional(j->phase) : std::nullopt);
-        // It has waited: whether there is anything to be read now is another question.
-        advance(pending, next != QueryStep::answer && overloaded() ? QueryStep::refuse : next);
-      });
+      return wait_for_replica(pending);
     case QueryStep::read_live:
-    case QueryStep::read_final: {
-      bool live = step == QueryStep::read_live;
-      std::string key = live ? state::job_key(pending->ref) : state::final_key(pending->ref);
-      return store_.get(key, Urgency::user, [this, pending, live](const StoreResponse& response) {
-        KeyReadResult read_result;
-        auto phase = response.status == 200 && response.body.contains("value")
-                         ? state::read_phase(response.body["value"])
-                         : std::nullopt;
-        if (phase) {
-          read_result = {Kind::found, *phase};
-        } else if (response.status == 404) {
-          read_result.kind = Kind::absent;
-        }
-        if (phase && live) {
-          pending->revision = response.body.value("stamp", Revision{0});
-          pending->value = response.body["value"];
-        }
-        advance(pending, live ? pending->query.on_live_key_read(read_result)
-                              : pending->query.on_final_key_read(read_result));
-      });
-    }
+    case QueryStep::read_final:
+      return read_key(pending, step);
     case QueryStep::answer:
     case QueryStep::absent:
     case QueryStep::refuse:
@@ -79,6 +74,50 @@
   }
 }
 
+void SubmissionService::wait_for_replica(const PendingQueryPtr& pending) {
+  // One read for each poll would take the state service's whole request limit at a thousand live jobs. The
+  // replica serves as well once it is known to be as current as the poll; only jobs that are not live in it
+  // are read.
+  when_replica_current([this, pending](bool is_current) {
+    const Job* job = is_current ? state_.live_job(state_.find_job(pending->ref)) : nullptr;
+    QueryStep next = pending->query.on_replica_current(
+        is_current, job != nullptr ? std::make_optional(job->phase) : std::nullopt);
+    // The state service may have become overloaded meanwhile: then nothing more is read.
+    advance(pending, next != QueryStep::answer && is_overloaded() ? QueryStep::refuse : next);
+  });
+}
+
+void SubmissionService::read_key(const PendingQueryPtr& pending, QueryStep step) {
+  bool is_live_key = step == QueryStep::read_live;
+  std::string key = is_live_key ? state::job_key(pending->ref) : state::final_key(pending->ref);
+  store_.get(key, Urgency::user, [this, pending, is_live_key](const StoreResponse& response) {
+    auto phase = read_stored_phase(response);
+    KeyReadResult result = to_read_result(response, phase);
+    if (phase && is_live_key) {
+      pending->revision = response.body.value("stamp", Revision{0});
+      pending->value = response.body["value"];
+    }
+    advance(pending,
+            is_live_key ? pending->query.on_live_key_read(result) : pending->query.on_final_key_read(result));
+  });
+}
+
+SubmissionService::PendingQueryPtr SubmissionService::make_query(const std::string& ref,
+                                                                 QueryHandler on_done) {
+  auto pending = std::make_shared<PendingQuery>();
+  pending->ref = ref;
+  // Not the shared pointer: the query would own itself.
+  pending->on_done = [on_done = std::move(on_done), self = pending.get()](QueryStep step) {
+    on_done(*self, step);
+  };
+  return pending;
+}
+
+void SubmissionService::query_keys(const std::string& ref, QueryHandler on_done) {
+  auto pending = make_query(ref, std::move(on_done));
+  advance(pending, pending->query.look_up());
+}
+
 void SubmissionService::reply_status(const std::string& ref, JobPhase phase,
                                      const net::ResponderPtr& responder) {
   if (phase != JobPhase::open) {
@@ -87,95 +126,98 @@
     return;
   }
   std::uint32_t done = 0, running = 0;
-  if (Job* j = state_.live_job(state_.find_job(ref))) {
-    done = j->done_count;
-    running = static_cast<std::uint32_t>(j->placements.size());
+  if (const Job* job = state_.live_job(state_.find_job(ref))) {
+    done = job->done_count;
+    running = static_cast<std::uint32_t>(job->placements.size());
   }
   responder->reply(200,
                    wire::encode(wire::job_status(ref, running > 0 ? "running" : "queued", done, running)));
 }
 
 void SubmissionService::submit(const net::Request& request) {
+  const net::ResponderPtr& responder = request.responder;
   auto body = wire::decode_map(request.body);
-  if (!body) return reply_error(request.responder, 400, "not a CBOR map within the size limit");
-  double first = first_attempts_.record_attempt(*body, wall_clock_());
-  if (overloaded()) return reply_unavailable(request.responder);
-  Admission admission = admit(*body, state_.names, state_.settings, state_.catalog, first);
+  if (!body) return reply_error(responder, 400, "not a CBOR map within the size limit");
+  double first_attempt_at = first_attempts_.record_attempt(*body, wall_clock_());
+  if (is_overloaded()) return reply_unavailable(responder);
+  Admission admission = admit(*body, state_.names, state_.settings, state_.catalog, first_attempt_at);
   std::string ref = admission.spec.ref;
-  if (admission.rejection && admission.is_permanent)
-    return reply_error(request.responder, admission.rejection->status, admission.rejection->reason);
-  if (admission.rejection) {
-    // A repeat of a job that was accepted is never turned down, whatever this node thinks of it now: judged
-    // by a catalog that had changed since, it was told 422.
-    return query_keys(ref, [this, ref, why = *admission.rejection, to = request.responder](
-                               const PendingQuery& pending, QueryStep found) {
-      if (found == QueryStep::answer) return reply_status(ref, pending.query.phase(), to);
-      found == QueryStep::absent ? reply_error(to, why.status, why.reason) : reply_unavailable(to);
-    });
-  }
-  store_.commit(submission_txn(ref, admission.record), Urgency::user,
-                [this, ref, responder = request.responder](const StoreResponse& response) {
+  if (!admission.rejection) return commit_submission(ref, admission.record, responder);
+  if (admission.is_permanent)
+    return reply_error(responder, admission.rejection->status, admission.rejection->reason);
+  // A repeated submission of an accepted job is never rejected, whatever this controller makes of it now: the
+  // catalog may have changed since it was accepted.
+  query_keys(ref, [this, ref, rejection = *admission.rejection, responder](const PendingQuery& pending,
+                                                                           QueryStep step) {
+    if (step == QueryStep::answer) return reply_status(ref, pending.query.phase(), responder);
+    if (step == QueryStep::absent) return reply_error(responder, rejection.status, rejection.reason);
+    reply_unavailable(responder);
+  });
+}
+
+void SubmissionService::commit_submission(const std::string& ref, const Json& record,
+                                          const net::ResponderPtr& responder) {
+  store_.commit(submission_txn(ref, record), Urgency::user,
+                [this, ref, responder](const StoreResponse& response) {
                   if (response.status == 200) {
-                    SPDLOG_DEBUG("job {}: accepted", ref);
-                    on_write(response.body.value("ledger_rev", Revision{0}));
-                    responder->reply(201, wire::encode({{"ref", ref}, {"phase", "queued"}}));
-                  } else if (response.status == 409) {
-                    query_keys(ref, [this, ref, responder](const PendingQuery& pending, QueryStep found) {
-                      found == QueryStep::answer ? reply_status(ref, pending.query.phase(), responder)
-                                                 : reply_unavailable(responder);
-                    });
-                  } else {
-                    reply_unavailable(responder);
+                    SPDLOG_DEBUG("job accepted job={}", ref);
+                    on_write(committed_revision(response.body));
+                    return responder->reply(201, wire::encode({{"ref", ref}, {"phase", "queued"}}));
                   }
+                  if (response.status != 409) return reply_unavailable(responder);
+                  // The job is known already: a repeated submission gets its status.
+                  query_keys(ref, [this, ref, responder](const PendingQuery& pending, QueryStep step) {
+                    if (step == QueryStep::answer) return reply_status(ref, pending.query.phase(), responder);
+                    reply_unavailable(responder);
+                  });
                 });
 }
 
 void SubmissionService::poll(const std::string& ref, const net::ResponderPtr& responder) {
-  if (!wire::valid_id(ref)) return reply_error(responder, 404, "no such job");
-  auto known = final_phases_.find(ref);
-  bool remembered = known != final_phases_.end();
-  if (!remembered && overloaded()) return reply_unavailable(responder);
-  auto pending = std::make_shared<PendingQuery>();
-  pending->ref = ref;
-  pending->on_done = [this, ref, responder, e = &pending->query](QueryStep found) {
-    if (found == QueryStep::answer) return reply_status(ref, e->phase(), responder);
-    found == QueryStep::absent ? reply_error(responder, 404, "no such job") : reply_unavailable(responder);
-  };
-  advance(pending, pending->query.poll(remembered ? std::make_optional(known->second) : std::nullopt));
+  if (!wire::valid_id(ref)) return reply_unknown_job(responder);
+  std::optional<JobPhase> final_phase = final_phases_.find(ref);
+  if (!final_phase && is_overloaded()) return reply_unavailable(responder);
+  auto pending = make_query(ref, [this, ref, responder](const PendingQuery& query, QueryStep step) {
+    if (step == QueryStep::answer) return reply_status(ref, query.query.phase(), responder);
+    if (step == QueryStep::absent) return reply_unknown_job(responder);
+    reply_unavailable(responder);
+  });
+  advance(pending, pending->query.poll(final_phase));
 }
 
-void SubmissionService::query_keys(const std::string& ref,
-                                   std::function<void(const PendingQuery&, QueryStep)> fn) {
-  auto q = std::make_shared<PendingQuery>();
-  q->ref = ref;
-  q->on_done = [fn = std::move(fn), self = q.get()](QueryStep found) { fn(*self, found); };
-  advance(q, q->query.look_up());
+void SubmissionService::withdraw(const std::string& ref, const net::ResponderPtr& responder, int attempt) {
+  if (!wire::valid_id(ref)) return reply_unknown_job(responder);
+  if (is_overloaded()) return reply_unavailable(responder);
+  query_keys(ref, [this, ref, responder, attempt](const PendingQuery& pending, QueryStep step) {
+    if (step == QueryStep::absent) return reply_unknown_job(responder);
+    if (step == QueryStep::refuse) return reply_unavailable(responder);
+    if (pending.query.phase() != JobPhase::open)
+      return reply_withdrawn(ref, pending.query.phase(), responder);
+    commit_withdrawal(pending, responder, attempt);
+  });
 }
 
-void SubmissionService::withdraw(const std::string& ref, const net::ResponderPtr& responder, int tries) {
-  if (!wire::valid_id(ref)) return reply_error(responder, 404, "no such job");
-  if (overloaded()) return reply_unavailable(responder);
-  auto answer = [this, ref, responder](JobPhase phase) {
-    remember_final_phase(ref, phase);
-    responder->reply(200, wire::encode({{"ref", ref}, {"phase", name_of(phase)}}));
-  };
-  query_keys(ref, [this, ref, responder, tries, answer](const PendingQuery& pending, QueryStep found) {
-    if (found == QueryStep::absent) return reply_error(responder, 404, "no such job");
-    if (found == QueryStep::refuse) return reply_unavailable(responder);
-    if (pending.query.phase() != JobPhase::open) return answer(pending.query.phase());
-    store_.commit(withdrawal_txn(ref, pending.value, pending.revision), Urgency::user,
-                  [this, ref, responder, tries, answer](const StoreResponse& response) {
-                    if (response.status == 200) {
-                      SPDLOG_INFO("job {}: cancelled by its user", ref);
-                      on_write(response.body.value("ledger_rev", Revision{0}));
-                      answer(JobPhase::cancelled);
-                    } else if (response.status == 409 && tries < max_withdrawal_attempts) {
-                      withdraw(ref, responder, tries + 1);
-                    } else {
-                      reply_unavailable(responder);
-                    }
-                  });
-  });
+void SubmissionService::commit_withdrawal(const PendingQuery& pending, const net::ResponderPtr& responder,
+                                          int attempt) {
+  const std::string& job_ref = pending.ref;
+  store_.commit(withdrawal_txn(job_ref, pending.value, pending.revision), Urgency::user,
+                [this, ref = job_ref, responder, attempt](const StoreResponse& response) {
+                  if (response.status == 200) {
+                    SPDLOG_INFO("job withdrawn job={}", ref);
+                    on_write(committed_revision(response.body));
+                    reply_withdrawn(ref, JobPhase::cancelled, responder);
+                  } else if (response.status == 409 && attempt < max_withdrawal_attempts) {
+                    withdraw(ref, responder, attempt + 1);
+                  } else {
+                    reply_unavailable(responder);
+                  }
+                });
+}
+
+void SubmissionService::reply_withdrawn(const std::string& ref, JobPhase phase,
+                                        const net::ResponderPtr& responder) {
+  remember_final_phase(ref, phase);
+  responder->reply(200, wire::encode({{"ref", ref}, {"phase", name_of(phase)}}));
 }
 
 }  // namespace oxbowmill::service
--- a/src/service/write_queue.cpp
+++ b/src/service/write_queue.cpp
@@ -2,30 +2,28 @@
 
 #include <spdlog/spdlog.h>
 
-namespace oxbowmill::service {
+#include "oxbowmill/service/transaction_body.h"
 
-using wire::Json;
+namespace oxbowmill::service {
 
-WriteQueue::SentTransaction& WriteQueue::get_or_create(const Write& write, ClusterState& model) {
-  auto [it, fresh] = transactions_.try_emplace(write.id);
+WriteQueue::SentTransaction& WriteQueue::get_or_create(const Write& write, ClusterState& state) {
+  auto [it, is_new] = transactions_.try_emplace(write.id);
   SentTransaction& transaction = it->second;
-  if (!fresh) return transaction;
-  transaction.body = {{"guards", Json::array()}, {"apply", Json::array()}};
-  for (const Guard& g : write.txn.guards)
-    transaction.body["guards"].push_back({{"k", state::encode_key(g.key, model)}, {"stamp", g.revision}});
+  if (!is_new) return transaction;
+  TransactionBody body;
+  for (const Guard& guard : write.txn.guards)
+    body.require(state::encode_key(guard.key, state), guard.revision);
   for (const Change& change : write.txn.changes) {
-    std::string key = state::encode_key(change.key, model);
-    Json operation;
+    std::string key = state::encode_key(change.key, state);
     if (change.is_removal()) {
-      operation["delete"] = key;
+      body.remove(key);
     } else {
-      operation["put"] = key;
-      operation["value"] = state::encode_value(change, model);
+      body.put(key, state::encode_value(change, state));
     }
-    transaction.body["apply"].push_back(std::move(operation));
     transaction.changes.emplace_back(std::move(key), change);
   }
-  SPDLOG_DEBUG("transaction {}: {}", write.id, transaction.body["apply"].dump());
+  transaction.body = body.json();
+  SPDLOG_DEBUG("transaction created id={} operations={}", write.id, transaction.body["apply"].dump());
   return transaction;
 }
 
