--- a/include/oxbowmill/service/status_query.h
+++ b/include/oxbowmill/service/status_query.h
@@ -30,7 +30,8 @@
 /// Result of reading a key.
 struct KeyReadResult {
   /// What the read showed; `unknown`: no usable response came.
-  enum class Kind : std::uint8_t { found, absent, unknown } kind = Kind::unknown;
+  enum class Kind : std::uint8_t { found, absent, unknown };
+  Kind kind = Kind::unknown;        ///< what the read showed
   JobPhase phase = JobPhase::open;  ///< where found
 };
 
