--- a/src/scheduling/job_transaction_builder.cpp
+++ b/src/scheduling/job_transaction_builder.cpp
@@ -5,14 +5,6 @@
 
 namespace oxbowmill {
 
-namespace {
-
-std::uint64_t task_bit(TaskNumber task) {
-  return 1ULL << (task % tasks_per_chunk);
-}
-
-}  // namespace
-
 JobTransactionBuilder::JobTransactionBuilder(ClusterState& state, JobIndex job_index,
                                              const std::vector<PlacedTask>& planned, Seconds now)
     : state_(state),
--- a/src/scheduling/zone_reachability.cpp
+++ b/src/scheduling/zone_reachability.cpp
@@ -10,7 +10,6 @@
 constexpr std::uint32_t min_machines_for_unreachable = 4;  // fewer prove nothing about their zone
 constexpr double unreachable_duration_s = 20;              // after the last check that found the zone silent
 constexpr double peer_report_duration_s = 3;               // how long another controller's report counts
-constexpr Seconds long_ago = -1e9;
 }  // namespace
 
 bool ZoneReachability::is_unreachable(ZoneIndex zone, Seconds now) const {
