--- a/include/oxbowmill/error.h
+++ b/include/oxbowmill/error.h
@@ -5,7 +5,8 @@
 
 namespace oxbowmill {
 
-/// Something outside the program was wrong: a file, an argument, an address, a peer. `what()` is one line for people.
+/// Something outside the program was wrong: a file, an argument, an address, a peer. `what()` is one line for
+/// people.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/service/peers.cpp
+++ b/src/service/peers.cpp
@@ -115,7 +115,8 @@
                   net::ResponseHandler on_response) {
   auto client = relay_clients_.find(controller);
   auto status = peer_status_.find(controller);
-  if (client == relay_clients_.end() || status == peer_status_.end() || !is_current(status->second))
+  if (client == relay_clients_.end() || status == peer_status_.end() ||
+      clock_() - status->second.received_at > peer_status_valid_s)
     return on_response({});
   client->second->send(EVHTTP_REQ_POST, "/relay", report, relay_timeout_s, std::move(on_response));
 }
