--- a/src/simulation/cluster_agents.cpp
+++ b/src/simulation/cluster_agents.cpp
@@ -165,42 +165,53 @@
     std::vector<TaskNumber> ended, gave_up;
     bool all_ready = job.runs.size() == job.tasks;
     for (auto& [task, run] : job.runs) {
-      SimulatedMachine& machine = *run.machine;
-      if (now < machine.hung_until) {
-        run.started_at = run.started_at < 0 ? -1 : run.started_at + step_s;
-        all_ready = false;
-        continue;
-      }
-      const std::string& id = run.task_id;
-      if (now < run.ready_at || !machine.worker->has(id)) {
+      if (!is_ready(run)) {
         all_ready = false;
         continue;
       }
       if (job.class_index == 1) {
-        if (run.started_at < 0) {
-          run.started_at = now;
-          machine.worker->set_phase(id, TaskPhase::running);
-        }
-        if (now - run.started_at >= counts_as_started_after_s) job.record_start(task, run.started_at);
-        if (now - run.started_at >= std::max(1.0, job.run_time_s(task) - job.saved_s[task]))
-          ended.push_back(task);
-        count_gpus(job, 1);
-      } else if (job.gang_started < 0 && machine.worker->phase(id) == TaskPhase::fetching) {
-        machine.worker->set_phase(id, TaskPhase::gathering);
-        run.waiting_for_gang_since = now;
-      } else if (job.gang_started < 0 && run.waiting_for_gang_since >= 0 &&
-                 now - run.waiting_for_gang_since > scenario_.gang_wait_s) {
+        if (advance_array_task(job, task, run)) ended.push_back(task);
+      } else if (gives_up_waiting(job, run)) {
         gave_up.push_back(task);
       }
     }
     if (job.class_index == 0) tick_gang(job, all_ready, ended);
-    for (TaskNumber t : ended) finish(job, t, EndCause::done);
-    for (TaskNumber t : gave_up) {
-      if (job.gang_started < 0 && job.runs.count(t) != 0) finish(job, t, EndCause::incomplete);
+    for (TaskNumber task : ended) finish(job, task, EndCause::done);
+    for (TaskNumber task : gave_up) {
+      if (job.gang_started < 0 && job.runs.count(task) != 0) finish(job, task, EndCause::incomplete);
     }
   }
 }
 
+bool ClusterSimulation::Impl::is_ready(TaskRun& run) const {
+  if (now < run.machine->hung_until) {
+    run.started_at = run.started_at < 0 ? -1 : run.started_at + step_s;
+    return false;
+  }
+  return now >= run.ready_at && run.machine->worker->has(run.task_id);
+}
+
+bool ClusterSimulation::Impl::advance_array_task(SimulatedJob& job, TaskNumber task, TaskRun& run) {
+  if (run.started_at < 0) {
+    run.started_at = now;
+    run.machine->worker->set_phase(run.task_id, TaskPhase::running);
+  }
+  if (now - run.started_at >= counts_as_started_after_s) job.record_start(task, run.started_at);
+  bool ends = now - run.started_at >= std::max(1.0, job.run_time_s(task) - job.saved_s[task]);
+  count_gpus(job, 1);
+  return ends;
+}
+
+bool ClusterSimulation::Impl::gives_up_waiting(const SimulatedJob& job, TaskRun& run) const {
+  if (job.gang_started >= 0) return false;
+  if (run.machine->worker->phase(run.task_id) == TaskPhase::fetching) {
+    run.machine->worker->set_phase(run.task_id, TaskPhase::gathering);
+    run.waiting_for_gang_since = now;
+    return false;
+  }
+  return run.waiting_for_gang_since >= 0 && now - run.waiting_for_gang_since > scenario_.gang_wait_s;
+}
+
 void ClusterSimulation::Impl::tick_gang(SimulatedJob& job, bool all_ready, std::vector<TaskNumber>& ended) {
   if (job.gang_lost_at >= 0) {
     if (now - job.gang_lost_at < 5) return;
--- a/src/simulation/cluster_controllers.cpp
+++ b/src/simulation/cluster_controllers.cpp
@@ -82,54 +82,73 @@
     process.state_loaded = true;
     if (variant != SimulationVariant::without_reconciliation) end_lost_partitions(process, controller);
   }
+  answer_watches(process, controller, state_up);
+  if (state_up && now >= process.next_renew) renew_lease(process, controller);
+  if (state_up) acquire_partitions(process, controller);
+  deliver_write_responses(process, controller);
+  send_effects(i, controller.decide(now));
+  if (controller.reconciler && now >= process.next_peer_update) exchange_peer_status(i);
+}
+
+void ClusterSimulation::Impl::answer_watches(ControllerProcess& process, SimulatedController& controller,
+                                             bool state_up) {
+  constexpr double owner_sync_s = 0.1, other_sync_s = 0.6;
   if (state_up && now >= process.next_sync) {
-    process.next_sync = now + (controller.scheduler.owns_any() ? 0.1 : 0.6);
+    process.next_sync = now + (controller.scheduler.owns_any() ? owner_sync_s : other_sync_s);
     process.pending_watches.push_back({now + delay_s(), now, store.events().size(), store.revision()});
   }
   // A controller that cannot reach the state service gets no responses to its open watches.
   if (!state_up) process.pending_watches.clear();
   for (; !process.pending_watches.empty() && process.pending_watches.front().at <= now;
-       process.pending_watches.pop_front())
-    controller.apply_events_up_to(process.pending_watches.front().events,
-                                  process.pending_watches.front().revision,
-                                  process.pending_watches.front().opened_at, now);
-  if (state_up && now >= process.next_renew) {
-    process.next_renew = now + controller.cluster_state.settings.operator_settings.controller_lease_s / 4;
-    if (controller.lease.lease_id() == 0) {
-      controller.lease.on_granted(
-          store.grant_lease(controller.cluster_state.settings.operator_settings.controller_lease_s, now),
-          now);
-    } else if (store.renew_lease(controller.lease.lease_id(), now)) {
-      controller.lease.on_renewed(now);
-    } else {
-      controller.lease.on_lost();
-    }
+       process.pending_watches.pop_front()) {
+    const ControllerProcess::PendingWatch& watch = process.pending_watches.front();
+    controller.apply_events_up_to(watch.events, watch.revision, watch.opened_at, now);
   }
-  if (state_up) acquire_partitions(process, controller);
+}
+
+void ClusterSimulation::Impl::renew_lease(ControllerProcess& process, SimulatedController& controller) {
+  double lease_s = controller.cluster_state.settings.operator_settings.controller_lease_s;
+  process.next_renew = now + lease_s / 4;
+  if (controller.lease.lease_id() == 0) {
+    controller.lease.on_granted(store.grant_lease(lease_s, now), now);
+  } else if (store.renew_lease(controller.lease.lease_id(), now)) {
+    controller.lease.on_renewed(now);
+  } else {
+    controller.lease.on_lost();
+  }
+}
+
+void ClusterSimulation::Impl::deliver_write_responses(ControllerProcess& process,
+                                                      SimulatedController& controller) {
   while (!process.write_responses.empty() && process.write_responses.front().at <= now) {
-    auto a = std::move(process.write_responses.front());
+    ControllerProcess::WriteResponse response = std::move(process.write_responses.front());
     process.write_responses.pop_front();
-    Revision rev = a.result ? a.result->body.value("ledger_rev", std::uint64_t{0}) : 0;
-    controller.on_write_result(a.write, outcome_of(a.result), rev, now);
+    Revision revision = response.result ? response.result->body.value("ledger_rev", std::uint64_t{0}) : 0;
+    controller.on_write_result(response.write, outcome_of(response.result), revision, now);
   }
-  Effects out = controller.decide(now);
-  for (Write& w : out.writes) {
-    controller.queue_write(w);
-    process.queues[static_cast<std::size_t>(w.urgency)].push_back(std::move(w));
+}
+
+void ClusterSimulation::Impl::send_effects(std::size_t i, Effects out) {
+  ControllerProcess& process = controllers[i];
+  for (Write& write : out.writes) {
+    process.controller->queue_write(write);
+    process.queues[static_cast<std::size_t>(write.urgency)].push_back(std::move(write));
   }
-  send_queued_writes(process, controller);
-  for (const DirectCommands& d : out.direct_commands) deliver(i, d);
-  for (ScaleOutRequest& r : out.scale_outs) calls.push_back({i, now, std::move(r), {}, false});
+  send_queued_writes(process, *process.controller);
+  for (const DirectCommands& commands : out.direct_commands) deliver(i, commands);
+  for (ScaleOutRequest& request : out.scale_outs) calls.push_back({i, now, std::move(request), {}, false});
   if (!out.deletions.empty()) calls.push_back({i, now, {}, out.deletions, false});
   if (out.list_machines) calls.push_back({i, now, {}, {}, true});
-  if (controller.reconciler && now >= process.next_peer_update) {
-    process.next_peer_update = now + 1;
-    for (std::size_t k = 0; k < controllers.size(); ++k) {
-      bool cut = now < process.isolated_until || now < controllers[k].isolated_until ||
-                 is_isolated(zone_of(i)) != is_isolated(zone_of(k));
-      if (k != i && !cut && acts(controllers[k]) && controllers[k].controller->reconciler)
-        send_peer_status(controller, *controllers[k].controller);
-    }
+}
+
+void ClusterSimulation::Impl::exchange_peer_status(std::size_t i) {
+  ControllerProcess& process = controllers[i];
+  process.next_peer_update = now + 1;
+  for (std::size_t k = 0; k < controllers.size(); ++k) {
+    bool cut = now < process.isolated_until || now < controllers[k].isolated_until ||
+               is_isolated(zone_of(i)) != is_isolated(zone_of(k));
+    if (k != i && !cut && acts(controllers[k]) && controllers[k].controller->reconciler)
+      send_peer_status(*process.controller, *controllers[k].controller);
   }
 }
 
@@ -224,32 +243,8 @@
       if (!process.change_budget.take(changes, now)) return;
       Write write = std::move(queue.front());
       queue.pop_front();
-      std::optional<StateStore::Result> write_result;
-      auto here = static_cast<std::size_t>(&process - controllers.data());
-      bool unreachable =
-          now < process.without_state_until || now < process.isolated_until || is_isolated(zone_of(here));
-      bool refused = !unreachable && now < process.refused_until;
-      if (refused) {
-        write_result = StateStore::Result{503, Json::object()};
-      } else if (unreachable || (!store.outage() && loses_next(controller, write))) {
-        write_result = std::nullopt;
-      } else if (!store.outage() && !write_budget.take(changes, now)) {
-        write_result = StateStore::Result{429, Json::object()};
-      } else {
-        write_result = controller.send(write);
-        bool lost = loses_write_response();
-        if (write_result && write_result->status == 200) {
-          current_sample().changes += static_cast<std::uint32_t>(changes);
-          if (write.urgency == Urgency::placement) ++current_sample().starts;
-        }
-        if (lost) write_result = std::nullopt;
-      }
-      for (const Change& ch : write.txn.changes) {
-        const auto* fin = std::get_if<FinalPhaseKey>(&ch.key);
-        if (fin != nullptr && write_result && write_result->status == 200)
-          process.final_phases.emplace(controller.cluster_state.job(fin->job).spec.ref,
-                                       std::get<JobPhase>(ch.value));
-      }
+      std::optional<StateStore::Result> write_result = send_write(process, controller, write);
+      if (write_result && write_result->status == 200) remember_final_phases(process, controller, write);
       process.write_responses.push_back(
           {now + (write_result ? step_s + delay_s() : 2), std::move(write), std::move(write_result)});
       std::sort(process.write_responses.begin(), process.write_responses.end(),
@@ -258,6 +253,36 @@
   }
 }
 
+std::optional<StateStore::Result> ClusterSimulation::Impl::send_write(const ControllerProcess& process,
+                                                                      SimulatedController& controller,
+                                                                      const Write& write) {
+  auto changes = static_cast<double>(write.txn.changes.size());
+  auto here = static_cast<std::size_t>(&process - controllers.data());
+  bool unreachable =
+      now < process.without_state_until || now < process.isolated_until || is_isolated(zone_of(here));
+  if (!unreachable && now < process.refused_until) return StateStore::Result{503, Json::object()};
+  if (unreachable || (!store.outage() && loses_next(controller, write))) return std::nullopt;
+  if (!store.outage() && !write_budget.take(changes, now)) return StateStore::Result{429, Json::object()};
+  std::optional<StateStore::Result> write_result = controller.send(write);
+  bool lost = loses_write_response();
+  if (write_result && write_result->status == 200) {
+    current_sample().changes += static_cast<std::uint32_t>(changes);
+    if (write.urgency == Urgency::placement) ++current_sample().starts;
+  }
+  return lost ? std::nullopt : write_result;
+}
+
+void ClusterSimulation::Impl::remember_final_phases(ControllerProcess& process,
+                                                    const SimulatedController& controller,
+                                                    const Write& write) {
+  for (const Change& change : write.txn.changes) {
+    const auto* key = std::get_if<FinalPhaseKey>(&change.key);
+    if (key != nullptr)
+      process.final_phases.emplace(controller.cluster_state.job(key->job).spec.ref,
+                                   std::get<JobPhase>(change.value));
+  }
+}
+
 bool ClusterSimulation::Impl::loses_next(SimulatedController& controller, const Write& write) {
   if (!delays_next_write()) return false;
   controller.write_outcome = WriteOutcome::not_arrived;
--- a/src/simulation/cluster_simulation_impl.h
+++ b/src/simulation/cluster_simulation_impl.h
@@ -92,6 +92,18 @@
   }
 
   void run_controller(std::size_t i);
+  /// Opens a watch when its time has come, and applies those whose response has arrived.
+  void answer_watches(ControllerProcess& process, SimulatedController& controller, bool state_up);
+  void renew_lease(ControllerProcess& process, SimulatedController& controller);
+  void deliver_write_responses(ControllerProcess& process, SimulatedController& controller);
+  void send_effects(std::size_t i, Effects out);
+  /// Sends its reconciliation status to every controller that it reaches.
+  void exchange_peer_status(std::size_t i);
+  /// The state service's response to the transaction; none where it is lost on either way.
+  std::optional<StateStore::Result> send_write(const ControllerProcess& process,
+                                               SimulatedController& controller, const Write& write);
+  static void remember_final_phases(ControllerProcess& process, const SimulatedController& controller,
+                                    const Write& write);
   void send_peer_status(const SimulatedController& from, SimulatedController& to) const;
   void publish_key(SimulatedController& controller, const Key& key);
   bool reaches_state(const ControllerProcess& process) const;
@@ -185,6 +197,12 @@
   void lose_all_tasks(const std::string& name, SimulatedMachine& machine);
   void tick_workers();
   void tick_tasks();
+  /// The task is on its machine with its image. A machine that hangs delays the end of the task.
+  bool is_ready(TaskRun& run) const;
+  /// Starts the task or lets it run on; true: it ends now.
+  bool advance_array_task(SimulatedJob& job, TaskNumber task, TaskRun& run);
+  /// A gang's member with its image waits for the others; true: it has waited for too long.
+  bool gives_up_waiting(const SimulatedJob& job, TaskRun& run) const;
   void tick_gang(SimulatedJob& job, bool all_ready, std::vector<TaskNumber>& ended);
   void finish(SimulatedJob& job, TaskNumber task, EndCause cause);
   void count_gpus(const SimulatedJob& job, std::size_t tasks);
--- a/src/simulation/random_histories.cpp
+++ b/src/simulation/random_histories.cpp
@@ -51,74 +51,103 @@
   scenario.duration_s = end + std::max(abandoned_after_s, scenario.cancel_timeout_s) + 10;
 }
 
-ClusterScenario random_history(std::uint64_t seed) {
-  std::mt19937_64 random(seed);
-  auto draw = [&](double a, double b) { return std::uniform_real_distribution<double>(a, b)(random); };
-  // Each kind with its longest duration and largest fraction.
-  struct FaultTemplate {
-    FaultKind kind;
-    double duration_s, fraction;
-  };
-  static constexpr FaultTemplate kinds[] = {{FaultKind::all_controllers_down, 4, 0},
-                                            {FaultKind::owner_down, 6, 0},
-                                            {FaultKind::owner_down, 1, 0},
-                                            {FaultKind::owner_without_state, 30, 0},
-                                            {FaultKind::owner_refused_by_state, 25, 0},
-                                            {FaultKind::owner_isolated, 30, 0},
-                                            {FaultKind::state_outage, 60, 0},
-                                            {FaultKind::state_delay, 20, 0},
-                                            {FaultKind::owner_frozen, 12, 0},
-                                            {FaultKind::machines_hang, 14, 0.3},
-                                            {FaultKind::machines_receive_nothing, 40, 0.4},
-                                            {FaultKind::machines_die, 0, 0.2},
-                                            {FaultKind::duplicate_reports, 60, 0.5},
-                                            {FaultKind::delayed_writes, 60, 0.4},
-                                            {FaultKind::delayed_responses, 40, 0.4},
-                                            {FaultKind::jobs_cancelled, 0, 0.6},
-                                            {FaultKind::lost_write_responses, 40, 0.4},
-                                            {FaultKind::replayed_reports, 50, 0.6},
-                                            {FaultKind::machines_send_nothing, 30, 0.4},
-                                            {FaultKind::zone_isolated, 30, 0},
-                                            {FaultKind::jobs_cancelled_and_machines_hang, 11, 0.6},
-                                            {FaultKind::jobs_cancelled_at_end, 60, 0.5},
-                                            {FaultKind::repeated_queries, 60, 0},
-                                            {FaultKind::invalid_requests, 60, 0},
-                                            {FaultKind::fast_boots, 60, 0}};
-  ClusterScenario scenario = fault_combination_scenario();
-  scenario.controllers = draw(0, 1) < 0.6 ? 3 : draw(0, 1) < 0.5 ? 2 : 5;
-  struct Times {
-    double lease_s, cancel_timeout_s, controller_lease_s;
-  };
-  static constexpr Times times[] = {{12, 36, 4}, {12, 24, 4}, {12, 16.1, 4}, {12, 19.1, 4}, {6, 60, 20}};
-  if (draw(0, 1) < 0.4) {
-    const Times& t = times[static_cast<std::size_t>(draw(0, std::size(times) - 0.001))];
-    scenario.lease_s = t.lease_s;
-    scenario.cancel_timeout_s = t.cancel_timeout_s;
-    scenario.controller_lease_s = t.controller_lease_s;
+namespace {
+
+/// A kind of fault with its longest duration and its largest fraction.
+struct FaultTemplate {
+  FaultKind kind;
+  double duration_s, fraction;
+};
+constexpr FaultTemplate kinds[] = {{FaultKind::all_controllers_down, 4, 0},
+                                   {FaultKind::owner_down, 6, 0},
+                                   {FaultKind::owner_down, 1, 0},
+                                   {FaultKind::owner_without_state, 30, 0},
+                                   {FaultKind::owner_refused_by_state, 25, 0},
+                                   {FaultKind::owner_isolated, 30, 0},
+                                   {FaultKind::state_outage, 60, 0},
+                                   {FaultKind::state_delay, 20, 0},
+                                   {FaultKind::owner_frozen, 12, 0},
+                                   {FaultKind::machines_hang, 14, 0.3},
+                                   {FaultKind::machines_receive_nothing, 40, 0.4},
+                                   {FaultKind::machines_die, 0, 0.2},
+                                   {FaultKind::duplicate_reports, 60, 0.5},
+                                   {FaultKind::delayed_writes, 60, 0.4},
+                                   {FaultKind::delayed_responses, 40, 0.4},
+                                   {FaultKind::jobs_cancelled, 0, 0.6},
+                                   {FaultKind::lost_write_responses, 40, 0.4},
+                                   {FaultKind::replayed_reports, 50, 0.6},
+                                   {FaultKind::machines_send_nothing, 30, 0.4},
+                                   {FaultKind::zone_isolated, 30, 0},
+                                   {FaultKind::jobs_cancelled_and_machines_hang, 11, 0.6},
+                                   {FaultKind::jobs_cancelled_at_end, 60, 0.5},
+                                   {FaultKind::repeated_queries, 60, 0},
+                                   {FaultKind::invalid_requests, 60, 0},
+                                   {FaultKind::fast_boots, 60, 0}};
+
+/// Leases and time-outs of a cluster, in seconds.
+struct Times {
+  double lease_s, cancel_timeout_s, controller_lease_s;
+};
+constexpr Times times[] = {{12, 36, 4}, {12, 24, 4}, {12, 16.1, 4}, {12, 19.1, 4}, {6, 60, 20}};
+
+class RandomHistory {
+ public:
+  explicit RandomHistory(std::uint64_t seed) : random_(seed) {}
+
+  ClusterScenario make() {
+    ClusterScenario scenario = fault_combination_scenario();
+    vary_cluster(scenario);
+    vary_load(scenario);
+    auto fault_count = 3 + static_cast<int>(draw(0, 4.99));
+    for (int i = 0; i < fault_count; ++i) scenario.faults.push_back(random_fault(scenario.warm_up_s));
+    std::sort(scenario.faults.begin(), scenario.faults.end(),
+              [](const Fault& a, const Fault& b) { return a.at_s < b.at_s; });
+    extend_for_settling(scenario);
+    return scenario;
+  }
+
+ private:
+  double draw(double from, double to) { return std::uniform_real_distribution<double>(from, to)(random_); }
+  bool chance(double probability) { return draw(0, 1) < probability; }
+
+  void vary_cluster(ClusterScenario& scenario) {
+    scenario.controllers = chance(0.6) ? 3 : chance(0.5) ? 2 : 5;
+    if (!chance(0.4)) return;
+    const Times& drawn = times[static_cast<std::size_t>(draw(0, std::size(times) - 0.001))];
+    scenario.lease_s = drawn.lease_s;
+    scenario.cancel_timeout_s = drawn.cancel_timeout_s;
+    scenario.controller_lease_s = drawn.controller_lease_s;
+  }
+
+  void vary_load(ClusterScenario& scenario) {
+    if (chance(0.3)) scenario.max_gpus = draw(12, 24);
+    if (chance(0.2)) scenario.initial_machines = 6;
+    if (chance(0.2)) scenario.zone_bound_fraction = 1;
+    if (chance(0.2)) scenario.arrays_per_s *= draw(2, 5);
+    if (chance(0.2)) scenario.small_array_max_tasks = 1;
+    if (chance(0.2)) scenario.write_rps = draw(20, 40);
   }
-  if (draw(0, 1) < 0.3) scenario.max_gpus = draw(12, 24);
-  if (draw(0, 1) < 0.2) scenario.initial_machines = 6;
-  if (draw(0, 1) < 0.2) scenario.zone_bound_fraction = 1;
-  if (draw(0, 1) < 0.2) scenario.arrays_per_s *= draw(2, 5);
-  if (draw(0, 1) < 0.2) scenario.small_array_max_tasks = 1;
-  if (draw(0, 1) < 0.2) scenario.write_rps = draw(20, 40);
-  auto n = 3 + static_cast<int>(draw(0, 4.99));
-  for (int i = 0; i < n; ++i) {
+
+  Fault random_fault(double warm_up_s) {
     const FaultTemplate& fault_template = kinds[static_cast<std::size_t>(draw(0, std::size(kinds) - 0.001))];
     Fault fault;
     fault.kind = fault_template.kind;
-    fault.at_s = scenario.warm_up_s + draw(0, 40);
+    fault.at_s = warm_up_s + draw(0, 40);
     fault.duration_s = fault_template.duration_s * draw(0.1, 1);
     fault.fraction = fault_template.fraction * draw(0.2, 1);
-    if (fault_template.kind == FaultKind::jobs_cancelled_and_machines_hang) fault.count = 8;
-    if (fault_template.kind == FaultKind::all_controllers_down) fault.stagger_s = draw(0, 1);
-    if (fault_template.kind == FaultKind::state_delay) fault.stagger_s = draw(0.1, 3);
-    scenario.faults.push_back(fault);
+    if (fault.kind == FaultKind::jobs_cancelled_and_machines_hang) fault.count = 8;
+    if (fault.kind == FaultKind::all_controllers_down) fault.stagger_s = draw(0, 1);
+    if (fault.kind == FaultKind::state_delay) fault.stagger_s = draw(0.1, 3);
+    return fault;
   }
-  std::sort(scenario.faults.begin(), scenario.faults.end(),
-            [](const Fault& a, const Fault& b) { return a.at_s < b.at_s; });
-  extend_for_settling(scenario);
-  return scenario;
+
+  std::mt19937_64 random_;
+};
+
+}  // namespace
+
+ClusterScenario random_history(std::uint64_t seed) {
+  return RandomHistory(seed).make();
 }
 
 ClusterScenario shrunk(ClusterScenario scenario, std::uint64_t seed) {
