--- a/include/oxbowmill/reconciliation/reconciler.h
+++ b/include/oxbowmill/reconciliation/reconciler.h
@@ -1,130 +1,126 @@
-// The start of a controller's parts, from the claim to ordinary service, and the doubt about single machines
-// after it. Pure: reports, peers' words and the time come in; what may be ordered goes out through core's
-// `RecoveryAdmission`. docs/reconciliation.md holds the reasons.
+// Reconciliation of a controller's partitions, from the takeover to ordinary service, and suspicions of
+// single machines after it. Reports, the hints of peers and the time come in; what may be done goes out
+// through `RecoveryAdmission`. Owns the phase and counts of each partition; other classes own agents'
+// liveness, zone statistics, peers' hints and requested replacements. Does no input or output; not
+// thread-safe. docs/reconciliation.md holds the reasons.
 #pragma once
 
 #include <functional>
-#include <map>
 
 #include "oxbowmill/cluster/token_bucket.h"
-#include "oxbowmill/reconciliation/agent_liveness.h"
+#include "oxbowmill/reconciliation/liveness_table.h"
+#include "oxbowmill/reconciliation/partition_status.h"
+#include "oxbowmill/reconciliation/peer_hints.h"
+#include "oxbowmill/reconciliation/reconciliation_counts.h"
+#include "oxbowmill/reconciliation/replacement_planner.h"
+#include "oxbowmill/reconciliation/suspicion_detector.h"
+#include "oxbowmill/reconciliation/zone_reports.h"
 #include "oxbowmill/scheduling/scheduler.h"
 
 namespace oxbowmill::reconciliation {
 
-enum class PartitionPhase : std::uint8_t {
-  not_owned,         // not ours
-  loading_state,     // claimed, but the tables have not reached the claim
-  awaiting_reports,  // machines speak one by one
-  reconciling,       // enough have spoken to judge by; differences and suspects are being settled
-  observing_demand,  // the pool's: demand is watched anew, nothing idle goes back
-  ramping_down,      // the pool's: what is idle goes back at a limited pace
-  serving,
-};
-const char* name_of(PartitionPhase phase);
-
-/// What controllers tell each other of a part's start.
-struct PartitionStatus {
-  PartitionIndex partition;
-  Revision ownership_revision = 0;  // which start it speaks of
-  PartitionPhase phase = PartitionPhase::not_owned;
-  std::uint32_t expected = 0, reported = 0;
-};
-
+/// Reconciles the partitions of one controller. Times are of the steady clock.
 class Reconciler : public RecoveryAdmission {
  public:
-  /// The scheduler is read only.
+  /// Reads `model` and `scheduler`, which outlive this object.
   Reconciler(const ClusterState& model, const Scheduler& scheduler, Settings settings);
+  Reconciler(const Reconciler&) = delete;
+  Reconciler& operator=(const Reconciler&) = delete;
 
-  /// The state of a part has changed.
+  /// Called after a partition's phase has changed; may be empty.
   std::function<void()> on_phase_change;
-  /// Before the scheduler judges the report, after it has noticed takeovers. Full authority only.
+  /// A report of an agent. To be called before the scheduler judges it and after the scheduler has noticed
+  /// takeovers, and only with full authority.
   void on_report(const WorkerReport& report, Seconds now);
-  /// After the scheduler's, before the fleet's. Full authority only: a node that may not act cannot know
-  /// whose fault a silence is, and begins to listen anew when it may.
+  /// One cycle, after the scheduler's and before the autoscaler's, and only with full authority: a controller
+  /// that may not act cannot know whose fault a silence is, and counts silence anew when it may.
   void run_cycle(Seconds now);
 
-  /// What the others should know: the starts under way here, and whom this node suspects. Hints only.
-  std::vector<PartitionStatus> partition_statuses() const;
-  std::vector<MachineIndex> suspects(std::size_t most) const;
-  void on_peer_status(const PartitionStatus& w, Seconds now);
-  void on_peer_suspect(MachineIndex machine_index, Seconds now);
+  /// Status of the partitions that are owned here, to be published to the other controllers as a hint.
+  [[nodiscard]] std::vector<PartitionStatus> partition_statuses() const;
+  /// Machines that are suspected here, at most `most`, to be published as a hint.
+  [[nodiscard]] std::vector<MachineIndex> suspects(std::size_t most) const;
+  /// A peer has published this status.
+  void on_peer_status(const PartitionStatus& status, Seconds now) { peer_hints_.record_status(status, now); }
+  /// A peer has published that it suspects this machine.
+  void on_peer_suspect(MachineIndex machine_index, Seconds now) {
+    peer_hints_.record_suspect(machine_index, now);
+  }
 
-  // core's Gate
+  /// Suspected here or by a peer.
   bool suspected(MachineIndex machine_index) const override;
+  /// Suspected here, and its deletion is expected to pay.
   bool marked_for_deletion(MachineIndex machine_index) const override;
+  /// False while reports that are still awaited may show that the job needs no machine; never for guaranteed
+  /// work.
   bool may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) override;
+  /// False before demand is known; then takes one return from the budget.
   bool may_return(MachineIndex machine_index, Seconds now) override;
+  /// Machines to request ahead of proof: see `ReplacementPlanner`.
   std::vector<Replacement> replacements(Seconds now) const override;
+  /// The replacement of this suspect was requested.
   void replacement_started(MachineIndex suspect) override;
 
-  PartitionPhase phase(PartitionIndex partition) const { return partitions_.at(partition.value).phase; }
-  AgentLiveness agent_liveness(MachineIndex machine_index) const {
-    return machine_index.value < liveness_.size() ? liveness_[machine_index.value] : AgentLiveness::none;
+  /// Phase of this partition here.
+  [[nodiscard]] PartitionPhase phase(PartitionIndex partition) const {
+    return partitions_.at(partition.value).phase;
   }
-  const SuspicionStatistics& suspicion_statistics() const { return suspicion_statistics_; }
-  /// Of the start that is under way or was last: for logs, tests and the laboratory.
-  struct Counts {
-    std::uint32_t expected = 0, reported = 0, matched = 0, suspected = 0, marked_for_deletion = 0, lost = 0;
-    std::uint32_t returned = 0, stale = 0, unregistered = 0;
-    std::set<JobIndex> delayed_scale_outs;   // jobs that waited for a rental because of the start
-    std::set<MachineIndex> delayed_returns;  // machines that were idle and kept because of it
-    Differences first_differences;           // as the machines' first words had them
-  };
-  const Counts& counts(PartitionIndex partition) const { return partitions_.at(partition.value).counts; }
-  Seconds reconciled_at(PartitionIndex partition) const {
+  /// Liveness of this machine's agent; `none` outside the owned partitions.
+  [[nodiscard]] AgentLiveness agent_liveness(MachineIndex machine_index) const {
+    return liveness_.of(machine_index);
+  }
+  /// How suspicions have ended so far.
+  [[nodiscard]] const SuspicionStatistics& suspicion_statistics() const { return liveness_.statistics(); }
+  /// The counts' name in this interface.
+  using Counts = ReconciliationCounts;
+  /// Counts of the partition's reconciliation that is under way or was last.
+  [[nodiscard]] const Counts& counts(PartitionIndex partition) const {
+    return partitions_.at(partition.value).counts;
+  }
+  /// When that reconciliation had settled all machines; negative: not yet.
+  [[nodiscard]] Seconds reconciled_at(PartitionIndex partition) const {
     return partitions_.at(partition.value).reconciled_at;
   }
 
  private:
-  struct Zone {
-    std::uint32_t reports_due = 0, reported = 0;  // now
-    bool has_enough_reports = false;              // enough of them for one that does not to be doubted
-    std::uint32_t expected = 0;                   // whose first words the start waits for
-    std::vector<double> first_report_delays_s;    // seconds from the part's takeover, in order
-    Seconds silence_counted_from = 0;             // silence counts from here on
-  };
   struct PartitionState {
     PartitionPhase phase = PartitionPhase::not_owned;
-    Revision ownership_revision = 0;
-    Seconds since = 0;  // of the start
-    Seconds reconciled_at = -1;
-    std::vector<Zone> zones;
+    Revision ownership_revision = 0;  // of the ownership that is reconciled; 0: not owned
+    Seconds since = 0;                // start of this reconciliation
+    Seconds reconciled_at = -1;       // negative: not yet
+    ZoneReports zones;
     Counts counts;
   };
+  /// Machines of a takeover that are not settled yet.
+  struct UnsettledMachines {
+    std::uint32_t unreconciled = 0;  // record and report do not agree, or there is no report
+    std::uint32_t awaited = 0;       // those of them that have not reported
+  };
+
   void start_reconciliation(PartitionIndex partition, Seconds now);
-  /// The only place where a part's state changes.
-  void set_state(PartitionIndex partition, PartitionPhase phase, Seconds now);
-  /// The only place where a machine's word changes.
-  void set_state(MachineIndex machine_index, AgentLiveness liveness);
-  void count_zones(PartitionIndex partition, Seconds now);
-  void update_suspicions(PartitionIndex partition, Seconds now);
+  /// A partition that the scheduler does not own, perhaps because the takeover is not loaded yet.
+  void update_unowned(PartitionIndex partition, Seconds now);
+  /// The only place where a partition's phase changes.
+  void set_phase(PartitionIndex partition, PartitionPhase phase, Seconds now);
   void advance_phase(PartitionIndex partition, Seconds now);
-  void expire_peer_hints(Seconds now);
-  /// No word of the machine is waited for: it never was up, or it is on its way out.
-  bool may_be_silent(const Machine& machine) const;
-  AgentLiveness& mutable_liveness(MachineIndex machine_index);
-  /// Another owner's start has not yet heard enough, or nothing is known of it and it is too early.
-  bool still_awaiting_reports(PartitionIndex partition, Seconds now) const;
+  [[nodiscard]] UnsettledMachines count_unsettled(PartitionIndex partition) const;
+  /// Whether no machine was expected to report and none is recorded in any partition.
+  [[nodiscard]] bool is_first_start(const PartitionState& partition_state) const;
+  /// The partition's owner, here or elsewhere, has not yet enough reports, or nothing is known of it and it
+  /// is too early.
+  [[nodiscard]] bool still_awaiting_reports(PartitionIndex partition, Seconds now) const;
 
   const ClusterState& state_;
   const Scheduler& scheduler_;
   Settings settings_;
   std::vector<PartitionState> partitions_;
-  std::vector<AgentLiveness> liveness_;  // by machine
-  SuspicionStatistics suspicion_statistics_;
-  TokenBucket return_budget_;  // machines that a start, or a doubt, gives back
-  struct PeerStatus {
-    PartitionStatus status;
-    Seconds received_at = -1e9;
-  };
-  std::vector<PeerStatus> peer_status_;            // by part
-  std::map<MachineIndex, Seconds> peer_suspects_;  // by peers, and when
-  /// Suspects for whose work a machine was asked for, and when. What others tell comes and goes; a suspect is
-  /// replaced once all the same, and those of late count against the bound.
-  std::map<MachineIndex, Seconds> replacement_requested_at_;
-  Seconds last_cycle_at_ = -1e9, silence_counted_from_ = -1e9;
-  Seconds first_cycle_at_ = -1;  // first pass of this process
+  LivenessTable liveness_;
+  TokenBucket return_budget_;  // of returns while ramping down, and of deletions on suspicion
+  SuspicionDetector suspicion_;
+  PeerHints peer_hints_;
+  ReplacementPlanner replacements_;
+  Seconds last_cycle_at_ = -1e9;  // long ago
+  Seconds first_cycle_at_ = -1;   // of this process; negative: none yet
 };
 
 }  // namespace oxbowmill::reconciliation
--- a/src/reconciliation/agent_liveness.cpp
+++ b/src/reconciliation/agent_liveness.cpp
@@ -7,7 +7,7 @@
 namespace oxbowmill::reconciliation {
 
 namespace {
-constexpr double max_evidence = 50;  // suspicions that are remembered
+constexpr double max_evidence = 50;  // weight of all remembered suspicions
 constexpr double min_return_probability = 0.05;
 }  // namespace
 
@@ -18,20 +18,30 @@
   return names[static_cast<int>(liveness)];
 }
 
-void SuspicionStatistics::add_evidence(double back, double gone) {
+bool is_doubted(AgentLiveness liveness) {
+  return liveness == AgentLiveness::suspected || liveness == AgentLiveness::marked_for_deletion;
+}
+
+bool has_reported(AgentLiveness liveness) {
+  return liveness == AgentLiveness::reported || liveness == AgentLiveness::mismatched ||
+         liveness == AgentLiveness::reconciled;
+}
+
+void SuspicionStatistics::add_evidence(double returned, double lost) {
   double keep = returned_weight_ + lost_weight_ + 1 > max_evidence
                     ? (max_evidence - 1) / (returned_weight_ + lost_weight_)
                     : 1;
-  returned_weight_ = keep * returned_weight_ + back;
-  lost_weight_ = keep * lost_weight_ + gone;
+  returned_weight_ = keep * returned_weight_ + returned;
+  lost_weight_ = keep * lost_weight_ + lost;
 }
 
 double SuspicionStatistics::return_probability() const {
-  // Before anything was seen, three of four troubles are taken to pass: a deletion that was wrong is a loss
-  // for certain, one that comes late only a delay.
-  constexpr double passed = 3, stayed = 1;
-  return std::max(min_return_probability,
-                  (returned_weight_ + passed) / (returned_weight_ + lost_weight_ + passed + stayed));
+  // Without evidence, three of four suspects are expected back: a wrong deletion is a certain loss, a late
+  // one only a delay.
+  constexpr double prior_returns = 3, prior_losses = 1;
+  return std::max(
+      min_return_probability,
+      (returned_weight_ + prior_returns) / (returned_weight_ + lost_weight_ + prior_returns + prior_losses));
 }
 
 Seconds suspicion_threshold(const std::vector<double>& first_report_delays_s, std::uint32_t expected,
@@ -47,11 +57,28 @@
   return experience.return_probability() * rest_s / (rest_s + std::max(0.0, silent_s));
 }
 
+namespace {
+
+/// Machine-seconds of a task's progress, per machine of its size, that are lost with the machine if it lives.
+double progress_at_risk_s(const ClusterState& model, const Machine& machine, const Job& job,
+                          const Placement& placement, Seconds now) {
+  // A service has no progress to lose, but a replica that is up, until another has fetched its image.
+  if (job.spec.shape == JobShape::service)
+    return model.settings.report_interval_s +
+           fetch_time(job.spec, model.catalog.at(machine.record.type.value));
+  double ran = now - placement.started_at;
+  // Half an interval on average since the last checkpoint.
+  return job.spec.checkpoint_interval_s > 0 ? job.spec.checkpoint_interval_s / 2
+                                            : std::max(ran, job.spec.estimate_s / 2);
+}
+
+}  // namespace
+
 DeletionTradeoff deletion_tradeoff(const ClusterState& model, MachineIndex machine_index, Seconds proof_at,
                                    double chance_of_return, Seconds now) {
   const Machine& machine = model.machine(machine_index);
   double waiting = 0;  // machines' worth of work that stands still until the proof
-  double at_risk = 0;  // machine-seconds of progress that go if it is alive
+  double at_risk = 0;  // machine-seconds of progress that are lost if the machine is alive
   for (TaskId id : machine.placed_tasks) {
     const Job* job = model.live_job(id.job);
     const Placement* placement = model.find_placement(id);
@@ -59,31 +86,20 @@
     double size = job->machine_fraction;
     bool broken = false;
     if (job->spec.shape == JobShape::gang) {
-      // The whole gang waits for its last member. Another member's word that it has lost its peers is the
-      // second witness, and then there is no progress left that the machine could hold.
+      // The whole gang waits for its last member. Another member's report that it has lost its peers is
+      // independent evidence, and then the machine holds no progress that could be lost.
       size *= job->spec.tasks;
       broken = job->broken_attempt == placement->attempt;
     }
     waiting += size;
-    if (broken) continue;
-    if (job->spec.shape == JobShape::service) {
-      // No progress to lose, but a replica that is up, until another has its image.
-      at_risk += size * (model.settings.report_interval_s +
-                         fetch_time(job->spec, model.catalog.at(machine.record.type.value)));
-      continue;
-    }
-    double ran = now - placement->started_at;
-    // Half an interval on average since the last checkpoint.
-    double unsaved = job->spec.checkpoint_interval_s > 0 ? job->spec.checkpoint_interval_s / 2
-                                                         : std::max(ran, job->spec.estimate_s / 2);
-    at_risk += size * unsaved;
+    if (!broken) at_risk += size * progress_at_risk_s(model, machine, *job, *placement, now);
   }
   double boot =
       machine.record.type.value < model.catalog.size() ? model.catalog[machine.record.type.value].boot_s : 0;
-  DeletionTradeoff s;
-  s.gain = (1 - chance_of_return) * waiting * std::max(0.0, proof_at - now);
-  s.loss = chance_of_return * (boot + at_risk);
-  return s;
+  DeletionTradeoff tradeoff;
+  tradeoff.gain = (1 - chance_of_return) * waiting * std::max(0.0, proof_at - now);
+  tradeoff.loss = chance_of_return * (boot + at_risk);
+  return tradeoff;
 }
 
 }  // namespace oxbowmill::reconciliation
--- a/src/reconciliation/difference.cpp
+++ b/src/reconciliation/difference.cpp
@@ -28,73 +28,91 @@
 namespace {
 
 const TaskReport* find_task_report(const WorkerReport& report, const std::string& ref, TaskNumber task) {
-  auto t = std::find_if(report.tasks.begin(), report.tasks.end(),
-                        [&](const TaskReport& x) { return x.task == task && x.job == ref; });
-  return t == report.tasks.end() ? nullptr : &*t;
+  auto found = std::find_if(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task_report) {
+    return task_report.task == task && task_report.job == ref;
+  });
+  return found == report.tasks.end() ? nullptr : &*found;
 }
 
 /// Another member of this placement's attempt may still be there.
 bool has_peers(const Job& job, const Placement& placement) {
   return std::any_of(job.placements.begin(), job.placements.end(), [&placement](const auto& other) {
-    const Placement& o = other.second;
-    return o.task != placement.task && o.attempt == placement.attempt && !is_off_machine(o.state);
+    const Placement& peer = other.second;
+    return peer.task != placement.task && peer.attempt == placement.attempt && !is_off_machine(peer.state);
   });
 }
 
+/// A placement that an earlier owner made, against what the agent reports of it (null: nothing).
+void compare_placement(const Job& job, const Placement& placement, const TaskReport* task_report,
+                       Differences& differences) {
+  bool gang = job.spec.shape == JobShape::gang;
+  if (task_report == nullptr) {
+    differences.add(Difference::not_reported);
+    if (gang && has_peers(job, placement)) differences.add(Difference::gang_broken);
+  } else if (task_report->attempt != placement.attempt) {
+    differences.add(Difference::other_attempt);
+  } else if (task_report->phase == TaskPhase::ended) {
+    differences.add(Difference::ended_unreported);
+    if (gang && task_report->cause != EndCause::done && has_peers(job, placement))
+      differences.add(Difference::gang_broken);
+  }
+}
+
+/// All placements on the machine that an earlier owner made.
+void compare_placements(const ClusterState& model, const Machine& machine, const WorkerReport& report,
+                        Differences& differences) {
+  for (TaskId id : machine.placed_tasks) {
+    const Job* job = model.known_job(id.job);
+    const Placement* placement = model.find_placement(id);
+    // What this owner placed itself is not a difference but a command under way.
+    if (job == nullptr || placement == nullptr || is_off_machine(placement->state) || !placement->inherited)
+      continue;
+    compare_placement(*job, *placement, find_task_report(report, job->spec.ref, id.task), differences);
+  }
+}
+
+/// A reported task, against where it is placed.
+void compare_reported_task(const ClusterState& model, MachineIndex machine_index,
+                           const TaskReport& task_report, Differences& differences) {
+  JobIndex job_index = model.find_job(task_report.job);
+  const Job* job = job_index.valid() ? model.known_job(job_index) : nullptr;
+  const Placement* placement = job == nullptr ? nullptr : model.find_placement({job_index, task_report.task});
+  bool here = placement != nullptr && placement->machine == machine_index;
+  if (task_report.phase == TaskPhase::ended) {
+    if (!here) differences.add(Difference::uncleared_task);
+    return;
+  }
+  if (job == nullptr || job->is_final()) {
+    differences.add(Difference::job_finished);
+  } else if (placement == nullptr) {
+    differences.add(Difference::not_placed);
+  } else if (!here) {
+    differences.add(Difference::placed_elsewhere);
+  }
+}
+
 }  // namespace
 
 ReportValidity check_validity(const ClusterState& model, bool owned, MachineIndex machine_index,
                               const WorkerReport& report) {
   if (!machine_index.valid()) return ReportValidity::unregistered;
   if (!owned) return ReportValidity::not_owned;
-  const Machine& m = model.machine(machine_index);
-  if (report.fencing_token > model.fencing_token(m)) return ReportValidity::higher_token;
-  if (std::tie(report.agent_epoch, report.report_sequence) <= std::tie(m.agent_epoch, m.report_sequence))
+  const Machine& machine = model.machine(machine_index);
+  if (report.fencing_token > model.fencing_token(machine)) return ReportValidity::higher_token;
+  if (std::tie(report.agent_epoch, report.report_sequence) <=
+      std::tie(machine.agent_epoch, machine.report_sequence))
     return ReportValidity::stale;
   return ReportValidity::valid;
 }
 
 Differences compare(const ClusterState& model, MachineIndex machine_index, const WorkerReport& report) {
   Differences differences;
-  const Machine& m = model.machine(machine_index);
-  if (m.record.market.valid()) differences.add(Difference::market_managed);
-  if (report.fencing_token < model.lowest_fencing_token(m)) differences.add(Difference::stale_token);
-  for (TaskId id : m.placed_tasks) {
-    const Job* job = model.known_job(id.job);
-    const Placement* placement = model.find_placement(id);
-    // What this owner placed itself is not a difference but a command under way.
-    if (job == nullptr || placement == nullptr || is_off_machine(placement->state) || !placement->inherited)
-      continue;
-    const TaskReport* task_report = find_task_report(report, job->spec.ref, id.task);
-    bool gang = job->spec.shape == JobShape::gang;
-    if (task_report == nullptr) {
-      differences.add(Difference::not_reported);
-      if (gang && has_peers(*job, *placement)) differences.add(Difference::gang_broken);
-    } else if (task_report->attempt != placement->attempt) {
-      differences.add(Difference::other_attempt);
-    } else if (task_report->phase == TaskPhase::ended) {
-      differences.add(Difference::ended_unreported);
-      if (gang && task_report->cause != EndCause::done && has_peers(*job, *placement))
-        differences.add(Difference::gang_broken);
-    }
-  }
-  for (const TaskReport& task_report : report.tasks) {
-    JobIndex ji = model.find_job(task_report.job);
-    const Job* job = ji.valid() ? model.known_job(ji) : nullptr;
-    const Placement* placement = job == nullptr ? nullptr : model.find_placement({ji, task_report.task});
-    bool here = placement != nullptr && placement->machine == machine_index;
-    if (task_report.phase == TaskPhase::ended) {
-      if (!here) differences.add(Difference::uncleared_task);
-      continue;
-    }
-    if (job == nullptr || job->is_final()) {
-      differences.add(Difference::job_finished);
-    } else if (placement == nullptr) {
-      differences.add(Difference::not_placed);
-    } else if (!here) {
-      differences.add(Difference::placed_elsewhere);
-    }
-  }
+  const Machine& machine = model.machine(machine_index);
+  if (machine.record.market.valid()) differences.add(Difference::market_managed);
+  if (report.fencing_token < model.lowest_fencing_token(machine)) differences.add(Difference::stale_token);
+  compare_placements(model, machine, report, differences);
+  for (const TaskReport& task_report : report.tasks)
+    compare_reported_task(model, machine_index, task_report, differences);
   return differences;
 }
 
--- /dev/null
+++ b/src/reconciliation/zone_reports.cpp
@@ -0,0 +1,43 @@
+#include "oxbowmill/reconciliation/zone_reports.h"
+
+#include "oxbowmill/reconciliation/liveness_table.h"
+
+namespace oxbowmill::reconciliation {
+
+namespace {
+constexpr std::uint32_t min_reporting_machines = 4;  // due in a zone for it to be judged by its reports
+// Report intervals, and seconds besides, within which a machine that is up has reported.
+constexpr double max_report_intervals = 1.6, report_delay_s = 0.5;
+}  // namespace
+
+void ZoneReports::start(std::size_t zone_count, Seconds now) {
+  zones_.assign(zone_count, {});
+  for (Zone& zone : zones_) zone.silence_counted_from = now;
+}
+
+void ZoneReports::update(const ClusterState& state, const Scheduler& scheduler, const Settings& settings,
+                         PartitionIndex partition, PartitionPhase phase, Seconds now) {
+  zones_.resize(state.names.zones.size());
+  for (Zone& zone : zones_) zone.reports_due = zone.reported = 0;
+  const double recent_s = max_report_intervals * state.settings.report_interval_s + report_delay_s;
+  for (MachineIndex machine_index : state.machines_of(partition)) {
+    const Machine& machine = state.machine(machine_index);
+    if (may_be_silent(machine) || machine.state == MachineState::lease_expired) continue;
+    Zone& zone = zones_[machine.record.zone.value];
+    ++zone.reports_due;
+    zone.reported +=
+        machine.last_answered_report_at >= 0 && now - machine.last_answered_report_at < recent_s ? 1 : 0;
+  }
+  for (std::uint32_t i = 0; i < zones_.size(); ++i) {
+    Zone& zone = zones_[i];
+    zone.has_enough_reports = zone.reports_due >= min_reporting_machines &&
+                              zone.reported >= settings.reported_fraction * zone.reports_due;
+    // Where a zone as a whole is silent, no single machine of it is suspected. While first reports are
+    // awaited all machines have had the same time, so their silence counts from the takeover.
+    if ((!zone.has_enough_reports && phase != PartitionPhase::awaiting_reports) ||
+        scheduler.is_unreachable(ZoneIndex{i}, now))
+      zone.silence_counted_from = now;
+  }
+}
+
+}  // namespace oxbowmill::reconciliation
