--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -1,6 +1,8 @@
 #include "oxbowmill/client/client.h"
 
+#include <algorithm>
 #include <chrono>
+#include <optional>
 
 namespace oxbowmill::client {
 
@@ -8,13 +10,14 @@
 
 namespace {
 constexpr double poll_interval_s = 5, poll_timeout_s = 2, min_poll_interval_s = 0.05;
+constexpr double min_backoff_delay_s = 0.001;
 
 double now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-std::string describe(RequestOutcome v) {
-  switch (v) {
+std::string describe(RequestOutcome outcome) {
+  switch (outcome) {
     case RequestOutcome::ok:
       return "";
     case RequestOutcome::malformed:
@@ -29,25 +32,32 @@
   return "";
 }
 
+std::uint32_t read_count(const Json& body, const char* key) {
+  return body.contains(key) && body[key].is_number_unsigned() ? body[key].get<std::uint32_t>() : 0U;
+}
+
+bool has_text(const Json& body, const char* key) {
+  return body.contains(key) && body[key].is_string();
+}
+
+/// Nothing where the body has no id or phase.
+std::optional<JobStatus> read_status(const Json& body) {
+  if (!has_text(body, "ref") || !has_text(body, "phase")) return std::nullopt;
+  return JobStatus{body["ref"].get<std::string>(), body["phase"].get<std::string>(), read_count(body, "done"),
+                   read_count(body, "running")};
+}
+
 Reply read_reply(const net::Response& http_response) {
   Reply reply;
   reply.outcome = outcome_of(http_response.status);
   reply.reason = describe(reply.outcome);
   auto body = wire::decode_map(http_response.body);
   if (reply.outcome == RequestOutcome::ok) {
-    // A 200 that cannot be read is no answer.
-    bool good = body && body->contains("ref") && (*body)["ref"].is_string() && body->contains("phase") &&
-                (*body)["phase"].is_string();
-    if (!good) return Reply{RequestOutcome::retry, {}, "an answer that cannot be read", 0, false};
-    reply.status.ref = (*body)["ref"].get<std::string>();
-    reply.status.phase = (*body)["phase"].get<std::string>();
-    auto count = [&](const char* key) {
-      return body->contains(key) && (*body)[key].is_number_unsigned() ? (*body)[key].get<std::uint32_t>()
-                                                                      : 0U;
-    };
-    reply.status.done = count("done");
-    reply.status.running = count("running");
-  } else if (body && body->contains("error") && (*body)["error"].is_string()) {
+    std::optional<JobStatus> status = body ? read_status(*body) : std::nullopt;
+    // A success that cannot be read proves nothing about the job.
+    if (!status) return Reply{RequestOutcome::retry, {}, "an answer that cannot be read", 0, false};
+    reply.status = std::move(*status);
+  } else if (body && has_text(*body, "error")) {
     reply.reason += ": " + (*body)["error"].get<std::string>();
   }
   return reply;
@@ -64,10 +74,10 @@
   net::Timer timer;
 };
 
-AsyncClient::AsyncClient(event_base* base, std::vector<net::Address> nodes, RetryPolicy patience)
+AsyncClient::AsyncClient(event_base* base, std::vector<net::Address> controllers, RetryPolicy policy)
     : base_(base),
-      controllers_(std::move(nodes)),
-      retry_policy_(patience),
+      controllers_(std::move(controllers)),
+      retry_policy_(policy),
       cleanup_timer_(base, [this] { finished_.clear(); }),
       alive_(std::make_shared<bool>(true)) {}
 
@@ -75,7 +85,7 @@
   *alive_ = false;
 }
 
-void AsyncClient::start(evhttp_cmd_type method, std::string path, std::string body, RetryPolicy patience,
+void AsyncClient::start(evhttp_cmd_type method, std::string path, std::string body, RetryPolicy policy,
                         ReplyHandler on_reply) {
   std::uint64_t id = ++next_id_;
   auto request = std::unique_ptr<Request>(
@@ -84,7 +94,7 @@
                   std::move(path),
                   std::move(body),
                   std::move(on_reply),
-                  RequestRetrier(controllers_.size(), patience, std::random_device{}(), now()),
+                  RequestRetrier(controllers_.size(), policy, std::random_device{}(), now()),
                   {},
                   net::Timer(base_, [this, id] {
                     auto it = requests_.find(id);
@@ -94,53 +104,58 @@
                   })});
   Request& started = *request;
   requests_[id] = std::move(request);
-  // Not before the caller has its thread back.
+  // Handlers must not be called from inside the call that they were given to.
   started.timer.schedule(0);
 }
 
 void AsyncClient::advance(Request& request) {
   double current_time = now();
   switch (request.retrier.state()) {
-    case AttemptState::ready: {
-      double within = request.retrier.response_timeout(current_time);
-      std::size_t node = request.retrier.controller();
-      request.retrier.on_sent(current_time);
-      net::send_once(base_, controllers_[node], request.method, request.path, request.body, within,
-                     [this, id = request.id, alive = alive_](const net::Response& http_response) {
-                       if (!*alive) return;
-                       auto it = requests_.find(id);
-                       if (it == requests_.end()) return;
-                       Request& pending_request = *it->second;
-                       pending_request.last_reply = read_reply(http_response);
-                       int status = pending_request.last_reply.outcome == RequestOutcome::retry &&
-                                            http_response.status == 200
-                                        ? 0
-                                        : http_response.status;
-                       pending_request.retrier.on_response(status, http_response.retry_after_s, now());
-                       pending_request.timer.schedule(0);
-                     });
-      return;
-    }
+    case AttemptState::ready:
+      return send(request, current_time);
     case AttemptState::sent:
       return;
     case AttemptState::backing_off:
-      request.timer.schedule(std::max(0.001, request.retrier.next_attempt_at() - current_time));
+      request.timer.schedule(std::max(min_backoff_delay_s, request.retrier.next_attempt_at() - current_time));
       return;
     case AttemptState::answered:
       return finish(request, request.last_reply);
-    case AttemptState::gave_up: {
-      Reply o = request.last_reply;
-      o.outcome = RequestOutcome::retry;
-      if (o.reason.empty()) o.reason = describe(RequestOutcome::retry);
-      return finish(request, std::move(o));
-    }
+    case AttemptState::gave_up:
+      return give_up(request);
   }
 }
 
+void AsyncClient::send(Request& request, double current_time) {
+  double timeout = request.retrier.response_timeout(current_time);
+  std::size_t controller = request.retrier.controller();
+  request.retrier.on_sent(current_time);
+  net::send_once(base_, controllers_[controller], request.method, request.path, request.body, timeout,
+                 [this, id = request.id, alive = alive_](const net::Response& http_response) {
+                   if (*alive) on_response(id, http_response);
+                 });
+}
+
+void AsyncClient::on_response(std::uint64_t id, const net::Response& http_response) {
+  auto it = requests_.find(id);
+  if (it == requests_.end()) return;
+  Request& request = *it->second;
+  request.last_reply = read_reply(http_response);
+  bool unreadable = request.last_reply.outcome == RequestOutcome::retry && http_response.status == 200;
+  request.retrier.on_response(unreadable ? 0 : http_response.status, http_response.retry_after_s, now());
+  request.timer.schedule(0);
+}
+
+void AsyncClient::give_up(Request& request) {
+  Reply reply = request.last_reply;
+  reply.outcome = RequestOutcome::retry;
+  if (reply.reason.empty()) reply.reason = describe(RequestOutcome::retry);
+  finish(request, std::move(reply));
+}
+
 void AsyncClient::finish(Request& request, Reply reply) {
   reply.attempts = request.retrier.attempts();
   ReplyHandler on_reply = std::move(request.on_reply);
-  // Its timer is what called us: it goes when that has returned.
+  // The caller is the request's own timer, which must not be destroyed inside its callback.
   auto it = requests_.find(request.id);
   finished_.push_back(std::move(it->second));
   requests_.erase(it);
@@ -153,9 +168,9 @@
 }
 
 void AsyncClient::poll(const std::string& ref, ReplyHandler on_reply) {
-  RetryPolicy p = retry_policy_;
-  p.response_timeout_s = std::min(p.response_timeout_s, poll_timeout_s);
-  start(EVHTTP_REQ_GET, "/submissions/" + ref, "", p, std::move(on_reply));
+  RetryPolicy policy = retry_policy_;
+  policy.response_timeout_s = std::min(policy.response_timeout_s, poll_timeout_s);
+  start(EVHTTP_REQ_GET, "/submissions/" + ref, "", policy, std::move(on_reply));
 }
 
 void AsyncClient::withdraw(const std::string& ref, ReplyHandler on_reply) {
@@ -179,52 +194,55 @@
 }
 
 void AsyncClient::poll_again(std::uint64_t id) {
-  poll(waits_.at(id)->ref, [this, id](const Reply& reply) {
-    auto it = waits_.find(id);
-    PendingWait& pending_wait = *it->second;
-    bool over = reply.outcome == RequestOutcome::ok ? reply.status.is_final() : !is_retryable(reply.outcome);
-    double left = pending_wait.deadline - now();
-    if (!over && left > 0) {
-      if (pending_wait.on_progress && reply.outcome == RequestOutcome::ok) pending_wait.on_progress(reply);
-      pending_wait.timer.schedule(std::min(poll_interval_s, std::max(min_poll_interval_s, left)));
-      return;
-    }
-    Reply last = reply;
-    if (!over) {
-      last.outcome = RequestOutcome::retry;
-      last.reason = "not over in time";
-      last.timed_out = true;
-    }
-    ReplyHandler fn = std::move(pending_wait.on_done);
-    waits_.erase(it);
-    fn(last);
-  });
+  poll(waits_.at(id)->ref, [this, id](const Reply& reply) { on_poll_reply(id, reply); });
+}
+
+void AsyncClient::on_poll_reply(std::uint64_t id, const Reply& reply) {
+  auto it = waits_.find(id);
+  PendingWait& pending_wait = *it->second;
+  bool over = reply.outcome == RequestOutcome::ok ? reply.status.is_final() : !is_retryable(reply.outcome);
+  double left = pending_wait.deadline - now();
+  if (!over && left > 0) {
+    if (pending_wait.on_progress && reply.outcome == RequestOutcome::ok) pending_wait.on_progress(reply);
+    pending_wait.timer.schedule(std::min(poll_interval_s, std::max(min_poll_interval_s, left)));
+    return;
+  }
+  Reply last = reply;
+  if (!over) {
+    last.outcome = RequestOutcome::retry;
+    last.reason = "not over in time";
+    last.timed_out = true;
+  }
+  ReplyHandler on_done = std::move(pending_wait.on_done);
+  waits_.erase(it);
+  on_done(last);
 }
 
 Reply Client::run(const std::function<void(AsyncClient&, ReplyHandler)>& call) const {
   auto base = net::make_event_base();
-  Reply out;
+  Reply result;
   AsyncClient async(base.get(), controllers_, retry_policy_);
   call(async, [&](const Reply& reply) {
-    out = reply;
+    result = reply;
     event_base_loopbreak(base.get());
   });
   event_base_dispatch(base.get());
-  return out;
+  return result;
 }
 
 Reply Client::submit(const Json& job) const {
-  return run([&](AsyncClient& c, ReplyHandler on_reply) { c.submit(job, std::move(on_reply)); });
+  return run([&](AsyncClient& async, ReplyHandler on_reply) { async.submit(job, std::move(on_reply)); });
 }
 Reply Client::poll(const std::string& ref) const {
-  return run([&](AsyncClient& c, ReplyHandler on_reply) { c.poll(ref, std::move(on_reply)); });
+  return run([&](AsyncClient& async, ReplyHandler on_reply) { async.poll(ref, std::move(on_reply)); });
 }
 Reply Client::withdraw(const std::string& ref) const {
-  return run([&](AsyncClient& c, ReplyHandler on_reply) { c.withdraw(ref, std::move(on_reply)); });
+  return run([&](AsyncClient& async, ReplyHandler on_reply) { async.withdraw(ref, std::move(on_reply)); });
 }
 Reply Client::wait(const std::string& ref, double within_s, const ReplyHandler& progress) const {
-  return run(
-      [&](AsyncClient& c, ReplyHandler on_reply) { c.wait(ref, within_s, progress, std::move(on_reply)); });
+  return run([&](AsyncClient& async, ReplyHandler on_reply) {
+    async.wait(ref, within_s, progress, std::move(on_reply));
+  });
 }
 
 }  // namespace oxbowmill::client
--- a/src/client/request_retrier.cpp
+++ b/src/client/request_retrier.cpp
@@ -5,9 +5,14 @@
 
 namespace oxbowmill::client {
 
-const char* name_of(AttemptState s) {
+namespace {
+constexpr double min_response_timeout_s = 0.1;
+constexpr int max_doublings = 10;
+}  // namespace
+
+const char* name_of(AttemptState state) {
   static constexpr const char* names[] = {"ready", "sent", "backing_off", "answered", "gave_up"};
-  return names[static_cast<int>(s)];
+  return names[static_cast<int>(state)];
 }
 
 RequestOutcome outcome_of(int status) {
@@ -26,22 +31,21 @@
   }
 }
 
-RequestRetrier::RequestRetrier(std::size_t nodes, RetryPolicy patience, std::uint64_t seed, double now)
-    : policy_(patience),
-      controller_count_(std::max<std::size_t>(nodes, 1)),
+// The random first controller spreads clients that start together.
+RequestRetrier::RequestRetrier(std::size_t controllers, RetryPolicy policy, std::uint64_t seed, double now)
+    : policy_(policy),
+      controller_count_(std::max<std::size_t>(controllers, 1)),
       random_(seed),
       controller_(random_() % controller_count_),
-      deadline_(now + patience.total_timeout_s) {
-  // Clients that start together spread over the nodes.
-}
+      deadline_(now + policy.total_timeout_s) {}
 
-void RequestRetrier::set_state(AttemptState s) {
+void RequestRetrier::set_state(AttemptState state) {
   bool over = state_ == AttemptState::answered || state_ == AttemptState::gave_up;
-  if (!over) state_ = s;
+  if (!over) state_ = state;
 }
 
 double RequestRetrier::response_timeout(double now) const {
-  return std::max(0.1, std::min(policy_.response_timeout_s, deadline_ - now));
+  return std::max(min_response_timeout_s, std::min(policy_.response_timeout_s, deadline_ - now));
 }
 
 void RequestRetrier::on_sent(double) {
@@ -55,18 +59,22 @@
   if (outcome_of(status) != RequestOutcome::retry) return set_state(AttemptState::answered);
   controller_ = (controller_ + 1) % controller_count_;
   if (status == 0 && ++unresponsive_in_a_row_ < controller_count_ && now < deadline_) {
-    // A node that is gone says nothing of the others: they are asked at once, each once.
+    // One unresponsive controller does not imply the others are: each is tried once without backoff.
     return set_state(AttemptState::ready);
   }
   if (status != 0 || unresponsive_in_a_row_ >= controller_count_) unresponsive_in_a_row_ = 0;
-  // Doubling, with jitter so that clients that were refused together do not come back together; never before
-  // the node's own word, which is taken up to the longest pause.
-  double most =
-      std::min(policy_.max_backoff_s, policy_.initial_backoff_s * std::exp2(std::min(backoffs_++, 10)));
-  double pause = std::uniform_real_distribution<>(std::min(policy_.initial_backoff_s, most),
-                                                  std::max(most, policy_.initial_backoff_s))(random_);
-  pause = std::max(pause, std::min(retry_after_s, policy_.max_backoff_s));
-  next_attempt_at_ = now + pause;
+  back_off(retry_after_s, now);
+}
+
+void RequestRetrier::back_off(double retry_after_s, double now) {
+  // Exponential, with jitter so that clients that were refused together do not return together; not before
+  // the time that the controller asked for, which counts up to the longest backoff.
+  double longest = std::min(policy_.max_backoff_s,
+                            policy_.initial_backoff_s * std::exp2(std::min(backoffs_++, max_doublings)));
+  double backoff = std::uniform_real_distribution<>(std::min(policy_.initial_backoff_s, longest),
+                                                    std::max(longest, policy_.initial_backoff_s))(random_);
+  backoff = std::max(backoff, std::min(retry_after_s, policy_.max_backoff_s));
+  next_attempt_at_ = now + backoff;
   set_state(next_attempt_at_ < deadline_ ? AttemptState::backing_off : AttemptState::gave_up);
 }
 
