--- a/app/main.cpp
+++ b/app/main.cpp
@@ -6,13 +6,17 @@
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdlib>
+#include <iostream>
+#include <memory>
+#include <optional>
 
 #include "oxbowmill/service/controller.h"
 #include "oxbowmill/version.h"
 
 namespace {
 
-constexpr int bad_usage = 2;
+// Exit statuses.
+constexpr int failed = 1, bad_usage = 2;
 
 void configure_logging() {
   spdlog::set_default_logger(spdlog::stderr_logger_st("oxbowmill"));
@@ -21,68 +25,98 @@
   spdlog::set_pattern("%l %v");
 }
 
-/// The calendar is read again on SIGHUP; one that cannot be read leaves the old one in force.
-struct CalendarReload {
-  oxbowmill::service::Controller* controller = nullptr;
-  const std::vector<std::string>& files;
-  void reload() const {
-    try {
-      controller->load_calendar(oxbowmill::config::load_calendar(files));
-    } catch (const std::exception& e) {
-      SPDLOG_ERROR("calendar not read again: {}", e.what());
-    }
-  }
+struct Arguments {
+  std::string config_file;
+  std::vector<std::string> operator_files;
+  bool check = false;  ///< only check the settings
 };
 
-}  // namespace
-
-int main(int argc, char** argv) {
-  configure_logging();
+/// The exit status where the program has to end now: help, version or arguments that are not understood.
+std::optional<int> parse_arguments(int argc, char** argv, Arguments& arguments) {
   CLI::App app{"oxbowmill, a cluster scheduler: runs one controller"};
-  std::string config_file;
-  std::vector<std::string> operator_files;
-  bool check = false;
-  app.add_option("--config", config_file, "the platform's settings (TOML)")->required();
-  app.add_option("--operator", operator_files, "operators' settings (YAML); several files add to each other")
+  app.add_option("--config", arguments.config_file, "the platform's settings (TOML)")->required();
+  app.add_option("--operator", arguments.operator_files,
+                 "operators' settings (YAML); several files add to each other")
       ->allow_extra_args(false);
-  app.add_flag("--check", check, "check the settings and exit");
+  app.add_flag("--check", arguments.check, "check the settings and exit");
   app.set_version_flag("--version", std::string("oxbowmill ") + oxbowmill::version);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::Success& e) {
-    return app.exit(e);
-  } catch (const CLI::ParseError& e) {
-    std::cerr << "oxbowmill: " << e.what() << '\n';
+  } catch (const CLI::Success& success) {
+    return app.exit(success);
+  } catch (const CLI::ParseError& error) {
+    std::cerr << "oxbowmill: " << error.what() << '\n';
     return bad_usage;
   }
-  oxbowmill::config::Config config;
+  return std::nullopt;
+}
+
+/// Nothing, and the reason on stderr, where the settings cannot be used.
+std::optional<oxbowmill::config::Config> load_settings(const Arguments& arguments) {
   try {
-    config = oxbowmill::config::load(config_file, operator_files);
-  } catch (const std::exception& e) {
-    std::cerr << "oxbowmill: " << e.what() << '\n';
-    return bad_usage;
+    return oxbowmill::config::load(arguments.config_file, arguments.operator_files);
+  } catch (const std::exception& error) {
+    std::cerr << "oxbowmill: " << error.what() << '\n';
+    return std::nullopt;
   }
-  if (check) {
-    std::cout << "settings are valid\n";
-    return 0;
+}
+
+/// Loads the calendar again on SIGHUP; one that cannot be read leaves the previous one in force.
+struct CalendarReload {
+  oxbowmill::service::Controller* controller = nullptr;
+  const std::vector<std::string>& files;
+  void reload() const {
+    try {
+      controller->load_calendar(oxbowmill::config::load_calendar(files));
+    } catch (const std::exception& error) {
+      SPDLOG_ERROR("calendar not read again: {}", error.what());
+    }
   }
+};
+
+using Signal = std::unique_ptr<event, void (*)(event*)>;
+
+/// `reload` must outlive the signal.
+Signal reload_on_hangup(event_base* base, CalendarReload& reload) {
+  Signal hangup(
+      evsignal_new(
+          base, SIGHUP,
+          [](evutil_socket_t, short, void* target) { static_cast<CalendarReload*>(target)->reload(); },
+          &reload),
+      event_free);
+  event_add(hangup.get(), nullptr);
+  return hangup;
+}
+
+/// Runs the event loop until it ends; returns the exit status.
+int run_controller(oxbowmill::config::Config config, const std::vector<std::string>& operator_files) {
   try {
     auto base = oxbowmill::net::make_event_base();
-    // Before the log says that it listens: a signal that came sooner ended the controller. It is read once
-    // the loop runs, and by then there is a node.
+    // The handler is installed before the log says that the controller listens: without it a signal sent at
+    // once would end the program. It runs only inside the loop, when the controller exists.
     CalendarReload reload{nullptr, operator_files};
-    std::unique_ptr<event, void (*)(event*)> hangup(
-        evsignal_new(
-            base.get(), SIGHUP,
-            [](evutil_socket_t, short, void* r) { static_cast<CalendarReload*>(r)->reload(); }, &reload),
-        event_free);
-    event_add(hangup.get(), nullptr);
-    oxbowmill::service::Controller node(base.get(), std::move(config));
-    reload.controller = &node;
+    Signal hangup = reload_on_hangup(base.get(), reload);
+    oxbowmill::service::Controller controller(base.get(), std::move(config));
+    reload.controller = &controller;
     event_base_dispatch(base.get());
-  } catch (const std::exception& e) {
-    SPDLOG_ERROR("cannot run: {}", e.what());
-    return 1;
+  } catch (const std::exception& error) {
+    SPDLOG_ERROR("cannot run: {}", error.what());
+    return failed;
   }
   return 0;
 }
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  configure_logging();
+  Arguments arguments;
+  if (auto exit_status = parse_arguments(argc, argv, arguments)) return *exit_status;
+  auto config = load_settings(arguments);
+  if (!config) return bad_usage;
+  if (arguments.check) {
+    std::cout << "settings are valid\n";
+    return 0;
+  }
+  return run_controller(std::move(*config), arguments.operator_files);
+}
--- a/app/oxbowctl.cpp
+++ b/app/oxbowctl.cpp
@@ -1,4 +1,4 @@
-// The users' command line: submit, ask, wait and withdraw.
+// The users' command line: submit a job, read its status, wait for it, withdraw it.
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
@@ -7,6 +7,7 @@
 #include <iostream>
 
 #include "oxbowmill/client/client.h"
+#include "oxbowmill/error.h"
 #include "oxbowmill/version.h"
 #include "oxbowmill/yaml/map.h"
 
@@ -17,7 +18,7 @@
 using client::RequestOutcome;
 using wire::Json;
 
-// Exit codes, as docs/clients.md says.
+/// Exit statuses, as docs/clients.md lists them.
 enum ExitCode {
   ok = 0,
   cancelled = 1,
@@ -43,23 +44,46 @@
   return ExitCode::unavailable;
 }
 
+/// An argument that cannot be used.
+class ArgumentError : public Error {
+ public:
+  using Error::Error;
+  ArgumentError(const std::string& name, const std::string& reason) : Error(name + ": " + reason) {}
+};
+
+/// A job file that cannot be used; `key` is the field where it is wrong.
+class JobFileError : public Error {
+ public:
+  JobFileError(const std::string& file, const std::string& reason) : Error(file + ": " + reason) {}
+  JobFileError(const std::string& file, const std::string& key, const std::string& reason)
+      : Error(file + ": " + key + ": " + reason) {}
+};
+
+/// The protocol has no field of this name.
+class UnknownFieldError : public Error {
+ public:
+  UnknownFieldError() : Error("unknown field") {}
+};
+
+constexpr const char* wrong_kind = "not of the right kind";
+
 std::vector<net::Address> addresses(const std::string& list) {
-  std::vector<net::Address> out;
+  std::vector<net::Address> controllers;
   std::stringstream in(list);
-  for (std::string one; std::getline(in, one, ',');) out.push_back(net::parse_address(one));
-  if (out.empty())
-    throw std::invalid_argument("no node: name some with --nodes, OXBOW_NODES or the config file");
-  return out;
+  for (std::string one; std::getline(in, one, ',');) controllers.push_back(net::parse_address(one));
+  if (controllers.empty())
+    throw ArgumentError("no node: name some with --nodes, OXBOW_NODES or the config file");
+  return controllers;
 }
 
-/// The kind of value that the protocol wants of each field of a job file.
+/// Converts to the type that the protocol wants of each field. Throws UnknownFieldError or YAML::Exception.
 Json value_of(const std::string& key, const YAML::Node& yaml_node) {
   static const std::set<std::string> texts = {"ref", "jobclass", "owner", "shape", "rank", "bundle", "yard"};
   static const std::set<std::string> flags = {"same_place", "scatter", "loaners"};
   static const std::set<std::string> numbers = {"vcpus",     "accelerators", "memory_gb", "size_gb",
                                                 "runtime_s", "save_every_s", "flush_s",   "due_s"};
   if (key != "shards" && key != "rigs" && texts.count(key) + flags.count(key) + numbers.count(key) == 0)
-    throw std::invalid_argument("unknown field");
+    throw UnknownFieldError();
   if (yaml_node.IsNull()) return nullptr;
   if (key == "shards") return yaml_node.as<std::uint32_t>();
   if (key == "rigs") return yaml_node.as<std::vector<std::string>>();
@@ -70,15 +94,15 @@
 
 void read_job(const std::string& file, Json& job) {
   YAML::Node root = yaml::load(file);
-  if (!root.IsMap()) throw std::invalid_argument(file + ": not a map of fields");
-  for (const auto& e : root) {
-    auto key = e.first.as<std::string>();
+  if (!root.IsMap()) throw JobFileError(file, "not a map of fields");
+  for (const auto& field : root) {
+    auto key = field.first.as<std::string>();
     try {
-      job[key] = value_of(key, e.second);
+      job[key] = value_of(key, field.second);
     } catch (const YAML::Exception&) {
-      throw std::invalid_argument(file + ": " + key + ": not of the right kind");
-    } catch (const std::invalid_argument& why) {
-      throw std::invalid_argument(file + ": " + key + ": " + why.what());
+      throw JobFileError(file, key, wrong_kind);
+    } catch (const UnknownFieldError& error) {
+      throw JobFileError(file, key, error.what());
     }
   }
 }
@@ -103,79 +127,141 @@
   }
 }
 
+/// The fields of a job that the user leaves out.
+Json default_job() {
+  return {{"jobclass", "default"}, {"shape", "batch"},    {"rank", "standard"}, {"shards", 1},
+          {"vcpus", 1.0},          {"accelerators", 0.0}, {"memory_gb", 1.0},   {"bundle", "none"},
+          {"size_gb", 0.0},        {"rigs", nullptr},     {"yard", nullptr},    {"same_place", false},
+          {"scatter", false},      {"loaners", false},    {"runtime_s", 0.0},   {"save_every_s", 0.0},
+          {"flush_s", 0.0},        {"due_s", nullptr}};
+}
+
+/// The arguments and what they were read into; the options point into it, so it is never moved.
+class CommandLine {
+ public:
+  CommandLine();
+  CommandLine(const CommandLine&) = delete;
+  CommandLine& operator=(const CommandLine&) = delete;
+
+  /// Exit status of the program. Throws CLI::ParseError for arguments that are not understood, Error for
+  /// others that cannot be used.
+  int run(int argc, char** argv);
+  /// Prints help, version or what is wrong; returns the exit status.
+  int report(const CLI::ParseError& error) const {
+    return app_.exit(error) == 0 ? 0 : static_cast<int>(ExitCode::bad_usage);
+  }
+
+ private:
+  void add_common_options();
+  void add_submit();
+  void add_job_commands();
+  Json job_to_submit() const;
+  Reply submit(const client::Client& client);
+  Reply wait(const client::Client& client) const;
+  Reply run_command(const client::Client& client);
+
+  CLI::App app_{"oxbowctl: submit jobs to oxbowmill and follow them"};
+  CLI::App *submit_ = nullptr, *status_ = nullptr, *wait_ = nullptr, *withdraw_ = nullptr;
+  std::string controllers_, owner_, job_file_, job_id_;
+  std::map<std::string, std::string> job_fields_;  // given as flags; empty where not given
+  client::RetryPolicy retry_policy_;
+  double wait_within_s_ = 3600;
+  bool as_json_ = false;
+};
+
+CommandLine::CommandLine() {
+  add_common_options();
+  add_submit();
+  add_job_commands();
+}
+
+void CommandLine::add_common_options() {
+  app_.require_subcommand(1);
+  app_.set_version_flag("--version", std::string("oxbowctl ") + version);
+  // A TOML file with the long options as keys. The environment has precedence over it, arguments over both.
+  app_.set_config("--config", std::getenv("OXBOW_CONFIG") != nullptr ? std::getenv("OXBOW_CONFIG") : "");
+  app_.add_option("--nodes", controllers_, "controllers, IPv4:port with commas between")
+      ->envname("OXBOW_NODES");
+  app_.add_option("--team", owner_, "team that a job belongs to, unless it says so")->envname("OXBOW_TEAM");
+  app_.add_option("--patience", retry_policy_.total_timeout_s, "seconds until a request is given up")
+      ->check(CLI::PositiveNumber);
+  app_.add_flag("--json", as_json_, "answers as JSON");
+}
+
+void CommandLine::add_submit() {
+  submit_ = app_.add_subcommand("submit", "submit a job: a YAML file of the protocol's fields, and flags");
+  submit_->add_option("file", job_file_, "job file");
+  for (const char* field :
+       {"ref", "jobclass", "shape", "rank", "shards", "vcpus", "accelerators", "memory_gb", "bundle",
+        "size_gb", "yard", "runtime_s", "due_s", "save_every_s", "flush_s"})
+    submit_->add_option("--" + std::string(field), job_fields_[field], "the field " + std::string(field));
+}
+
+void CommandLine::add_job_commands() {
+  status_ = app_.add_subcommand("status", "what became of a job");
+  wait_ = app_.add_subcommand("wait", "wait until a job is done or cancelled");
+  wait_->add_option("--within", wait_within_s_, "seconds")->check(CLI::PositiveNumber);
+  withdraw_ = app_.add_subcommand("withdraw", "cancel a job");
+  for (auto* command : {status_, wait_, withdraw_}) command->add_option("ref", job_id_, "job id")->required();
+}
+
+/// Flags have precedence over the file, the file over --team and the defaults.
+Json CommandLine::job_to_submit() const {
+  Json job = default_job();
+  if (!owner_.empty()) job["owner"] = owner_;
+  if (!job_file_.empty()) read_job(job_file_, job);
+  for (const auto& [key, text] : job_fields_) {
+    if (text.empty()) continue;
+    try {
+      job[key] = value_of(key, YAML::Load(text));
+    } catch (const std::exception&) {
+      throw ArgumentError("--" + key, wrong_kind);
+    }
+  }
+  for (const char* key : {"ref", "owner"}) {
+    if (!job.contains(key)) throw ArgumentError(key, "missing");
+  }
+  return job;
+}
+
+Reply CommandLine::submit(const client::Client& client) {
+  Json job = job_to_submit();
+  job_id_ = job["ref"].get<std::string>();
+  return client.submit(job);
+}
+
+Reply CommandLine::wait(const client::Client& client) const {
+  return client.wait(job_id_, wait_within_s_, [this](const Reply& progress) { print(progress, as_json_); });
+}
+
+Reply CommandLine::run_command(const client::Client& client) {
+  if (submit_->parsed()) return submit(client);
+  if (status_->parsed()) return client.poll(job_id_);
+  if (wait_->parsed()) return wait(client);
+  return client.withdraw(job_id_);
+}
+
+int CommandLine::run(int argc, char** argv) {
+  app_.parse(argc, argv);
+  Reply reply = run_command(client::Client(addresses(controllers_), retry_policy_));
+  if (reply.status.ref.empty()) reply.status.ref = job_id_;
+  print(reply, as_json_);
+  int code = exit_code_of(reply);
+  // Withdrawing is meant to cancel.
+  return withdraw_->parsed() && code == ExitCode::cancelled ? static_cast<int>(ExitCode::ok) : code;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
   spdlog::set_level(spdlog::level::off);
-  CLI::App app{"oxbowctl: submit jobs to oxbowmill and follow them"};
-  app.require_subcommand(1);
-  app.set_version_flag("--version", std::string("oxbowctl ") + version);
-  // A file in TOML's form, with the long options as keys; the environment goes before it, arguments before
-  // both.
-  app.set_config("--config", std::getenv("OXBOW_CONFIG") != nullptr ? std::getenv("OXBOW_CONFIG") : "");
-  std::string nodes, team, file, ref;
-  client::RetryPolicy patience;
-  bool as_json = false;
-  app.add_option("--nodes", nodes, "controllers, IPv4:port with commas between")->envname("OXBOW_NODES");
-  app.add_option("--team", team, "team that a job belongs to, unless it says so")->envname("OXBOW_TEAM");
-  app.add_option("--patience", patience.total_timeout_s, "seconds until a request is given up")
-      ->check(CLI::PositiveNumber);
-  app.add_flag("--json", as_json, "answers as JSON");
-
-  Json job = {{"jobclass", "default"}, {"shape", "batch"},    {"rank", "standard"}, {"shards", 1},
-              {"vcpus", 1.0},          {"accelerators", 0.0}, {"memory_gb", 1.0},   {"bundle", "none"},
-              {"size_gb", 0.0},        {"rigs", nullptr},     {"yard", nullptr},    {"same_place", false},
-              {"scatter", false},      {"loaners", false},    {"runtime_s", 0.0},   {"save_every_s", 0.0},
-              {"flush_s", 0.0},        {"due_s", nullptr}};
-  auto* submit =
-      app.add_subcommand("submit", "submit a job: a YAML file of the protocol's fields, and flags");
-  submit->add_option("file", file, "job file");
-  std::map<std::string, std::string> given;
-  for (const char* f : {"ref", "jobclass", "shape", "rank", "shards", "vcpus", "accelerators", "memory_gb",
-                        "bundle", "size_gb", "yard", "runtime_s", "due_s", "save_every_s", "flush_s"})
-    submit->add_option("--" + std::string(f), given[f], "the field " + std::string(f));
-  double within = 3600;
-  auto* status = app.add_subcommand("status", "what became of a job");
-  auto* wait = app.add_subcommand("wait", "wait until a job is done or cancelled");
-  wait->add_option("--within", within, "seconds")->check(CLI::PositiveNumber);
-  auto* withdraw = app.add_subcommand("withdraw", "cancel a job");
-  for (auto* s : {status, wait, withdraw}) s->add_option("ref", ref, "job id")->required();
+  CommandLine command_line;
   try {
-    app.parse(argc, argv);
-    client::Client c(addresses(nodes), patience);
-    Reply reply;
-    if (submit->parsed()) {
-      if (!team.empty()) job["owner"] = team;
-      if (!file.empty()) read_job(file, job);
-      for (const auto& [key, text] : given) {
-        if (text.empty()) continue;
-        try {
-          job[key] = value_of(key, YAML::Load(text));
-        } catch (const std::exception&) {
-          throw std::invalid_argument("--" + key + ": not of the right kind");
-        }
-      }
-      for (const char* key : {"ref", "owner"}) {
-        if (!job.contains(key)) throw std::invalid_argument(std::string(key) + ": missing");
-      }
-      ref = job["ref"].get<std::string>();
-      reply = c.submit(job);
-    } else if (status->parsed()) {
-      reply = c.poll(ref);
-    } else if (wait->parsed()) {
-      reply = c.wait(ref, within, [as_json](const Reply& p) { print(p, as_json); });
-    } else {
-      reply = c.withdraw(ref);
-    }
-    if (reply.status.ref.empty()) reply.status.ref = ref;
-    print(reply, as_json);
-    int code = exit_code_of(reply);
-    // Withdrawing is meant to cancel.
-    return withdraw->parsed() && code == ExitCode::cancelled ? static_cast<int>(ExitCode::ok) : code;
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : static_cast<int>(ExitCode::bad_usage);
-  } catch (const std::exception& e) {
-    std::cerr << "oxbowctl: " << e.what() << '\n';
+    return command_line.run(argc, argv);
+  } catch (const CLI::ParseError& error) {
+    return command_line.report(error);
+  } catch (const std::exception& error) {
+    std::cerr << "oxbowctl: " << error.what() << '\n';
     return ExitCode::bad_usage;
   }
 }
