--- a/src/scheduling/gangs.cpp
+++ b/src/scheduling/gangs.cpp
@@ -6,14 +6,14 @@
   if (job.placements.empty()) return GangState::idle;
   Attempt attempt = job.placements.begin()->second.attempt;
   bool unknown = false, running = false, leaving = false;
-  for (const auto& [t, placement] : job.placements) {
+  for (const auto& [task, placement] : job.placements) {
     if (placement.attempt != attempt) return GangState::stopping;
     unknown = unknown || placement.inherited;
     running = running || placement.phase == TaskPhase::running || placement.phase == TaskPhase::saving;
     leaving = leaving || placement.state == PlacementState::terminated ||
               placement.state == PlacementState::stopping;
   }
-  // All tasks of a gang run or none does, so one that runs speaks for all.
+  // All tasks of a gang run or none does, so one running task shows that all run.
   bool whole = job.placements.size() == job.spec.tasks && !leaving;
   if (running) return whole ? GangState::running : GangState::stopping;
   return unknown ? GangState::unknown : GangState::gathering;
@@ -21,10 +21,11 @@
 
 GangAction gang_action(const Job& job) {
   bool open = false;
-  for (const auto& [t, p] : job.placements) {
+  for (const auto& [task, placement] : job.placements) {
     // The tasks of a gang complete together: one that is done means that all are.
-    if (p.state == PlacementState::finished) return GangAction::finish_all;
-    open = open || (p.state != PlacementState::terminated && p.state != PlacementState::stopping);
+    if (placement.state == PlacementState::finished) return GangAction::finish_all;
+    open = open ||
+           (placement.state != PlacementState::terminated && placement.state != PlacementState::stopping);
   }
   return open && gang_state(job) == GangState::stopping ? GangAction::stop_all : GangAction::none;
 }
