--- a/src/scheduling/capacity_tracker.cpp
+++ b/src/scheduling/capacity_tracker.cpp
@@ -3,10 +3,11 @@
 #include <algorithm>
 #include <stdexcept>
 
+#include "oxbowmill/scheduling/never.h"
+
 namespace oxbowmill {
 
 namespace {
-constexpr Seconds never = std::numeric_limits<double>::infinity();
 constexpr double tolerated_missed_reports = 2.5;  // a machine that has missed so many may be gone
 }  // namespace
 
@@ -16,32 +17,37 @@
 }
 
 Seconds CapacityTracker::fetch_backlog_s(MachineIndex machine, Seconds now) const {
-  const Machine& m = state_.machine(machine);
-  std::map<ImageIndex, Seconds> left;
-  for (TaskId id : m.placed_tasks) {
-    const Placement& p = *state_.find_placement(id);
+  const Machine& machine_state = state_.machine(machine);
+  std::map<ImageIndex, Seconds> fetch_left_s;
+  for (TaskId id : machine_state.placed_tasks) {
+    const Placement& placement = *state_.find_placement(id);
     const JobSpec& spec = state_.job(id.job).spec;
-    if (p.phase != TaskPhase::fetching || is_off_machine(p.state) || !spec.image.valid()) continue;
-    Seconds since = p.started_at > 0 ? now - p.started_at : 0;
-    left[spec.image] = std::max(0.0, fetch_time(spec, state_.catalog[m.record.type.value]) - since);
+    if (placement.phase != TaskPhase::fetching || is_off_machine(placement.state) || !spec.image.valid())
+      continue;
+    Seconds since = placement.started_at > 0 ? now - placement.started_at : 0;
+    fetch_left_s[spec.image] =
+        std::max(0.0, fetch_time(spec, state_.catalog[machine_state.record.type.value]) - since);
   }
   Seconds sum = 0;
-  for (const auto& [image, seconds] : left) sum += seconds;
+  for (const auto& [image, seconds] : fetch_left_s) sum += seconds;
   return sum;
 }
 
 CapacityTracker::CapacityEstimate CapacityTracker::estimate_booting_capacity(MachineIndex machine,
                                                                              Seconds now) const {
-  const Machine& m = state_.machine(machine);
-  Seconds boot = state_.catalog[m.record.type.value].boot_s;
-  // One that takes far too long may never come.
-  Seconds given_up_at = m.known_since + 2 * boot;
-  if (!m.placed_tasks.empty() || m.record.requested_by.valid() || now >= given_up_at) return {};
+  const Machine& machine_state = state_.machine(machine);
+  Seconds boot = state_.catalog[machine_state.record.type.value].boot_s;
+  // A machine that takes far too long to boot may never report.
+  Seconds given_up_at = machine_state.known_since + 2 * boot;
+  if (!machine_state.placed_tasks.empty() || machine_state.record.requested_by.valid() || now >= given_up_at)
+    return {};
   CapacityEstimate estimate;
   estimate.capacity.emplace();
-  estimate.capacity->candidate = {machine, m.record.type, m.record.zone, m.record.spot, 0, Resources{}};
+  estimate.capacity->candidate = {
+      machine,    machine_state.record.type, machine_state.record.zone, machine_state.record.spot, 0,
+      Resources{}};
   estimate.capacity->booting = true;
-  estimate.capacity->expected_up_at = m.known_since + boot;
+  estimate.capacity->expected_up_at = machine_state.known_since + boot;
   estimate.valid_until = given_up_at;
   return estimate;
 }
@@ -49,29 +55,34 @@
 CapacityTracker::CapacityEstimate CapacityTracker::estimate_capacity(MachineIndex machine,
                                                                      Seconds now) const {
   const Settings& settings = state_.settings;
-  const Machine& m = state_.machine(machine);
-  bool usable =
-      m.revision != 0 && m.record.partition != idle_pool && m.record.type.value < state_.catalog.size();
+  const Machine& machine_state = state_.machine(machine);
+  bool usable = machine_state.revision != 0 && machine_state.record.partition != idle_pool &&
+                machine_state.record.type.value < state_.catalog.size();
   if (!usable) return {};
-  if (m.state == MachineState::expected && !m.has_booted) return estimate_booting_capacity(machine, now);
-  if (m.preemption_notice || m.writing || m.record.requested_by.valid()) return {};
-  Seconds unavailable_until = std::max(m.blocked_until, m.faulty_until);
+  if (machine_state.state == MachineState::expected && !machine_state.has_booted)
+    return estimate_booting_capacity(machine, now);
+  if (machine_state.preemption_notice || machine_state.writing || machine_state.record.requested_by.valid())
+    return {};
+  Seconds unavailable_until = std::max(machine_state.blocked_until, machine_state.faulty_until);
   if (unavailable_until > now) return {std::nullopt, unavailable_until};
   // A machine just handed over reports here within moments: its tasks may be placed already. One that has
   // missed reports may be gone: nothing new is placed there until it reports again.
-  Seconds until = m.state == MachineState::expected ? m.in_partition_since + settings.first_report_timeout_s()
-                  : m.state == MachineState::ready
-                      ? m.last_answered_report_at + tolerated_missed_reports * settings.report_interval_s + 1
-                      : now;
+  Seconds until =
+      machine_state.state == MachineState::expected
+          ? machine_state.in_partition_since + settings.first_report_timeout_s()
+      : machine_state.state == MachineState::ready
+          ? machine_state.last_answered_report_at + tolerated_missed_reports * settings.report_interval_s + 1
+          : now;
   if (now >= until) return {};
   CapacityEstimate estimate;
   estimate.valid_until = until;
   estimate.capacity.emplace();
-  estimate.capacity->candidate = {machine, m.record.type,          m.record.zone, m.record.spot,
-                                  0,       state_.free_capacity(m)};
-  estimate.capacity->candidate.long_running = m.long_running_tasks > 0;
-  estimate.capacity->images = m.cached_images;
-  add_tasks(m, *estimate.capacity);
+  estimate.capacity->candidate = {
+      machine, machine_state.record.type,          machine_state.record.zone, machine_state.record.spot,
+      0,       state_.free_capacity(machine_state)};
+  estimate.capacity->candidate.long_running = machine_state.long_running_tasks > 0;
+  estimate.capacity->images = machine_state.cached_images;
+  add_tasks(machine_state, *estimate.capacity);
   return estimate;
 }
 
@@ -103,23 +114,25 @@
     recheck_at_.resize(state_.machine_count(), never);
   }
   CapacityEstimate estimate = estimate_capacity(machine, now);
-  PartitionIndex& holder = indexed_partitions_[machine.value];
+  PartitionIndex& indexed_partition = indexed_partitions_[machine.value];
   PartitionIndex partition = estimate.capacity ? state_.machine(machine).record.partition : PartitionIndex{};
-  if (holder.valid() && holder != partition) {
-    if (partitions_[holder.value].update(machine, std::nullopt)) ++versions_[holder.value];
+  if (indexed_partition.valid() && indexed_partition != partition) {
+    if (partitions_[indexed_partition.value].update(machine, std::nullopt))
+      ++versions_[indexed_partition.value];
   }
   if (partition.valid() && partitions_[partition.value].update(machine, std::move(estimate.capacity)))
     ++versions_[partition.value];
-  holder = partition;
+  indexed_partition = partition;
   if (estimate.valid_until >= recheck_at_[machine.value])
-    return;  // an earlier one is queued, and queues the next
+    return;  // an earlier recheck is queued and will queue the next one
   recheck_at_[machine.value] = estimate.valid_until;
   rechecks_.push({estimate.valid_until, machine});
 }
 
 void CapacityTracker::refresh_type_capacities() {
-  auto same = [](const Resources& a, const MachineType& b) {
-    return a.cpus == b.capacity.cpus && a.gpus == b.capacity.gpus && a.memory_gb == b.capacity.memory_gb;
+  auto same = [](const Resources& known, const MachineType& type) {
+    return known.cpus == type.capacity.cpus && known.gpus == type.capacity.gpus &&
+           known.memory_gb == type.capacity.memory_gb;
   };
   const auto& catalog = state_.catalog;
   if (type_capacities_.size() == catalog.size() &&
@@ -158,9 +171,10 @@
       throw std::logic_error("free capacity of " + state_.names.machines.name(machine) + " is out of date");
     offering_count += estimate.capacity ? 1 : 0;
   }
-  std::size_t indexed = 0;
-  for (const FreeCapacity& partition : partitions_) indexed += partition.size();
-  if (indexed != offering_count) throw std::logic_error("free capacity holds machines that offer nothing");
+  std::size_t indexed_count = 0;
+  for (const FreeCapacity& partition : partitions_) indexed_count += partition.size();
+  if (indexed_count != offering_count)
+    throw std::logic_error("free capacity holds machines that offer nothing");
 }
 
 }  // namespace oxbowmill
--- a/src/scheduling/free_capacity.cpp
+++ b/src/scheduling/free_capacity.cpp
@@ -3,11 +3,13 @@
 #include <algorithm>
 #include <queue>
 
+#include "oxbowmill/scheduling/single_zone.h"
+
 namespace oxbowmill {
 
 bool operator==(const MachineCapacity& left, const MachineCapacity& right) {
-  auto same = [](const Resources& x, const Resources& y) {
-    return x.cpus == y.cpus && x.gpus == y.gpus && x.memory_gb == y.memory_gb;
+  auto same = [](const Resources& one, const Resources& other) {
+    return one.cpus == other.cpus && one.gpus == other.gpus && one.memory_gb == other.memory_gb;
   };
   return same(left.candidate.free_capacity, right.candidate.free_capacity) &&
          same(left.releasing, right.releasing) && left.candidate.type == right.candidate.type &&
@@ -20,7 +22,7 @@
 
 Seconds Selection::last_start_s() const {
   Seconds last = 0;
-  for (const TaskAssignment& c : assignments) last = std::max(last, machines[c.candidate].start_s);
+  for (const TaskAssignment& choice : assignments) last = std::max(last, machines[choice.candidate].start_s);
   return last;
 }
 
@@ -46,9 +48,9 @@
     return;
   }
   Group& group = groups_[group_of(entry)];
-  CapacityKey room = capacity_key_of(entry, machine);
-  group.all.insert(room);
-  for (ImageIndex image : capacity.images) group.by_image[image.value].insert(room);
+  CapacityKey capacity_key = capacity_key_of(entry, machine);
+  group.all.insert(capacity_key);
+  for (ImageIndex image : capacity.images) group.by_image[image.value].insert(capacity_key);
   const Resources& leaving = capacity.releasing;
   if (leaving.cpus != 0 || leaving.gpus != 0 || leaving.memory_gb != 0) with_releasing_.insert(machine);
   if (capacity.preemptible) preemptible_.insert(machine);
@@ -60,11 +62,11 @@
     return;
   }
   auto group = groups_.find(group_of(entry));
-  CapacityKey room = capacity_key_of(entry, machine);
-  group->second.all.erase(room);
+  CapacityKey capacity_key = capacity_key_of(entry, machine);
+  group->second.all.erase(capacity_key);
   for (ImageIndex image : entry.capacity.images) {
     auto with_image = group->second.by_image.find(image.value);
-    with_image->second.erase(room);
+    with_image->second.erase(capacity_key);
     if (with_image->second.empty()) group->second.by_image.erase(with_image);
   }
   if (group->second.all.empty()) groups_.erase(group);
@@ -169,7 +171,7 @@
  private:
   void skip_unfit() {
     while (!done()) {
-      // Machines with these GPUs and too few CPUs are passed over as one.
+      // Skips all machines with this number of GPUs and too few CPUs at once.
       if (position_->cpus < spec_->task_resources.cpus - resource_tolerance) {
         position_ = order_->lower_bound(
             {position_->gpus, spec_->task_resources.cpus - resource_tolerance, MachineIndex{0}});
@@ -191,7 +193,7 @@
   CapacityOrder::const_iterator position_;
 };
 
-/// All that is offered to a job, best first.
+/// All candidates for a job, best first.
 class FreeCapacity::Merge {
  public:
   Merge(const FreeCapacity& index, const SelectionQuery& query, ZoneIndex only,
@@ -227,10 +229,10 @@
   /// The order of preference: soonest start with its opportunity cost, then acquisition cost, spot, least
   /// free capacity.
   static bool is_better(const Head& left, const Head& right) {
-    auto key = [](const Head& h) {
-      const CandidateMachine& n = h.candidate;
-      return std::make_tuple(n.start_s + n.opportunity_cost_s, n.acquisition_cost, !n.spot,
-                             n.free_capacity.gpus, n.free_capacity.cpus, h.forecast, n.machine);
+    auto key = [](const Head& head) {
+      const CandidateMachine& node = head.candidate;
+      return std::make_tuple(node.start_s + node.opportunity_cost_s, node.acquisition_cost, !node.spot,
+                             node.free_capacity.gpus, node.free_capacity.cpus, head.forecast, node.machine);
     };
     return key(left) < key(right);
   }
@@ -255,7 +257,7 @@
       add_stream(rest);
     }
   }
-  /// The fetches under way differ from machine to machine, so these are ordered one by one.
+  /// The fetches in progress differ between machines, so each machine is ordered on its own.
   void add_fetching(Stream stream) {
     for (; !stream.done(); stream.next()) {
       CandidateMachine node = stream.head();
@@ -291,13 +293,13 @@
   const JobSpec& spec = *query.spec;
   Selection out;
   auto placed = by_zone;
-  std::uint32_t zone_most = spec.spread_zones ? (spec.tasks + 1) / 2 : spec.tasks;
+  std::uint32_t most_per_zone = spec.spread_zones ? (spec.tasks + 1) / 2 : spec.tasks;
   std::size_t next = 0;
   for (Merge merge(*this, query, only, forecast); next < tasks.size() && !merge.done();) {
     CandidateMachine node = merge.pop();
     std::uint32_t& in_zone = placed[node.zone.value];
     std::size_t before = next;
-    while (next < tasks.size() && fits(spec.task_resources, node.free_capacity) && in_zone < zone_most) {
+    while (next < tasks.size() && fits(spec.task_resources, node.free_capacity) && in_zone < most_per_zone) {
       out.assignments.push_back({tasks[next++], out.machines.size()});
       node.free_capacity -= spec.task_resources;
       ++in_zone;
@@ -317,22 +319,12 @@
     Selection all = fill(query, tasks, by_zone, spec.zone, forecast);
     return gang && all.assignments.size() < tasks.size() ? Selection{} : all;
   }
-  // One zone for all: where some tasks are already, else the zone that takes most and where they start
-  // soonest.
-  ZoneIndex fixed;
-  for (std::uint32_t z = 0; z < by_zone.size(); ++z) {
-    if (by_zone[z] == 0) continue;
-    if (fixed.valid()) return {};  // two zones still hold old attempts: wait
-    fixed = ZoneIndex{z};
-  }
   Selection best;
-  for (std::uint32_t z = 0; z < by_zone.size(); ++z) {
-    if (fixed.valid() && fixed.value != z) continue;
-    Selection tried = fill(query, tasks, by_zone, ZoneIndex{z}, forecast);
-    bool more = tried.assignments.size() > best.assignments.size();
-    bool sooner =
-        tried.assignments.size() == best.assignments.size() && tried.last_start_s() < best.last_start_s();
-    if (more || sooner) best = std::move(tried);
+  for (ZoneIndex zone : single_zones_to_try(by_zone)) {
+    Selection tried = fill(query, tasks, by_zone, zone, forecast);
+    if (is_better_zone({tried.assignments.size(), tried.last_start_s()},
+                       {best.assignments.size(), best.last_start_s()}))
+      best = std::move(tried);
   }
   return gang && best.assignments.size() < tasks.size() ? Selection{} : best;
 }
--- a/src/scheduling/machine_selection.cpp
+++ b/src/scheduling/machine_selection.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "oxbowmill/scheduling/single_zone.h"
+
 namespace oxbowmill {
 
 bool is_allowed_on(const JobSpec& spec, TypeIndex type, ZoneIndex zone, bool spot) {
@@ -12,22 +14,24 @@
 
 bool can_ever_run(const JobSpec& spec, const std::vector<MachineType>& catalog) {
   std::set<ZoneIndex> zones;
-  for (std::uint32_t t = 0; t < catalog.size(); ++t) {
-    for (ZoneIndex z : catalog[t].zones) {
-      if (is_allowed_on(spec, TypeIndex{t}, z, false) && fits(spec.task_resources, catalog[t].capacity))
-        zones.insert(z);
+  for (std::uint32_t type = 0; type < catalog.size(); ++type) {
+    for (ZoneIndex zone : catalog[type].zones) {
+      if (is_allowed_on(spec, TypeIndex{type}, zone, false) &&
+          fits(spec.task_resources, catalog[type].capacity))
+        zones.insert(zone);
     }
   }
-  // Half of two tasks or more is to be in another zone: one that must not be, or cannot, would wait for ever.
-  bool halves = spec.spread_zones && spec.tasks > 1;
-  return halves ? !spec.single_zone && zones.size() > 1 : !zones.empty();
+  // Half of two or more tasks has to run in another zone: a job that must not or cannot do so would wait for
+  // ever.
+  bool needs_two_zones = spec.spread_zones && spec.tasks > 1;
+  return needs_two_zones ? !spec.single_zone && zones.size() > 1 : !zones.empty();
 }
 
 std::vector<std::uint32_t> tasks_by_zone(const ClusterState& model, const Job& job) {
   std::vector<std::uint32_t> counts(model.names.zones.size(), 0);
-  for (const auto& [t, p] : job.placements) {
-    ZoneIndex z = model.machine(p.machine).record.zone;
-    if (z.valid()) ++counts[z.value];
+  for (const auto& [task, placement] : job.placements) {
+    ZoneIndex zone = model.machine(placement.machine).record.zone;
+    if (zone.valid()) ++counts[zone.value];
   }
   return counts;
 }
@@ -67,18 +71,18 @@
 void evaluate_for_job(const JobSpec& spec, const ClusterState& model, std::vector<CandidateMachine>& bins,
                       bool pressed) {
   for (CandidateMachine& candidate : bins) {
-    bool there =
+    bool has_image =
         candidate.machine.valid() && ClusterState::has_image(model.machine(candidate.machine), spec.image);
     const MachineType& type = model.catalog[candidate.type.value];
     candidate.start_s = candidate.available_in_s +
-                        (there ? 0 : fetch_time(spec, type) + (pressed ? candidate.fetch_backlog_s : 0));
+                        (has_image ? 0 : fetch_time(spec, type) + (pressed ? candidate.fetch_backlog_s : 0));
     candidate.opportunity_cost_s = opportunity_cost(spec, type, candidate);
   }
 }
 
 Seconds last_start(const std::vector<TaskAssignment>& choices, const std::vector<CandidateMachine>& bins) {
   Seconds last = 0;
-  for (const TaskAssignment& c : choices) last = std::max(last, bins[c.candidate].start_s);
+  for (const TaskAssignment& choice : choices) last = std::max(last, bins[choice.candidate].start_s);
   return last;
 }
 
@@ -86,40 +90,42 @@
 
 /// Candidates on which a task fits, best first: soonest start, with its opportunity cost, then spot, then
 /// least free capacity.
-std::vector<std::size_t> ranked_candidates(const JobSpec& spec, const std::vector<CandidateMachine>& bins,
-                                           ZoneIndex only) {
-  std::vector<std::size_t> out;
-  for (std::size_t i = 0; i < bins.size(); ++i) {
-    const CandidateMachine& b = bins[i];
-    if (b.excluded || (only.valid() && b.zone != only)) continue;
-    if (is_allowed_on(spec, b.type, b.zone, b.spot) && fits(spec.task_resources, b.free_capacity))
-      out.push_back(i);
+std::vector<std::size_t> ranked_candidates(const JobSpec& spec,
+                                           const std::vector<CandidateMachine>& candidates, ZoneIndex only) {
+  std::vector<std::size_t> ranked;
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
+    const CandidateMachine& candidate = candidates[i];
+    if (candidate.excluded || (only.valid() && candidate.zone != only)) continue;
+    if (is_allowed_on(spec, candidate.type, candidate.zone, candidate.spot) &&
+        fits(spec.task_resources, candidate.free_capacity))
+      ranked.push_back(i);
   }
-  std::stable_sort(out.begin(), out.end(), [&bins](std::size_t x, std::size_t y) {
-    const CandidateMachine &left = bins[x], &right = bins[y];
-    Seconds start_a = left.start_s + left.opportunity_cost_s,
-            start_b = right.start_s + right.opportunity_cost_s;
-    if (start_a != start_b) return start_a < start_b;
-    if (left.acquisition_cost != right.acquisition_cost)
-      return left.acquisition_cost < right.acquisition_cost;
-    if (left.spot != right.spot) return left.spot;
-    if (left.free_capacity.gpus != right.free_capacity.gpus)
-      return left.free_capacity.gpus < right.free_capacity.gpus;
-    return left.free_capacity.cpus < right.free_capacity.cpus;
-  });
-  return out;
+  std::stable_sort(
+      ranked.begin(), ranked.end(), [&candidates](std::size_t left_position, std::size_t right_position) {
+        const CandidateMachine &left = candidates[left_position], &right = candidates[right_position];
+        Seconds left_start = left.start_s + left.opportunity_cost_s,
+                right_start = right.start_s + right.opportunity_cost_s;
+        if (left_start != right_start) return left_start < right_start;
+        if (left.acquisition_cost != right.acquisition_cost)
+          return left.acquisition_cost < right.acquisition_cost;
+        if (left.spot != right.spot) return left.spot;
+        if (left.free_capacity.gpus != right.free_capacity.gpus)
+          return left.free_capacity.gpus < right.free_capacity.gpus;
+        return left.free_capacity.cpus < right.free_capacity.cpus;
+      });
+  return ranked;
 }
 
 std::vector<TaskAssignment> assign_greedily(const JobSpec& spec, const std::vector<TaskNumber>& tasks,
-                                            std::vector<CandidateMachine>& bins,
+                                            std::vector<CandidateMachine>& candidates,
                                             std::vector<std::uint32_t>& by_zone, ZoneIndex only) {
   std::vector<TaskAssignment> out;
-  std::uint32_t zone_most = spec.spread_zones ? (spec.tasks + 1) / 2 : spec.tasks;
+  std::uint32_t most_per_zone = spec.spread_zones ? (spec.tasks + 1) / 2 : spec.tasks;
   std::size_t next = 0;
-  for (std::size_t i : ranked_candidates(spec, bins, only)) {
-    CandidateMachine& candidate = bins[i];
+  for (std::size_t i : ranked_candidates(spec, candidates, only)) {
+    CandidateMachine& candidate = candidates[i];
     while (next < tasks.size() && fits(spec.task_resources, candidate.free_capacity) &&
-           by_zone[candidate.zone.value] < zone_most) {
+           by_zone[candidate.zone.value] < most_per_zone) {
       out.push_back({tasks[next++], i});
       candidate.free_capacity -= spec.task_resources;
       ++by_zone[candidate.zone.value];
@@ -130,10 +136,10 @@
 }
 
 void undo_assignments(const JobSpec& spec, const std::vector<TaskAssignment>& choices,
-                      std::vector<CandidateMachine>& bins, std::vector<std::uint32_t>& by_zone) {
-  for (const TaskAssignment& c : choices) {
-    bins[c.candidate].free_capacity += spec.task_resources;
-    --by_zone[bins[c.candidate].zone.value];
+                      std::vector<CandidateMachine>& candidates, std::vector<std::uint32_t>& by_zone) {
+  for (const TaskAssignment& choice : choices) {
+    candidates[choice.candidate].free_capacity += spec.task_resources;
+    --by_zone[candidates[choice.candidate].zone.value];
   }
 }
 
@@ -152,29 +158,18 @@
     }
     return best;
   }
-  // One zone for all: where some tasks are already, else the zone that takes most and where they start
-  // soonest.
-  ZoneIndex fixed;
-  for (std::uint32_t z = 0; z < by_zone.size(); ++z) {
-    if (by_zone[z] == 0) continue;
-    if (fixed.valid()) return best;  // two zones still hold old attempts: wait
-    fixed = ZoneIndex{z};
-  }
   ZoneIndex best_zone;
-  std::size_t best_count = 0;
-  Seconds best_start = 0;
-  for (std::uint32_t zone_number = 0; zone_number < by_zone.size(); ++zone_number) {
-    if (fixed.valid() && fixed.value != zone_number) continue;
-    auto tried = assign_greedily(spec, tasks, bins, by_zone, ZoneIndex{zone_number});
+  ZoneOutcome best_outcome;
+  for (ZoneIndex zone : single_zones_to_try(by_zone)) {
+    auto tried = assign_greedily(spec, tasks, bins, by_zone, zone);
     undo_assignments(spec, tried, bins, by_zone);
-    Seconds start = last_start(tried, bins);
-    if (tried.size() > best_count || (tried.size() == best_count && start < best_start)) {
-      best_zone = ZoneIndex{zone_number};
-      best_count = tried.size();
-      best_start = start;
-    }
+    ZoneOutcome outcome{tried.size(), last_start(tried, bins)};
+    if (!is_better_zone(outcome, best_outcome)) continue;
+    best_zone = zone;
+    best_outcome = outcome;
   }
-  if (best_count == 0 || (spec.shape == JobShape::gang && best_count < tasks.size())) return best;
+  if (best_outcome.tasks == 0 || (spec.shape == JobShape::gang && best_outcome.tasks < tasks.size()))
+    return best;
   return assign_greedily(spec, tasks, bins, by_zone, best_zone);
 }
 
--- a/src/scheduling/placement_cycle.cpp
+++ b/src/scheduling/placement_cycle.cpp
@@ -1,9 +1,9 @@
 #include "oxbowmill/scheduling/placement_cycle.h"
 
 #include <algorithm>
-#include <limits>
 #include <set>
 
+#include "oxbowmill/scheduling/never.h"
 #include "oxbowmill/scheduling/selection_query.h"
 
 namespace oxbowmill {
@@ -18,7 +18,6 @@
 constexpr double partial_placement_write_fraction = 0.35;
 constexpr unsigned attempt_count_bits = 24;  // below the revision of the ownership
 constexpr double no_quota = 1e12;
-constexpr Seconds never = std::numeric_limits<double>::infinity();
 
 }  // namespace
 
@@ -61,7 +60,7 @@
 Resources PlacementCycle::quota_left(PartitionIndex partition) const {
   const Team& team = state_.settings.teams[partition.value];
   auto left = [](double limit, double used) { return limit > 0 ? limit - used : no_quota; };
-  // Used is all that is possibly on a machine, with what is being written.
+  // Every task that may be on a machine counts as used, including those being written.
   Resources used = state_.team_usage(partition);
   return {left(team.limit.cpus, used.cpus), left(team.limit.gpus, used.gpus), no_quota};
 }
@@ -164,7 +163,7 @@
 
 bool PlacementCycle::waits_for_more(const Job& job, std::size_t placeable, std::size_t wanted,
                                     Seconds now) const {
-  // Machines that come one by one would cost a write each: what is there is kept, and written together.
+  // Machines that arrive one by one would cost a write each: the capacity is reserved and written together.
   return placeable < wanted && write_rate_.exceeds(partial_placement_write_fraction) &&
          now - job.last_placement_at < partial_placement_interval_s;
 }
@@ -205,7 +204,7 @@
   if (booted && fits(job.spec.task_resources, offer->candidate.free_capacity)) {
     capacity.take(candidate.machine, job.spec.task_resources);
     if (awaits_leader) return false;
-    // Its fetch, which those behind it would share.
+    // Later tasks on this machine would share the fetch rate with this fetch.
     if (candidate.start_s > 0) capacity.add_fetch(candidate.machine, candidate.start_s);
     if (job.spec.shape == JobShape::service) capacity.host_service(candidate.machine);
     return true;
