--- a/src/scheduling/done_mark_collector.cpp
+++ b/src/scheduling/done_mark_collector.cpp
@@ -26,7 +26,7 @@
   return count;
 }
 
-/// Nothing of a gang that is being stopped can start before all of it is off.
+/// No task of a gang that is being stopped can start before all of its tasks have left their machines.
 bool is_stopping_gang(const Job& job, const EndedTasks& count) {
   return job.spec.shape == JobShape::gang && gang_state(job) == GangState::stopping &&
          count.ended < job.placements.size();
--- a/src/scheduling/failed_selections.cpp
+++ b/src/scheduling/failed_selections.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 void FailedSelections::add(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool preempting) {
-  // Where its other tasks are matters too; and searching a long list would cost more than it saves.
+  // The positions of its other tasks matter too, and searching a long list would cost more than it saves.
   if (!job.placements.empty() || job.spec.spread_zones || failures_.size() >= max_failures) return;
   failures_.push_back({&job.spec, tasks, avoid_whole_machines, preempting});
 }
--- a/src/scheduling/heartbeat_handler.cpp
+++ b/src/scheduling/heartbeat_handler.cpp
@@ -43,8 +43,8 @@
     evictor_.mark_empty(machine_index, now);
   StartUpdate starts = task_reports_.read(machine_index, report, *proof, now);
   count_lost_responses(machine, starts, *proof);
-  // Where most responses are lost the machine is not at fault: this controller is late or cut off, and to
-  // move all that waits from one machine to the next would make it later.
+  // If most responses are lost, the machine is not at fault: this controller is late or cut off, and moving
+  // all waiting tasks from one machine to the next would delay them further.
   if (machine.lost_responses >= lost_responses_threshold && lost_response_fraction_ < own_fault_fraction)
     avoid(machine_index, now);
   responses_.add_commands(machine_index, report, now, answer.commands);
--- a/src/scheduling/machine_monitor.cpp
+++ b/src/scheduling/machine_monitor.cpp
@@ -26,7 +26,7 @@
 }
 
 MachineMonitor::WaitingWork MachineMonitor::waiting_work(PartitionIndex partition) const {
-  // What waits for spot machines does not keep the others.
+  // Jobs that wait for spot machines are no reason to keep on-demand machines.
   WaitingWork waiting;
   for (JobIndex job_index : state_.live_jobs(partition)) {
     const JobSpec& spec = state_.job(job_index).spec;
@@ -81,7 +81,7 @@
   const Machine& machine = state_.machine(machine_index);
   if (machine.preemption_notice || machine.faulty_until > now || machine.record.requested_by.valid())
     evictor_.stop_all(machine_index, now);
-  // What was placed in advance on a machine that does not arrive was never sent.
+  // The starts of tasks placed in advance on a machine that does not arrive were never sent.
   if (is_overdue(machine, now)) evictor_.stop_unsent(machine_index, now);
 }
 
--- a/src/scheduling/partition_ownership.cpp
+++ b/src/scheduling/partition_ownership.cpp
@@ -42,7 +42,7 @@
 Seconds PartitionOwnership::exclusively_owned_since(const Machine& machine) const {
   Seconds after_read_only_period =
       machine.in_partition_since + state_.settings.read_only_period_s() * (1 + 2 * Settings::clock_drift);
-  // One that was moved may be answered by its previous owner, which lives under the lease it had.
+  // A machine that was moved may still be answered by its previous owner, whose lease continues.
   if (!machine.inherited) return after_read_only_period;
   // The earlier owner's read-only period need not be waited for once every controller has reacquired a lease:
   // what was answered to this agent on behalf of the partition was answered under a lease that has ended
--- a/src/scheduling/preemptor.cpp
+++ b/src/scheduling/preemptor.cpp
@@ -14,7 +14,7 @@
 
 constexpr int preemption_cost = 2;  // `CandidateMachine::acquisition_cost` where others' work stops
 
-/// It still takes up capacity, but not for long.
+/// The task still uses capacity, but not for long.
 bool is_stopping(const Placement& placement) {
   return placement.state == PlacementState::stopping;
 }
--- a/src/scheduling/response_builder.cpp
+++ b/src/scheduling/response_builder.cpp
@@ -61,7 +61,7 @@
 }
 
 bool ResponseBuilder::may_start(const Job& job, const Placement& placement) {
-  // An owner starts nothing of a job whose last transaction is in doubt: it may have given the task up.
+  // An owner starts no task of a job whose last transaction is unconfirmed: it may have removed the task.
   return job.phase == JobPhase::open && job.revision != 0 && placement.state == PlacementState::placed &&
          !placement.inherited && !placement.restarting && !placement.restart_requested;
 }
--- a/src/scheduling/whole_machines.cpp
+++ b/src/scheduling/whole_machines.cpp
@@ -54,7 +54,7 @@
   std::size_t coming = count_coming_places(state, job, capacity);
   bool patient = now - job.first_seen < state.settings.operator_settings.scale_out_delay_s;
   if (!patient && tasks.size() > elsewhere + coming) {
-    query.avoid_whole_machines = false;  // more than comes: what is left over may have the whole ones
+    query.avoid_whole_machines = false;  // more tasks than coming capacity: the rest may use whole machines
     return tasks;
   }
   reserve_coming(job, tasks.size() - elsewhere, capacity);
