--- a/src/simulation/cluster_agents.cpp
+++ b/src/simulation/cluster_agents.cpp
@@ -51,7 +51,7 @@
   }
   if (now < replay_until && chance(replay_fraction)) retained_reports.push_back(report);
   if (now < report_copies_until && chance(report_copies_fraction))
-    report_copies.push_back({now + draw(2, 1.3 * scenario_.lease_s), machine.controller, report});
+    report_copies.push_back({now + draw(2, 1.3 * scenario.lease_s), machine.controller, report});
   ReportAnswer answer = process.controller->handle_report(report, now);
   bool delayed = now < delayed_responses_until && chance(delayed_responses_fraction);
   if (delayed || now < machine.receives_nothing_until) {
@@ -72,7 +72,7 @@
   for (const AgentCommand& o : answer.commands) current_sample().kills += o.kind == CommandKind::kill ? 1 : 0;
   after_commands(name, machine);
   if (answer.kind == ReportAnswer::Kind::ok) {
-    machine.next_report = now + scenario_.report_interval_s * uniform(0.75, 1.25);
+    machine.next_report = now + scenario.report_interval_s * uniform(0.75, 1.25);
   } else if (answer.kind == ReportAnswer::Kind::redirect) {
     for (std::size_t k = 0; k < controllers.size(); ++k) {
       if (controller_name(k) == answer.owner) machine.controller = k;
@@ -97,7 +97,7 @@
     machine.used = true;
     double& fetched =
         machine.images
-            .try_emplace(job.image, now + image_gb[job.image] / scenario_.fetch_gb_per_s * uniform(0.8, 1.2))
+            .try_emplace(job.image, now + image_gb[job.image] / scenario.fetch_gb_per_s * uniform(0.8, 1.2))
             .first->second;
     job.runs[task_report.task] = {name, id, &machine, std::max(now, fetched), -1, -1};
   }
@@ -209,7 +209,7 @@
     run.waiting_for_gang_since = now;
     return false;
   }
-  return run.waiting_for_gang_since >= 0 && now - run.waiting_for_gang_since > scenario_.gang_wait_s;
+  return run.waiting_for_gang_since >= 0 && now - run.waiting_for_gang_since > scenario.gang_wait_s;
 }
 
 void ClusterSimulation::Impl::tick_gang(SimulatedJob& job, bool all_ready, std::vector<TaskNumber>& ended) {
--- a/src/simulation/cluster_cloud.cpp
+++ b/src/simulation/cluster_cloud.cpp
@@ -6,17 +6,17 @@
 void ClusterSimulation::Impl::add_machine(std::uint32_t zone, bool spot, bool at_start) {
   std::string name = "host-" + std::to_string(100000 + machines.size());
   SimulatedMachine& machine = machines[name];
-  if (at_start) zone = static_cast<std::uint32_t>(machines.size()) % scenario_.zones;
+  if (at_start) zone = static_cast<std::uint32_t>(machines.size()) % scenario.zones;
   machine.zone = zone;
   machine.spot = spot;
   machine.created_at = now;
-  machine.up_at = at_start ? now : now + scenario_.boot_s * uniform(0.6, 1.5);
+  machine.up_at = at_start ? now : now + scenario.boot_s * uniform(0.6, 1.5);
   if (!at_start && now < fast_boots_until) machine.up_at = now + draw(0.1, 2);
   machine.worker = std::make_unique<Worker>(name, zone_names[zone], run_log, spot);
-  machine.worker->lease_s = scenario_.lease_s;
+  machine.worker->lease_s = scenario.lease_s;
   machine.worker->first_phase = TaskPhase::fetching;
-  machine.next_report = machine.up_at + uniform(0, scenario_.report_interval_s);
-  machine.controller = pick(scenario_.controllers);
+  machine.next_report = machine.up_at + uniform(0, scenario.report_interval_s);
+  machine.controller = pick(scenario.controllers);
   ++created;
   if (spot) ++created_spot;
   machine.known = true;
@@ -67,12 +67,11 @@
       static_cast<std::uint32_t>(std::count_if(machines.begin(), machines.end(), [&](const auto& h) {
         return h.second.known && h.second.zone == request.zone.value;
       }));
-  std::uint32_t room = scenario_.machine_capacity / scenario_.zones > of_zone
-                           ? scenario_.machine_capacity / scenario_.zones - of_zone
+  std::uint32_t room = scenario.machine_capacity / scenario.zones > of_zone
+                           ? scenario.machine_capacity / scenario.zones - of_zone
                            : 0;
   if (request.spot)
-    room =
-        std::min(room, scenario_.spot_machines > created_spot ? scenario_.spot_machines - created_spot : 0);
+    room = std::min(room, scenario.spot_machines > created_spot ? scenario.spot_machines - created_spot : 0);
   std::vector<std::string> created_names;
   while (created_names.size() < std::min(request.count, room)) {
     std::size_t before = machines.size();
@@ -80,7 +79,7 @@
     created_names.push_back("host-" + std::to_string(100000 + before));
     ++current_sample().rentals;
     // A machine that was returned is rented again.
-    if (!returned_at.empty() && now > scenario_.warm_up_s / 2) {
+    if (!returned_at.empty() && now > scenario.warm_up_s / 2) {
       if (now - returned_at.back() < wasted_within_s) ++result.wasted_scale_outs;
       returned_at.pop_back();
     }
@@ -92,7 +91,7 @@
   auto it = machines.find(name);
   if (it == machines.end() || !it->second.known) return;
   SimulatedMachine& machine = it->second;
-  if (machine.alive && now > scenario_.warm_up_s / 2) {
+  if (machine.alive && now > scenario.warm_up_s / 2) {
     ++current_sample().returns;
     bool working = std::any_of(machine.worker->tasks().begin(), machine.worker->tasks().end(),
                                [](const auto& t) { return t.second.phase != TaskPhase::ended; });
--- a/src/simulation/cluster_controllers.cpp
+++ b/src/simulation/cluster_controllers.cpp
@@ -32,8 +32,8 @@
   process.up_since = now;
   process.controller =
       std::make_unique<SimulatedController>(controller_name(i), store, settings(i), names(), catalog());
-  process.change_budget.set_rate(0.7 * scenario_.write_rps,
-                                 std::max(0.35 * scenario_.write_rps, double(scenario_.txn_ops)));
+  process.change_budget.set_rate(0.7 * scenario.write_rps,
+                                 std::max(0.35 * scenario.write_rps, double(scenario.txn_ops)));
   if (variant != SimulationVariant::without_reconciliation)
     process.controller->cluster_state.wall_clock_offset_s = wall_ahead;
   if (variant == SimulationVariant::with_reconciliation || variant == SimulationVariant::without_faults) {
@@ -119,7 +119,7 @@
 }
 
 void ClusterSimulation::Impl::deliver_write_responses(ControllerProcess& process,
-                                                      SimulatedController& controller) {
+                                                      SimulatedController& controller) const {
   while (!process.write_responses.empty() && process.write_responses.front().at <= now) {
     ControllerProcess::WriteResponse response = std::move(process.write_responses.front());
     process.write_responses.pop_front();
--- a/src/simulation/cluster_faults.cpp
+++ b/src/simulation/cluster_faults.cpp
@@ -77,8 +77,8 @@
       outage_until = until;
       return true;
     case FaultKind::state_slow:
-      write_budget.set_rate(fault_spec.fraction * scenario_.write_rps,
-                            fault_spec.fraction * scenario_.write_rps);
+      write_budget.set_rate(fault_spec.fraction * scenario.write_rps,
+                            fault_spec.fraction * scenario.write_rps);
       slow_until = until;
       return true;
     case FaultKind::state_delay:
@@ -117,7 +117,7 @@
       cut_until = until;
       return true;
     case FaultKind::zone_isolated:
-      isolated_zone = fault_spec.zone.empty() ? zone_names[pick(scenario_.zones)] : fault_spec.zone;
+      isolated_zone = fault_spec.zone.empty() ? zone_names[pick(scenario.zones)] : fault_spec.zone;
       isolated_until = until;
       return true;
     case FaultKind::gang_member_dies:
@@ -244,7 +244,7 @@
   if (store.outage() && now >= outage_until) store.set_outage(false, now);
   if (slow_until > 0 && now >= slow_until) {
     slow_until = 0;
-    write_budget.set_rate(scenario_.write_rps, scenario_.write_rps);
+    write_budget.set_rate(scenario.write_rps, scenario.write_rps);
   }
   each_due(delayed_writes, [this](const Delayed<Json>& w) {
     if (store.outage()) return false;  // stays delayed until the outage is over
@@ -303,9 +303,9 @@
 }
 
 double ClusterSimulation::Impl::faults_end() const {
-  double end = scenario_.warm_up_s;
-  for (const Fault& f : scenario_.faults)
-    end = std::max(end, f.at_s + f.duration_s + f.stagger_s * static_cast<double>(scenario_.controllers));
+  double end = scenario.warm_up_s;
+  for (const Fault& f : scenario.faults)
+    end = std::max(end, f.at_s + f.duration_s + f.stagger_s * static_cast<double>(scenario.controllers));
   return end;
 }
 
--- a/src/simulation/cluster_simulation.cpp
+++ b/src/simulation/cluster_simulation.cpp
@@ -7,44 +7,45 @@
 
 namespace oxbowmill::simulation {
 
-ClusterSimulation::Impl::Impl(ClusterScenario scenario, SimulationVariant way_, std::uint64_t seed)
-    : scenario_(std::move(scenario)),
-      variant(way_),
+ClusterSimulation::Impl::Impl(ClusterScenario played_scenario, SimulationVariant played_variant,
+                              std::uint64_t seed)
+    : scenario(std::move(played_scenario)),
+      variant(played_variant),
       random(seed),
       fault_random(seed * 7919 + 1),
-      write_budget(scenario_.write_rps, scenario_.write_rps),
-      cloud_budget(scenario_.cloud_rps, 2 * scenario_.cloud_rps),
-      invariants(scenario_.cancel_timeout_s, {scenario_.max_gpus, scenario_.max_gpus}) {
+      write_budget(scenario.write_rps, scenario.write_rps),
+      cloud_budget(scenario.cloud_rps, 2 * scenario.cloud_rps),
+      invariants(scenario.cancel_timeout_s, {scenario.max_gpus, scenario.max_gpus}) {
   run_log.on_change = [this](const std::string& id, const std::string& machine, bool on) {
     auto [ref, task] = split(id);
     const SimulatedMachine& h = machines.at(machine);
     on ? invariants.on_task_start(ref, task, machine, {zone_names[h.zone], h.spot}, now)
        : invariants.on_task_stop(ref, task, machine, now);
   };
-  store.txn_ops = scenario_.txn_ops;
+  store.txn_ops = scenario.txn_ops;
   store.value_bytes = 8192;
-  for (std::uint32_t z = 0; z < scenario_.zones; ++z) zone_names.emplace_back(1, static_cast<char>('a' + z));
-  controllers.resize(scenario_.controllers);
-  for (std::uint32_t i = 0; i < scenario_.initial_machines; ++i) add_machine(0, false, true);
-  for (std::uint32_t i = 0; i < scenario_.initial_gangs; ++i) submit(0);
-  for (std::uint32_t i = 0; i < scenario_.initial_arrays; ++i) submit(1);
+  for (std::uint32_t z = 0; z < scenario.zones; ++z) zone_names.emplace_back(1, static_cast<char>('a' + z));
+  controllers.resize(scenario.controllers);
+  for (std::uint32_t i = 0; i < scenario.initial_machines; ++i) add_machine(0, false, true);
+  for (std::uint32_t i = 0; i < scenario.initial_gangs; ++i) submit(0);
+  for (std::uint32_t i = 0; i < scenario.initial_arrays; ++i) submit(1);
   for (std::size_t i = 0; i < controllers.size(); ++i) start_controller(i);
   // Cancellations by users are no faults: they also happen in the run without faults.
-  for (const Fault& f : scenario_.faults) {
+  for (const Fault& f : scenario.faults) {
     if (variant != SimulationVariant::without_faults || f.kind == FaultKind::jobs_cancelled)
       faults.push_back(f);
   }
   std::sort(faults.begin(), faults.end(), [](const Fault& a, const Fault& b) { return a.at_s < b.at_s; });
-  if (!scenario_.faults.empty()) first_fault = scenario_.faults.front().at_s;
+  if (!scenario.faults.empty()) first_fault = scenario.faults.front().at_s;
   // An isolated owner sees no cancellation until its controller lease ends; its last response may come 4 s
   // later.
-  invariants.set_start_tolerance(scenario_.faults.empty()
+  invariants.set_start_tolerance(scenario.faults.empty()
                                      ? 1
                                      : settings(0).operator_settings.controller_lease_s * 1.01 +
                                            Settings::report_timeout_s);
-  invariants.set_fault_free_from(variant == SimulationVariant::without_faults ? scenario_.warm_up_s
+  invariants.set_fault_free_from(variant == SimulationVariant::without_faults ? scenario.warm_up_s
                                                                               : faults_end());
-  for (const Fault& f : scenario_.faults) first_fault = std::min(first_fault, f.at_s);
+  for (const Fault& f : scenario.faults) first_fault = std::min(first_fault, f.at_s);
 }
 
 std::uint32_t ClusterSimulation::Impl::pick(std::uint32_t n) {
@@ -54,27 +55,27 @@
 Settings ClusterSimulation::Impl::settings(std::size_t i) const {
   Settings settings;
   settings.controller_name = controller_name(i);
-  settings.controller_count = scenario_.controllers;
+  settings.controller_count = scenario.controllers;
   if (variant != SimulationVariant::without_reconciliation) {
-    for (std::size_t k = 0; k < scenario_.controllers; ++k)
+    for (std::size_t k = 0; k < scenario.controllers; ++k)
       settings.all_controllers.push_back(controller_name(k));
   }
-  Team team{{0, scenario_.guaranteed_gpus, 0}, {0, scenario_.max_gpus, 0}};
+  Team team{{0, scenario.guaranteed_gpus, 0}, {0, scenario.max_gpus, 0}};
   settings.teams = {{}, team, team};
-  settings.report_interval_s = scenario_.report_interval_s;
-  settings.lease_s = scenario_.lease_s;
-  settings.cancel_deadline_s = scenario_.cancel_timeout_s;
-  settings.gang_wait_timeout_s = scenario_.gang_wait_s;
-  if (scenario_.controller_lease_s > 0)
-    settings.operator_settings.controller_lease_s = scenario_.controller_lease_s;
+  settings.report_interval_s = scenario.report_interval_s;
+  settings.lease_s = scenario.lease_s;
+  settings.cancel_deadline_s = scenario.cancel_timeout_s;
+  settings.gang_wait_timeout_s = scenario.gang_wait_s;
+  if (scenario.controller_lease_s > 0)
+    settings.operator_settings.controller_lease_s = scenario.controller_lease_s;
   settings.operator_settings.controller_lease_s =
       std::min(settings.operator_settings.controller_lease_s,
                settings.cancel_deadline_s - settings.lease_expiry_s() - 2 * Settings::safety_margin_s);
-  settings.state_rps = 4 * scenario_.write_rps;
-  settings.state_write_rps = scenario_.write_rps;
-  settings.max_transaction_ops = scenario_.txn_ops;
+  settings.state_rps = 4 * scenario.write_rps;
+  settings.state_write_rps = scenario.write_rps;
+  settings.max_transaction_ops = scenario.txn_ops;
   settings.max_value_kb = 8;
-  settings.cloud_rps = scenario_.cloud_rps;
+  settings.cloud_rps = scenario.cloud_rps;
   settings.cloud_list_lag_s = list_lag_s;
   return settings;
 }
@@ -89,15 +90,15 @@
 std::vector<MachineType> ClusterSimulation::Impl::catalog() const {
   MachineType type = test_catalog().front();
   type.cache_gb = 100;
-  type.fetch_gb_per_s = scenario_.fetch_gb_per_s;
-  type.boot_s = scenario_.boot_s;
+  type.fetch_gb_per_s = scenario.fetch_gb_per_s;
+  type.boot_s = scenario.boot_s;
   type.zones.clear();
-  for (std::uint32_t z = 0; z < scenario_.zones; ++z) type.zones.push_back(ZoneIndex{z});
+  for (std::uint32_t z = 0; z < scenario.zones; ++z) type.zones.push_back(ZoneIndex{z});
   return {type};
 }
 
 ClusterResult ClusterSimulation::Impl::play() {
-  auto steps = static_cast<std::size_t>(scenario_.duration_s / step_s);
+  auto steps = static_cast<std::size_t>(scenario.duration_s / step_s);
   for (std::size_t i = 0; i < steps; ++i) {
     if (i % 10 == 0) {
       result.samples.push_back({});
@@ -114,7 +115,7 @@
     tick_faults();
     store.expire_leases(now);
     for (std::uint32_t cls : {0U, 1U}) {
-      if (uniform(0, 1) < (cls == 0 ? scenario_.gangs_per_s : scenario_.arrays_per_s) * step_s) submit(cls);
+      if (uniform(0, 1) < (cls == 0 ? scenario.gangs_per_s : scenario.arrays_per_s) * step_s) submit(cls);
     }
     for (std::size_t k = 0; k < controllers.size(); ++k) run_controller(k);
     serve_calls();
@@ -144,7 +145,7 @@
   }
   for (const User& u : users) {
     const SimulatedJob& job = jobs.at(u.ref);
-    if (!u.accepted || u.withdrawn || now - job.submitted < scenario_.boot_s + 2 * counts_as_started_after_s)
+    if (!u.accepted || u.withdrawn || now - job.submitted < scenario.boot_s + 2 * counts_as_started_after_s)
       continue;
     bool begun = job.started_at.size() == job.tasks;
     double last = begun ? 0 : now;
--- a/src/simulation/cluster_simulation_impl.h
+++ b/src/simulation/cluster_simulation_impl.h
@@ -73,7 +73,7 @@
     void record_start(TaskNumber task, double at_s) { started_at.try_emplace(task, at_s); }
   };
 
-  Impl(ClusterScenario scenario, SimulationVariant way_, std::uint64_t seed);
+  Impl(ClusterScenario played_scenario, SimulationVariant played_variant, std::uint64_t seed);
   double uniform(double a, double b) { return std::uniform_real_distribution<double>(a, b)(random); }
   std::uint32_t pick(std::uint32_t n);
   std::string controller_name(std::size_t i) const { return "node-" + std::to_string(i); }
@@ -95,7 +95,7 @@
   /// Opens a watch when its time has come, and applies those whose response has arrived.
   void answer_watches(ControllerProcess& process, SimulatedController& controller, bool state_up);
   void renew_lease(ControllerProcess& process, SimulatedController& controller);
-  void deliver_write_responses(ControllerProcess& process, SimulatedController& controller);
+  void deliver_write_responses(ControllerProcess& process, SimulatedController& controller) const;
   void send_effects(std::size_t i, Effects out);
   /// Sends its reconciliation status to every controller that it reaches.
   void exchange_peer_status(std::size_t i);
@@ -116,7 +116,7 @@
   bool delays_next_write() { return now < delayed_writes_until && chance(delayed_writes_fraction); }
   /// The transaction is applied and its response lost.
   bool loses_write_response() { return now < lost_answers_until && chance(lost_answers_fraction); }
-  std::uint32_t zone_of(std::size_t node) const { return static_cast<std::uint32_t>(node) % scenario_.zones; }
+  std::uint32_t zone_of(std::size_t node) const { return static_cast<std::uint32_t>(node) % scenario.zones; }
   bool is_isolated(std::uint32_t zone) const {
     return now < isolated_until && zone_names[zone] == isolated_zone;
   }
@@ -265,7 +265,7 @@
   void count_served();
   void record_reconciled();
 
-  ClusterScenario scenario_;
+  ClusterScenario scenario;
   SimulationVariant variant;
   std::mt19937_64 random;
   double now = 0;
--- a/src/simulation/cluster_users.cpp
+++ b/src/simulation/cluster_users.cpp
@@ -9,8 +9,7 @@
   info.class_index = class_index;
   info.team = pick(2);
   info.image = pick(std::size(image_gb));
-  info.run_s =
-      (class_index == 0 ? scenario_.gang_run_s : scenario_.array_run_s) * std::exp(uniform(-0.7, 0.7));
+  info.run_s = (class_index == 0 ? scenario.gang_run_s : scenario.array_run_s) * std::exp(uniform(-0.7, 0.7));
   spec.partition = PartitionIndex{1 + info.team};
   spec.shape = class_index == 0 ? JobShape::gang : JobShape::array;
   spec.priority = class_index == 0 ? Priority::high : Priority::low;
@@ -26,16 +25,15 @@
   info.tasks = spec.tasks;
   info.submitted = now;
   info.gpus = spec.task_resources.gpus;
-  if (class_index == 1 && scenario_.small_array_fraction > 0 && chance(scenario_.small_array_fraction)) {
-    spec.tasks = info.tasks =
-        1 + static_cast<std::uint32_t>(draw(0, scenario_.small_array_max_tasks - 0.001));
+  if (class_index == 1 && scenario.small_array_fraction > 0 && chance(scenario.small_array_fraction)) {
+    spec.tasks = info.tasks = 1 + static_cast<std::uint32_t>(draw(0, scenario.small_array_max_tasks - 0.001));
     info.spread = 1.5;
   }
-  if (class_index == 1 && scenario_.zone_bound_fraction > 0 && chance(scenario_.zone_bound_fraction)) {
+  if (class_index == 1 && scenario.zone_bound_fraction > 0 && chance(scenario.zone_bound_fraction)) {
     double kind = draw(0, 3);
     spec.single_zone = kind < 1;
     if (kind >= 1 && kind < 2)
-      spec.zone = ZoneIndex{static_cast<std::uint32_t>(draw(0, scenario_.zones - 0.001))};
+      spec.zone = ZoneIndex{static_cast<std::uint32_t>(draw(0, scenario.zones - 0.001))};
     spec.spread_zones = kind >= 2;
   }
   Names n = names();
@@ -44,7 +42,7 @@
   user.ref = spec.ref;
   user.body = wire::write_submission(spec, n);
   user.next_request_at = now;
-  if (chance(scenario_.withdrawn_fraction)) user.withdraws_at = now + draw(1, 1.5 * info.run_s);
+  if (chance(scenario.withdrawn_fraction)) user.withdraws_at = now + draw(1, 1.5 * info.run_s);
   jobs[spec.ref] = info;
   std::string zone = spec.zone.valid() ? zone_names[spec.zone.value] : "";
   invariants.on_submit(spec.ref, {info.team,
--- a/src/simulation/decision_simulation.cpp
+++ b/src/simulation/decision_simulation.cpp
@@ -31,9 +31,9 @@
 
 /// Three controllers, one of which owns all partitions at a time, and tasks that end by themselves.
 struct DecisionSimulation {
-  DecisionSimulation(const DecisionScenario& scenario, std::uint64_t seed)
-      : scenario_(scenario), cluster(controller_count), random(seed) {
-    for (std::uint32_t i = 0; i < scenario_.machines; ++i) {
+  DecisionSimulation(const DecisionScenario& played_scenario, std::uint64_t seed)
+      : scenario(played_scenario), cluster(controller_count), random(seed) {
+    for (std::uint32_t i = 0; i < scenario.machines; ++i) {
       machine_names.push_back("m" + std::to_string(100 + i));
       cluster.add_machine(machine_names.back(), i % 2 == 0 ? "a" : "b", i % 3 == 0 ? "blue" : "red");
     }
@@ -43,8 +43,8 @@
       x.operator_settings.release_to_pool_s = 2;
       x.operator_settings.idle_retention_s = 1e9;
     }
-    owner_fails_at = scenario_.owner_failure_interval_s > 0
-                         ? cluster.now + exponential(scenario_.owner_failure_interval_s)
+    owner_fails_at = scenario.owner_failure_interval_s > 0
+                         ? cluster.now + exponential(scenario.owner_failure_interval_s)
                          : 1e18;
   }
   double exponential(double mean) { return std::exponential_distribution<double>(1 / mean)(random); }
@@ -66,7 +66,7 @@
     if (cluster.now >= owner_fails_at) {
       cluster.fail_over(owner, (owner + 1) % controller_count, failover_s);
       owner = (owner + 1) % controller_count;
-      owner_fails_at = cluster.now + exponential(scenario_.owner_failure_interval_s);
+      owner_fails_at = cluster.now + exponential(scenario.owner_failure_interval_s);
     }
     cluster.run(step_s, owner);
     for (const std::string& m : machine_names) {
@@ -85,7 +85,7 @@
   }
   std::function<void(const std::string& id, Worker& agent)> on_task_ended;
 
-  const DecisionScenario& scenario_;
+  const DecisionScenario& scenario;
   SimulatedCluster cluster;
   std::mt19937_64 random;
   std::vector<std::string> machine_names;
@@ -261,7 +261,7 @@
   bool is_coordinated() const { return row_.variant == as_it_is; }
   std::string render_job(const std::string& edition) const { return "run-" + edition + tag_; }
   std::string publish_job(const std::string& edition) const { return "run-pub-" + edition + tag_; }
-  bool is_done(const std::string& ref) { return simulation_.cluster.phase(ref) == "done"; }
+  bool is_done(const std::string& ref) const { return simulation_.cluster.phase(ref) == "done"; }
   bool is_submitted(const std::string& ref) const { return simulation_.submitted_at.count(ref) != 0; }
 
   void load_release(std::uint64_t number) {
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -723,7 +723,7 @@
   ASSERT_EQ(operator_error(text), "");
   std::size_t at = 0;
   while (at < text.size()) {
-    std::size_t end = text.find('\n', at), first = text.find_first_not_of(" ", at);
+    std::size_t end = text.find('\n', at), first = text.find_first_not_of(' ', at);
     std::string line = text.substr(at, end - at);
     if (text[first] != '-' && text[first] != '#') {
       std::string indent(first - at, ' ');
@@ -758,10 +758,10 @@
 
 void add_help(GoldenLines& lines, const std::string& program, const std::string& title,
               const std::vector<std::string>& commands) {
-  for (const std::string& name : help_names(program)) lines.add(title, name);
+  for (const std::string& option : help_names(program)) lines.add(title, option);
   for (const std::string& command : commands) {
-    for (const std::string& name : help_names(program + " " + command))
-      lines.add(title + " " + command, name);
+    for (const std::string& option : help_names(program + " " + command))
+      lines.add(title + " " + command, option);
   }
 }
 
