--- a/include/oxbowmill/cluster/accounting_tables.h
+++ b/include/oxbowmill/cluster/accounting_tables.h
@@ -1,5 +1,5 @@
-// What is bid and spent on markets, and how markets behaved: written by the leader, known to all controllers.
-// Plain tables; `apply` alone changes them. Not thread-safe.
+// Tables of bids, of the money spent on markets and of how markets behaved. The leader writes the records,
+// and every controller keeps a copy. Only `apply` changes the tables. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -9,19 +9,19 @@
 
 namespace oxbowmill {
 
-/// Bids, what has been paid and what markets did: written by the leader, known to all.
+/// Replica of the records of bids, ledger and markets.
 struct AccountingTables {
   /// A record and its revision.
   template <class Record>
   struct Entry {
     Record record;                  ///< valid while `revision` is not `no_record`
-    Revision revision = no_record;  ///< of the record
+    Revision revision = no_record;  ///< revision of the record
   };
-  std::map<std::string, Entry<BidRecord>> bids;        ///< by name
-  Entry<LedgerRecord> ledger;                          ///< the present window
+  std::map<std::string, Entry<BidRecord>> bids;        ///< by name of the bid
+  Entry<LedgerRecord> ledger;                          ///< ledger of the current budget window
   std::map<MarketIndex, Entry<MarketRecord>> markets;  ///< by market
 
-  /// Takes over a durable change of a bid, the ledger or a market; any other has no effect.
+  /// Applies a durable change of a bid, the ledger or a market. Changes of other keys have no effect.
   void apply(const Change& change, Revision revision);
 };
 
--- a/include/oxbowmill/cluster/capacity_usage.h
+++ b/include/oxbowmill/cluster/capacity_usage.h
@@ -1,6 +1,6 @@
-// Accounting of capacity: what placed tasks and reservations use of machines and of teams' quotas, and how
-// much ended tasks have freed. Owns the sums by team; the sums by machine are fields of the machine, changed
-// only here. Not thread-safe.
+// Accounting of capacity: how much of machines and of teams' quotas is used by placed tasks and reservations,
+// and how much ended tasks have freed. CapacityUsage owns the sums by team. The sums by machine are fields of
+// Machine that it keeps up to date. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +12,26 @@
 
 namespace oxbowmill {
 
-/// Whether capacity is taken or given back.
+/// Direction of a change of usage.
 enum class UsageChange : std::int8_t {
-  release = -1,  ///< given back
-  acquire = 1,   ///< taken
+  release = -1,  ///< capacity is given back
+  acquire = 1,   ///< capacity is taken
 };
 
-/// Capacity and quota in use.
+/// Sums of the capacity and quota in use.
 class CapacityUsage {
  public:
-  /// For partitions with indices below `partition_count`.
+  /// Starts without usage, for partitions with indices below `partition_count`.
   explicit CapacityUsage(std::size_t partition_count) : by_team_(partition_count) {}
 
-  /// What the team's tasks and reservations use.
+  /// Resources that the team's tasks and reservations use.
   const Resources& of_team(PartitionIndex partition) const { return by_team_[partition.value]; }
-  /// Machines' worth of capacity that ended tasks have freed since this controller started.
+  /// Capacity that ended tasks have freed since this controller started, measured in machines.
   double freed_machines() const { return freed_machines_; }
-  /// Books or cancels the reservation of one task's placement that is being written.
+  /// Adds or removes the reservation for one task whose placement is being written.
   void reserve(Machine& machine, const JobSpec& spec, UsageChange change);
-  /// Books or releases a placed task. Its team is left out while the job's record is missing.
+  /// Adds or removes the usage of one placed task. The team's sum does not change while the job's record is
+  /// missing, because the team is not known.
   void place(Machine& machine, const Job& job, UsageChange change);
 
  private:
--- a/include/oxbowmill/cluster/control_records.h
+++ b/include/oxbowmill/cluster/control_records.h
@@ -1,4 +1,5 @@
-// Durable records that controllers coordinate by: who owns what, and decisions. Plain data.
+// Durable records through which controllers coordinate: owners of partitions, registrations of controllers
+// and decisions. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -7,26 +8,27 @@
 
 namespace oxbowmill {
 
-/// Lease id of what is attached to no lease.
+/// Lease id of a key that is attached to no lease.
 constexpr std::uint64_t no_lease = 0;
 
-/// A durable decision (docs/decisions.md). Its kind defines what the fields mean; `state` is one of the
-/// kind's.
+/// A durable decision (docs/decisions.md). Its kind defines the possible states and what the other fields
+/// mean.
 struct DecisionRecord {
-  std::string state;                            ///< state of the kind's state machine
-  std::uint64_t version = 0;                    ///< of the operators' file that it was made under
-  std::uint64_t epoch = 0;                      ///< rounds of the kind's states; never falls
-  std::uint64_t sequence = 0;                   ///< counts its changes
-  double changed_at = 0;                        ///< time of day of the last change of state
-  std::string reason;                           ///< for people
-  std::map<std::string, std::uint64_t> counts;  ///< the kind's numbers, by name
-  std::map<std::string, std::string> notes;     ///< the kind's texts, by name
+  std::string state;                            ///< current state in the kind's state machine
+  std::uint64_t version = 0;                    ///< version of the operators' file under which it was made
+  std::uint64_t epoch = 0;                      ///< round through the kind's states; never decreases
+  std::uint64_t sequence = 0;                   ///< number of changes of the record
+  double changed_at = 0;                        ///< time of day of the last change of state or epoch
+  std::string reason;                           ///< explanation for people
+  std::map<std::string, std::uint64_t> counts;  ///< numbers that the kind defines, by name
+  std::map<std::string, std::string> notes;     ///< texts that the kind defines, by name
 };
 
-/// A controller and its lease: in a partition's key its owner, in a controller's key its registration.
+/// A controller and its lease. Under a partition's key it is the partition's owner, under a controller's key
+/// the controller's registration.
 struct OwnershipRecord {
   std::string controller;             ///< name of the controller
-  std::uint64_t lease_id = no_lease;  ///< its lease of the state service; the record ends with it
+  std::uint64_t lease_id = no_lease;  ///< the controller's lease; the record is deleted when it ends
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/cluster/job_spec.h
+++ b/include/oxbowmill/cluster/job_spec.h
@@ -1,4 +1,4 @@
-// What a user submits: a job's shape, needs and constraints. Plain data.
+// A job as submitted by a user: its shape, resource needs and constraints. Plain data.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace oxbowmill {
 
-/// How a job's tasks belong together.
+/// How the tasks of a job belong together.
 enum class JobShape : std::uint8_t {
   array,    ///< independent tasks, each of which ends
   gang,     ///< tasks that start, run and restart together
@@ -21,68 +21,68 @@
 enum class Priority : std::uint8_t {
   low,         ///< preempted first
   normal,      ///< the default
-  high,        ///< before normal
-  production,  ///< before all others
+  high,        ///< placed before normal
+  production,  ///< placed before all others
 };
-/// Where a job is in its life.
+/// Phase of a job's life cycle.
 enum class JobPhase : std::uint8_t {
   open,       ///< tasks may be placed
   done,       ///< all tasks have finished
-  cancelled,  ///< nothing may start; what runs is stopped
+  cancelled,  ///< no task may start; running tasks are stopped
 };
-/// What an agent reports a task to be doing.
+/// Phase of a task, as its agent reports it.
 enum class TaskPhase : std::uint8_t {
   fetching,   ///< its image is being fetched
-  gathering,  ///< a gang's member waits for its peers
+  gathering,  ///< a gang member waits for its peers
   running,    ///< its program runs
-  saving,     ///< it was told to stop and saves its progress
-  ended,      ///< it is over; the cause says how
+  saving,     ///< it was told to stop and is saving its progress
+  ended,      ///< it has ended; EndCause says why
 };
 /// Why a task ended, as its agent reports it.
 enum class EndCause : std::uint8_t {
-  none,         ///< has not ended, or was never reported
+  none,         ///< has not ended, or its end was never reported
   done,         ///< finished
-  stopped,      ///< by a kill of ours
-  peers_lost,   ///< a gang's member lost contact with its peers
-  incomplete,   ///< a gang did not gather in time
+  stopped,      ///< killed by a controller's command
+  peers_lost,   ///< a gang member lost contact with its peers
+  incomplete,   ///< not all members of the gang arrived in time
   error,        ///< the program or its image failed
-  no_capacity,  ///< start refused: free resources did not suffice
+  no_capacity,  ///< start refused: not enough free resources
   busy,         ///< start refused: another attempt is on the machine
   no_such,      ///< start refused: no such job or task
 };
 
 /// A job as submitted; it never changes afterwards.
 struct JobSpec {
-  std::string ref;                       ///< the user's name of it, unique
-  ClassIndex job_class;                  ///< class that the submission names
-  PartitionIndex partition;              ///< its team's; invalid while only placements of it are known
+  std::string ref;                       ///< unique name that the user gave it
+  ClassIndex job_class;                  ///< job class named in the submission
+  PartitionIndex partition;              ///< its team's; invalid while only placements of the job are known
   JobShape shape = JobShape::array;      ///< how its tasks belong together
   Priority priority = Priority::normal;  ///< scheduling priority
   std::uint32_t tasks = 0;               ///< number of tasks
-  Resources task_resources;              ///< need of one task
+  Resources task_resources;              ///< resources that one task needs
   ImageIndex image;                      ///< image that its tasks run
-  double image_gb = 0;                   ///< size of the image
+  double image_gb = 0;                   ///< size of the image, in GB
   std::vector<TypeIndex> types;          ///< machine types it may run on; empty: any
   ZoneIndex zone;                        ///< zone that it must run in; invalid: any
-  bool single_zone = false;              ///< all tasks in one zone
-  bool spread_zones = false;             ///< tasks spread over zones
-  bool spot = false;                     ///< may run on spot machines
-  double estimate_s = 0;                 ///< owner's estimate of one task's run time
-  double checkpoint_interval_s = 0;      ///< tasks save progress at multiples of it; 0: never
-  double flush_s = 0;                    ///< time that a stopped task is given to save
-  double deadline_s = time_not_set;      ///< after submission; below 0: none
-  double submitted_at = 0;               ///< time of day
-  /// Whether its tasks may run on the type.
+  bool single_zone = false;              ///< whether all tasks must run in one zone
+  bool spread_zones = false;             ///< whether tasks are spread over zones
+  bool spot = false;                     ///< whether it may run on spot machines
+  double estimate_s = 0;                 ///< user's estimate of one task's run time, in seconds
+  double checkpoint_interval_s = 0;      ///< tasks save progress at multiples of this run time; 0: never
+  double flush_s = 0;                    ///< seconds that a stopped task is given to save its progress
+  double deadline_s = time_not_set;      ///< seconds after the submission; below 0: none
+  double submitted_at = 0;               ///< time of day of the submission
+  /// Whether its tasks may run on machines of this type.
   bool allows(TypeIndex type) const {
     return types.empty() || std::find(types.begin(), types.end(), type) != types.end();
   }
 };
 
-/// Name as written to logs and to the wire.
+/// Name used in logs and on the wire.
 const char* name_of(JobPhase phase);
-/// Name as written to logs and to the wire.
+/// Name used in logs and on the wire.
 const char* name_of(JobShape shape);
-/// Name as written to logs and to the wire.
+/// Name used in logs and on the wire.
 const char* name_of(EndCause cause);
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/cluster/job_table.h
+++ b/include/oxbowmill/cluster/job_table.h
@@ -1,5 +1,5 @@
-// Table of the jobs that this controller knows, by index and by name. Owns the jobs, their names and the set
-// of live jobs of each partition. Not thread-safe. References to a job stay valid until it is erased.
+// Table of the jobs that this controller knows, by index and by name. Owns the jobs, their names and the sets
+// of live jobs by partition. Not thread-safe. References to a job stay valid until it is erased.
 #pragma once
 
 #include <cstddef>
@@ -13,33 +13,34 @@
 
 namespace oxbowmill {
 
-/// The known jobs. A job is live while it has a record; it is kept while anything of it is left.
+/// The known jobs. A job is live while it has a record. It is kept while it has a record, chunks or
+/// placements.
 class JobTable {
  public:
-  /// For partitions with indices below `partition_count`.
+  /// Starts empty, for partitions with indices below `partition_count`.
   explicit JobTable(std::size_t partition_count) : live_(partition_count) {}
 
-  /// The job's index, or an invalid one where nothing of it is known.
+  /// The job's index, or an invalid one if the job is not known.
   [[nodiscard]] JobIndex find(const std::string& ref) const;
-  /// The job's index; adds an empty job under a new name.
+  /// The job's index. Adds an empty job if the name is new.
   JobIndex intern(const std::string& ref);
   /// A known job. Throws std::out_of_range for any other.
   Job& at(JobIndex job_index) { return jobs_.at(job_index.value); }
   /// A known job. Throws std::out_of_range for any other.
   const Job& at(JobIndex job_index) const { return jobs_.at(job_index.value); }
-  /// Null where neither record nor placement of it is known.
+  /// The job, or null if it is not known; a known job may have placements but no record.
   [[nodiscard]] const Job* known(JobIndex job_index) const;
-  /// Null where it has no record.
+  /// The job, or null if it has no record.
   [[nodiscard]] Job* live(JobIndex job_index);
-  /// Null where it has no record.
+  /// The job, or null if it has no record.
   [[nodiscard]] const Job* live(JobIndex job_index) const;
   /// Jobs of the partition that have a record.
   const std::set<JobIndex>& live_in(PartitionIndex partition) const { return live_[partition.value]; }
-  /// Lists the job among the live ones of its partition.
+  /// Adds the job to the live jobs of its partition.
   void list_live(JobIndex job_index);
-  /// Takes the job off that list; without effect where its partition never became known.
+  /// Removes the job from the live jobs of its partition. Has no effect if its partition never became known.
   void unlist_live(JobIndex job_index);
-  /// Erases the job if neither record nor chunk nor placement of it is left; says whether it did.
+  /// Erases the job if it has no record, no chunk and no placement. Returns whether it was erased.
   [[nodiscard]] bool erase_if_unused(JobIndex job_index);
 
  private:
--- a/include/oxbowmill/cluster/machine_record.h
+++ b/include/oxbowmill/cluster/machine_record.h
@@ -8,26 +8,26 @@
 
 namespace oxbowmill {
 
-/// What the record says is to become of a machine.
+/// Mark in a machine's record.
 enum class MachineMark : std::uint8_t {
   none,      ///< in use
-  deleting,  ///< a delete may have been sent to the cloud
+  deleting,  ///< a deletion may have been sent to the cloud
 };
 
 /// The record of a machine.
 struct MachineRecord {
   PartitionIndex partition;              ///< partition that it belongs to
-  TypeIndex type;                        ///< its type
-  ZoneIndex zone;                        ///< where it is
+  TypeIndex type;                        ///< machine type
+  ZoneIndex zone;                        ///< zone that it is in
   bool spot = false;                     ///< whether it is a spot machine
   MachineMark mark = MachineMark::none;  ///< marked for deletion
-  /// The leader asks the owner to drain it and hand it over to this partition.
+  /// Partition for which the leader asks the owner to drain the machine and hand it over; invalid: none.
   PartitionIndex requested_by;
-  /// Had reported when it was registered: its next owner need not wait for a boot.
+  /// It had reported when it was registered, so its next owner need not wait for it to boot.
   bool has_booted = false;
-  /// Valid for a machine of a market. Such a market's statement that the machine is gone proves nothing.
+  /// Market that delivered it; invalid: none. A market's statement that its machine is gone proves nothing.
   MarketIndex market = {};
-  std::string bid = {};  ///< bid that it was delivered for; empty: none
+  std::string bid = {};  ///< name of the bid that it was delivered for; empty: none
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/cluster/machine_table.h
+++ b/include/oxbowmill/cluster/machine_table.h
@@ -1,6 +1,6 @@
-// Table of the machines that this controller knows. Owns the machines, the sets of machines of each partition
-// and the list of machines changed since it was last taken. Not thread-safe. Adding a machine invalidates
-// references to machines.
+// Table of the machines that this controller knows. Owns the machines, the sets of machines by partition
+// and the list of machines that have changed since that list was last taken. Not thread-safe. Adding a
+// machine invalidates references to machines.
 #pragma once
 
 #include <cstddef>
@@ -12,31 +12,31 @@
 
 namespace oxbowmill {
 
-/// The known machines, and which of them may have changed.
+/// The known machines, and the list of those that may have changed.
 class MachineTable {
  public:
-  /// For partitions with indices below `partition_count`.
+  /// Starts empty, for partitions with indices below `partition_count`.
   explicit MachineTable(std::size_t partition_count) : in_(partition_count), requested_by_(partition_count) {}
 
-  /// Adds empty machines up to and with this index.
+  /// Adds empty machines up to and including this index.
   void add(MachineIndex machine_index);
-  /// Number of indices in use; machines without a record count.
+  /// Number of indices in use, including machines without a record.
   std::uint32_t size() const { return static_cast<std::uint32_t>(machines_.size()); }
-  /// A machine that was added, for reading.
+  /// A machine, for reading. The index must have been added.
   const Machine& at(MachineIndex machine_index) const { return machines_[machine_index.value]; }
-  /// A machine that was added, for changing: it counts as changed.
+  /// A machine, for modification; marks it as changed. The index must have been added.
   Machine& edit(MachineIndex machine_index) {
     mark_changed(machine_index);
     return machines_[machine_index.value];
   }
-  /// Lists the machine among the changed ones, once.
+  /// Adds the machine to the list of changed machines, unless it is already there.
   void mark_changed(MachineIndex machine_index) {
     Machine& machine = machines_[machine_index.value];
     if (machine.change_noted) return;
     machine.change_noted = true;
     changed_.push_back(machine_index);
   }
-  /// Machines changed since this was last called, each once, in order of their first change.
+  /// Machines changed since the last call, each once, in order of their first change.
   [[nodiscard]] std::vector<MachineIndex> take_changed();
   /// Whether the index is in use and the state service holds a record of the machine.
   bool is_recorded(MachineIndex machine_index) const;
@@ -47,9 +47,9 @@
   const std::set<MachineIndex>& requested_by(PartitionIndex partition) const {
     return requested_by_[partition.value];
   }
-  /// Takes over a new record, and lists the machine by what it says.
+  /// Stores a new record of the machine and updates the sets by partition.
   void set_record(MachineIndex machine_index, const MachineRecord& record, Revision revision);
-  /// Notes that the record is gone.
+  /// Marks the machine as having no record and removes it from the sets by partition.
   void erase_record(MachineIndex machine_index);
 
  private:
--- a/include/oxbowmill/cluster/machine_type.h
+++ b/include/oxbowmill/cluster/machine_type.h
@@ -1,4 +1,4 @@
-// What the platform offers: machine types, and the kinds of machine that can be requested. Plain data.
+// Machine types that the cloud offers, and the kinds of machine that can be requested. Plain data.
 #pragma once
 
 #include <tuple>
@@ -11,25 +11,25 @@
 
 /// An entry of the cloud's catalogue.
 struct MachineType {
-  Resources capacity;            ///< of the whole machine
-  double cache_gb = 0;           ///< size of the image cache
-  double fetch_gb_per_s = 0;     ///< rate at which images are fetched
-  double price = 0;              ///< on demand, per hour
-  double spot_price = 0;         ///< as spot machine, per hour
-  double boot_s = 0;             ///< from the request to the first report, typically
-  std::vector<ZoneIndex> zones;  ///< where it is offered
+  Resources capacity;            ///< resources of the whole machine
+  double cache_gb = 0;           ///< size of the image cache, in GB
+  double fetch_gb_per_s = 0;     ///< rate at which images are fetched, in GB/s
+  double price = 0;              ///< price per hour on demand, in the currency
+  double spot_price = 0;         ///< price per hour as a spot machine, in the currency
+  double boot_s = 0;             ///< typical time from the request to the first report, in seconds
+  std::vector<ZoneIndex> zones;  ///< zones in which it is offered
 };
 
 /// A kind of machine that can be requested.
 struct MachineKind {
-  TypeIndex type;     ///< its type
-  ZoneIndex zone;     ///< where it is
-  bool spot = false;  ///< may be taken back by the cloud
-  /// By type, zone and spot, in this order.
+  TypeIndex type;     ///< machine type
+  ZoneIndex zone;     ///< zone of the machine
+  bool spot = false;  ///< whether it is a spot machine, which the cloud may take back
+  /// Orders by type, then zone, then spot.
   friend bool operator<(const MachineKind& a, const MachineKind& b) {
     return std::tie(a.type, a.zone, a.spot) < std::tie(b.type, b.zone, b.spot);
   }
-  /// Equal in all three.
+  /// Whether type, zone and spot are equal.
   friend bool operator==(const MachineKind& a, const MachineKind& b) {
     return a.type == b.type && a.zone == b.zone && a.spot == b.spot;
   }
--- a/include/oxbowmill/cluster/ownership_table.h
+++ b/include/oxbowmill/cluster/ownership_table.h
@@ -1,5 +1,5 @@
-// Who owns each partition, and which controllers hold a lease. Owns both tables; fed by durable records only.
-// Not thread-safe.
+// Owners of partitions, and controllers that hold a lease. Owns both tables; only durable records change
+// them. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -15,31 +15,32 @@
 /// A partition's owner.
 struct Ownership {
   OwnershipRecord record;         ///< valid while `revision` is not `no_record`
-  Revision revision = no_record;  ///< of the record; fencing tokens of the owner start here
+  Revision revision = no_record;  ///< revision of the record, the lowest fencing token of this owner
   Seconds since = 0;              ///< when this node learned of it
 };
 
-/// A live controller and since when this node has known of its present lease.
+/// A controller that holds a lease.
 struct LiveController {
-  OwnershipRecord record;  ///< its registration
-  Seconds since = 0;       ///< when this node learned of its present lease
+  OwnershipRecord record;  ///< registration of the controller
+  Seconds since = 0;       ///< when this node learned of the controller's present lease
 };
 
-/// Owners and live controllers.
+/// Owners of partitions and live controllers.
 class OwnershipTable {
  public:
-  /// For partitions with indices below `partition_count`.
+  /// Starts without owners, for partitions with indices below `partition_count`.
   explicit OwnershipTable(std::size_t partition_count) : ownerships_(partition_count) {}
 
-  /// The partition's owner; its revision is `no_record` where there is none.
+  /// The partition's owner; its revision is `no_record` if there is none.
   const Ownership& ownership(PartitionIndex partition) const { return ownerships_[partition.value]; }
   /// Live controllers by name.
   const std::map<std::string, LiveController>& controllers() const { return controllers_; }
-  /// Takes over a partition's owner; null: it has none any longer.
+  /// Sets the partition's owner; null: it no longer has one.
   void set_owner(PartitionIndex partition, const OwnershipRecord* record, Revision revision, Seconds now);
-  /// Takes over a controller's registration; null: its lease has ended.
+  /// Sets a controller's registration; null: its lease has ended.
   void set_controller(const std::string& name, const OwnershipRecord* record, Seconds now);
-  /// When this node learned of the last of the present leases of these controllers; none if one is missing.
+  /// Time by which this node had learned of the present lease of each of these controllers. Empty if one of
+  /// them holds no lease.
   [[nodiscard]] std::optional<Seconds> all_live_since(const std::vector<std::string>& names) const;
 
  private:
--- a/include/oxbowmill/cluster/records.h
+++ b/include/oxbowmill/cluster/records.h
@@ -1,4 +1,4 @@
-// All durable records and the transactions over them in one include.
+// Includes all durable records and the transactions over them.
 #pragma once
 
 #include <map>
--- a/include/oxbowmill/cluster/start_deadline.h
+++ b/include/oxbowmill/cluster/start_deadline.h
@@ -1,5 +1,5 @@
-// The start deadline of jobs: by when the last task has to be sent out, and what changes as it comes near
-// (docs/start-deadlines.md). Pure functions. Times in seconds.
+// Start deadline of jobs: by when the start command of the last task has to be sent, and how scheduling
+// changes as that time comes near (docs/start-deadlines.md). Pure functions. Times in seconds.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,28 @@
 
 namespace oxbowmill {
 
-/// How pressing it is that a task of a job is sent out that has not started yet.
+/// How urgent it is to start the tasks of a job that have never started. Each level includes the effects of
+/// the levels before it.
 enum class StartDeadline : std::uint8_t {
   relaxed,          ///< ordered by priority, deadline and age as usual
-  not_preemptible,  ///< not preempted before it has started
-  urgent,           ///< first within its priority as well
-  critical,         ///< before other priorities as well, as far as `start_deadline_share` goes
+  not_preemptible,  ///< tasks are not preempted before they have started
+  urgent,           ///< the job goes first within its priority
+  critical,         ///< it goes ahead of other priorities, within `start_deadline_share`
 };
-/// Name for logs.
+/// Name used in logs.
 const char* name_of(StartDeadline deadline);
 
-/// Time for fetching the job's image on the slowest allowed type, on a slow machine, beside another image
-/// where tasks share a machine.
+/// Seconds to fetch the job's image on the slowest allowed type, on a machine that is slower than its type,
+/// and beside another image where tasks share a machine.
 Seconds longest_image_fetch_s(const ClusterState& state, const JobSpec& spec);
-/// Seconds until a task of this job has to be sent out so that it runs in time, its image's fetch included.
-/// Below 0: it is too late. Infinite where operators set no start deadline.
+/// Seconds that are left to send the start command of a task of this job so that it runs in time, allowing
+/// for the fetch of its image. Below 0: it is too late. Infinite if operators set no start deadline.
 Seconds start_deadline_slack(const ClusterState& state, const JobSpec& spec, double wall);
-/// How pressing it is, by the slack alone.
+/// Urgency of the job's start, by its slack alone.
 StartDeadline start_deadline_of(const ClusterState& state, const JobSpec& spec, double wall);
-/// Whether a pending task of the job has never started.
+/// Whether any pending task of the job has never started.
 bool awaits_first_start(const Job& job);
-/// Whether the task may be preempted: it has started, or its job has time enough to start again.
+/// Whether the task may be preempted: it has started, or there is enough time to start it again.
 bool is_preemptible(const ClusterState& state, const Job& job, const Placement& placement, Clock clock);
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/cluster/token_bucket.h
+++ b/include/oxbowmill/cluster/token_bucket.h
@@ -1,29 +1,29 @@
-// A rate limit with a burst, for calls, writes and commands. Pure arithmetic over given times. Not
-// thread-safe.
+// Token bucket that limits the rate of calls, writes and commands. Pure arithmetic on the times passed in.
+// Not thread-safe.
 #pragma once
 
 #include <algorithm>
 
 namespace oxbowmill {
 
-/// Tokens that refill at a rate, up to a burst. Times in seconds of the steady clock.
+/// Tokens that refill at a constant rate, up to a burst. Times are in seconds of the steady clock.
 class TokenBucket {
  public:
-  /// `rate` tokens a second; up to `burst` at once. Starts full.
+  /// Refills `rate` tokens per second and holds at most `burst`. Starts full.
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
-  /// Changes rate and burst; tokens that are there stay.
+  /// Changes rate and burst; keeps the tokens that are available.
   void set_rate(double rate, double burst) {
     rate_ = rate;
     burst_ = burst;
   }
-  /// Takes so many tokens, if they (or a full burst) are there; says whether it did.
+  /// Takes `tokens` if that many (or a full burst) are available. Returns whether it did.
   bool take(double tokens, double now) {
     refill(now);
     if (tokens_ < std::min(tokens, burst_)) return false;
     tokens_ -= tokens;
     return true;
   }
-  /// Seconds until so many can be taken.
+  /// Seconds until `take` of the same number succeeds.
   double wait_for(double tokens, double now) {
     refill(now);
     double missing = std::min(tokens, burst_) - tokens_;
--- a/include/oxbowmill/cluster/types.h
+++ b/include/oxbowmill/cluster/types.h
@@ -1,5 +1,5 @@
-// The shared vocabulary in one include: indices, resources, job specifications, machine types, agent
-// messages.
+// Includes the basic types that all packages share: indices, resources, job specifications, machine types and
+// agent messages.
 #pragma once
 
 #include "oxbowmill/cluster/agent_messages.h"
--- a/include/oxbowmill/decisions/combined_constraints.h
+++ b/include/oxbowmill/decisions/combined_constraints.h
@@ -1,5 +1,5 @@
-// Placement constraints of several sources (releases, models) as one. Owns the list of sources, not the
-// sources: they must outlive it. Used on the controller's loop only.
+// Combines the placement constraints of several sources (releases, models). Owns the list of sources but
+// not the sources, which must outlive it. Used only on the controller's event loop.
 #pragma once
 
 #include <vector>
@@ -8,12 +8,12 @@
 
 namespace oxbowmill::decisions {
 
-/// Asks every source in the order of `add`; each can only narrow the limits, so the strictest one decides.
+/// Applies every source in the order of `add`. Each can only narrow the limits, so the strictest one decides.
 class CombinedConstraints : public PlacementConstraints {
  public:
-  /// Adds a source, which must not be null and is not owned.
+  /// Adds a source. It must not be null and is not owned.
   void add(const PlacementConstraints* source) { sources_.push_back(source); }
-  /// Whether there is no source, so that nothing is constrained.
+  /// Whether there are no sources, so that nothing is constrained.
   [[nodiscard]] bool empty() const { return sources_.empty(); }
   /// Narrows `limits` by every source.
   void constrain(JobIndex job, PlacementLimits& limits) const override;
--- a/include/oxbowmill/decisions/decision_kind.h
+++ b/include/oxbowmill/decisions/decision_kind.h
@@ -1,5 +1,5 @@
 // Kinds of durable decisions: the states of each kind, the strings that records store for them, and the
-// changes of state that are allowed. Constant tables: they own no state and may be read from any thread.
+// allowed changes of state. The tables are constant and may be read from any thread.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 /// The states of a kind of decision and the allowed changes between them.
 struct DecisionKind {
   /// One allowed change of state, by stored names; "" stands for "no record yet". A change from a state to
-  /// itself alters the counts and notes of the record only.
+  /// itself changes only the counts and notes of the record.
   struct Transition {
     std::string from;  ///< stored name of the state before the change
     std::string to;    ///< stored name of the state after it
@@ -22,12 +22,12 @@
 
   /// Whether `transitions` contains this change.
   [[nodiscard]] bool allows(const std::string& from, const std::string& to) const;
-  /// Key of the record for `subject` (a release, a model): `<kind>/<subject>`.
+  /// Key of the record of `subject` (for example a release or a model): `<kind>/<subject>`.
   [[nodiscard]] std::string key(const std::string& subject) const { return name + "/" + subject; }
 };
 
-/// Table of a kind's states and of the strings that stand for them in stored records. The strings are stored
-/// data: they may not change.
+/// Table of a kind's states and of the strings that represent them in stored records. The strings must not
+/// change, because existing records contain them.
 template <class State, std::size_t Size>
 struct StateNames {
   /// One row of the table.
@@ -44,7 +44,8 @@
     }
     return {};
   }
-  /// The state that a record names; `unknown` where the table has no such name (written by a later version).
+  /// The state that a record names; `unknown` if the table has no such name, because a later version wrote
+  /// it.
   [[nodiscard]] State parse(std::string_view stored, State unknown) const {
     for (const Entry& entry : entries) {
       if (entry.stored == stored) return entry.state;
--- a/include/oxbowmill/decisions/open_jobs.h
+++ b/include/oxbowmill/decisions/open_jobs.h
@@ -5,8 +5,8 @@
 
 namespace oxbowmill::decisions {
 
-/// Calls `visit(job_index, job)` for each open job, by partition and then by job index. `visit` must not add
-/// or remove jobs.
+/// Calls `visit(job_index, job)` for each open job, in order of partition and then of job index. `visit`
+/// must not add or remove jobs.
 template <class Visit>
 void for_each_open_job(const ClusterState& state, Visit&& visit) {
   for (std::uint32_t partition = 1; partition < state.partition_count(); ++partition) {
--- a/include/oxbowmill/error.h
+++ b/include/oxbowmill/error.h
@@ -1,12 +1,12 @@
-// Base of the errors that oxbowmill throws; each package derives its own from it.
+// Base class of the exceptions that oxbowmill throws. Packages derive their own exception classes from it.
 #pragma once
 
 #include <stdexcept>
 
 namespace oxbowmill {
 
-/// Something outside the program was wrong: a file, an argument, an address, a peer. `what()` is one line for
-/// people.
+/// An error that is caused outside the program, for example by an invalid file, argument or address, or by a
+/// peer. `what()` is a one-line message for people.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/checkpoint/saved_progress.cpp
+++ b/src/checkpoint/saved_progress.cpp
@@ -26,7 +26,7 @@
   SavedProgress saved = {last_checkpoint(reached.low, checkpoint_interval_s),
                          last_checkpoint(reached.likely, checkpoint_interval_s),
                          last_checkpoint(reached.high, checkpoint_interval_s)};
-  // What was saved at an earlier stop may lie between two multiples: it is not lost again.
+  // Progress that was saved at an earlier stop may lie between two multiples of the interval; it is not lost.
   return {std::max(before.low, saved.low), std::max(before.likely, saved.likely),
           std::max(before.high, saved.high)};
 }
@@ -45,7 +45,8 @@
 }
 
 double remaining_run_time(double estimate_s, const SavedProgress& saved) {
-  // An estimate is often wrong by half: a task that ran longer than it is not expected to end at once.
+  // Estimates are often wrong by half, so a task that has run longer than its estimate is not expected to
+  // end at once.
   constexpr double min_remaining_share = 0.1;
   return std::max(estimate_s - saved.likely, min_remaining_share * estimate_s);
 }
--- a/src/cluster/accounting_tables.cpp
+++ b/src/cluster/accounting_tables.cpp
@@ -3,7 +3,7 @@
 namespace oxbowmill {
 
 namespace {
-/// Sets the record under its key, or removes it where the change has none.
+/// Sets the record under its key, or erases it if the change is a removal.
 template <class Record, class MapKey>
 void set_or_erase(std::map<MapKey, AccountingTables::Entry<Record>>& table, const MapKey& key,
                   const Change& change, Revision revision) {
--- a/src/cluster/apply_changes.cpp
+++ b/src/cluster/apply_changes.cpp
@@ -1,4 +1,4 @@
-// How durable changes enter the cluster state.
+// Application of durable changes to the cluster state.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr Seconds max_assumed_wait_s = 3600;  // of a job whose submission this node did not see
+constexpr Seconds max_assumed_wait_s = 3600;  // for a job whose submission this node did not see
 
-/// How much of a machine one task takes up, on the allowed type that holds most of them.
+/// Fraction of a machine that one task takes up, on the allowed type that holds the most of these tasks.
 double machine_fraction(const JobSpec& spec, const std::vector<MachineType>& catalog) {
   int most = 1;
   for (std::uint32_t type = 0; type < catalog.size(); ++type) {
@@ -29,7 +29,7 @@
       });
 }
 
-/// The new record of a change, null where it is a removal.
+/// The new record of a change, or null if it is a removal.
 template <class Record>
 const Record* record_of(const Change& change) {
   return std::get_if<Record>(&change.value);
@@ -74,12 +74,13 @@
 void ClusterState::add_job(JobIndex job_index, const JobSpec& spec, Seconds now) {
   Job& current_job = job(job_index);
   current_job.adopt_spec(spec);
-  // Placement records may have come first; what they use is counted once the job is known.
+  // Placement records may have been read first; their usage is counted once the job is known.
   for (const auto& [task, placement] : current_job.placements) {
     if (!is_off_machine(placement.state)) change_usage(current_job, placement, UsageChange::acquire);
     mark_image_used(edit_machine(placement.machine), current_job.spec);
   }
-  // A job that was accepted while no controller listened has waited since then, not since it was read.
+  // A job that was accepted while no controller was running has waited since its submission, not since its
+  // record was read.
   double age = wall_clock_offset_s != 0 ? now + wall_clock_offset_s - current_job.spec.submitted_at : 0;
   current_job.first_seen =
       age > Settings::clock_skew_tolerance_s ? now - std::min(age, max_assumed_wait_s) : now;
@@ -93,7 +94,7 @@
   jobs_.unlist_live(job_index);
   Job& current_job = job(job_index);
   current_job.revision = no_record;
-  // Its final phase is kept elsewhere; here nothing of it may start any more.
+  // The final phase is stored under another key. In this table none of the job's tasks may start any more.
   if (current_job.phase == JobPhase::open) current_job.phase = JobPhase::cancelled;
   erase_if_unused(job_index);
 }
@@ -178,7 +179,7 @@
                                     }),
                      placed_tasks.end());
   if (placed_tasks.empty()) {
-    current_machine.used = {};  // sums of decimals must not drift
+    current_machine.used = {};  // prevents rounding errors from accumulating
     current_machine.idle_since = now;
   }
   current_job.placements.erase(placement_it);
@@ -205,13 +206,14 @@
   } else if (moved) {
     current_machine.inherited = false;
     current_machine.restart_session(now);
-    // A machine is moved only with nothing possibly on it, so there is usually nothing to reconcile.
+    // A machine is moved only when no task can be on it, so there is usually nothing to reconcile.
     set_state(machine_index, current_machine.initial_state(), now);
   }
 }
 
 void ClusterState::remove_machine_record(MachineIndex machine_index, Seconds now) {
-  // The record goes only after the cloud confirmed the deletion: everything on the machine is gone.
+  // The record is removed only after the cloud has confirmed the deletion, so every task on the machine is
+  // gone.
   for (TaskId id : edit_machine(machine_index).placed_tasks) {
     Placement* placement = edit_placement(id);
     if (placement == nullptr || placement->state == PlacementState::finished) continue;
--- a/src/cluster/capacity_usage.cpp
+++ b/src/cluster/capacity_usage.cpp
@@ -3,7 +3,7 @@
 namespace oxbowmill {
 
 namespace {
-/// Counters are unsigned: adding the converted -1 subtracts one.
+/// Change of an unsigned counter: adding the converted -1 subtracts one.
 std::uint32_t count_change(UsageChange change) {
   return static_cast<std::uint32_t>(static_cast<int>(change));
 }
@@ -14,7 +14,7 @@
   machine.reserved += amount;
   machine.reservations += count_change(change);
   by_team_[spec.partition.value] += amount;
-  if (machine.reservations == 0) machine.reserved = {};  // sums of decimals must not drift
+  if (machine.reservations == 0) machine.reserved = {};  // prevents rounding errors from accumulating
 }
 
 void CapacityUsage::place(Machine& machine, const Job& job, UsageChange change) {
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -48,7 +48,7 @@
 }
 
 void ClusterState::mark_image_used(Machine& current_machine, const JobSpec& spec) {
-  if (!spec.image.valid()) return;  // a placement record that came before its job's
+  if (!spec.image.valid()) return;  // the placement's record was read before the job's
   if (image_gb.size() <= spec.image.value) image_gb.resize(spec.image.value + 1, 0);
   image_gb[spec.image.value] = spec.image_gb;
   TypeIndex type = current_machine.record.type;
@@ -98,7 +98,8 @@
   SPDLOG_DEBUG("task state changed task={}/{} machine={} attempt={} from={} to={}", current_job.spec.ref,
                placement.task, names.machines.name(placement.machine), placement.attempt,
                name_of(placement.state), name_of(new_state));
-  // Capacity is free from the proof on: the record may follow when it is convenient.
+  // Capacity is free as soon as the task is proved to be off its machine; the durable record may follow
+  // later.
   if (is_off_machine(new_state) != is_off_machine(placement.state))
     change_usage(current_job, placement,
                  is_off_machine(new_state) ? UsageChange::release : UsageChange::acquire);
--- a/src/cluster/failover.cpp
+++ b/src/cluster/failover.cpp
@@ -1,4 +1,4 @@
-// What a controller does with its tables when it becomes a partition's owner.
+// Preparation of a controller's tables when it becomes a partition's owner.
 #include <algorithm>
 
 #include "oxbowmill/cluster/cluster_state.h"
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// 0 would mean that no start was sent.
+/// Lower bound of Placement::started_at after a failover, because 0 means that no start command was sent.
 constexpr Seconds earliest_start = 1e-3;
 
-/// Brings machines, placements and jobs of one partition into the state of a new owner, who knows the durable
-/// facts but nothing of what its predecessor sent or heard.
+/// Resets the machines, placements and jobs of one partition to the view of a new owner, which knows the
+/// durable facts but nothing of what its predecessor sent or received.
 class PartitionFailover {
  public:
   PartitionFailover(ClusterState& state, Seconds now) : state_(state), now_(now) {}
@@ -26,7 +26,8 @@
   void inherit_machine(MachineIndex machine_index) {
     Machine& machine = state_.edit_machine(machine_index);
     machine.restart_session(now_);
-    // An owner in between may have moved the machine: the revision of our ownership is higher than this one.
+    // This revision no longer counts, because an owner in between may have moved the machine. The fencing
+    // token does not decrease, because the revision of the present ownership is higher.
     machine.last_placement_revision = no_record;
     machine.inherited = true;
     if (machine.state != MachineState::deleting)
@@ -44,17 +45,18 @@
     continue_predecessors_clock(placement);
     placement.sent_report_sequence = placement.sent_agent_epoch = 0;
     placement.restart_requested = false;
-    // What this node knew from an earlier ownership is void: an owner in between may have started the task
-    // again.
+    // What this node knew from an earlier ownership no longer holds, because an owner in between may have
+    // started the task again.
     bool cancelled = job.phase == JobPhase::cancelled;
     placement.termination_timeout_s = cancelled ? 0 : job.spec.flush_s;
     bool stop = placement.restarting || cancelled;
     state_.set_state(placement, stop ? PlacementState::stopping : PlacementState::placed, now_);
   }
 
-  /// Where the record says when the task was placed, its run time goes on from then: a little late, since the
-  /// start order followed later and clocks differ. (Counted anew, a successor would flag slow tasks later
-  /// than an uninterrupted owner, and what then finishes would count as short and flag others too early.)
+  /// Counts the task's run time from its placement, if the record contains that time. The start is assumed
+  /// a little later, because the start command followed the placement and clocks differ. If the run time
+  /// were counted from the failover, the new owner would flag slow tasks later than an uninterrupted one,
+  /// and tasks that then finish would count as short and cause others to be flagged too early.
   void continue_predecessors_clock(Placement& placement) {
     Job& job = state_.job(placement.job);
     double submitted_at = job.spec.submitted_at;
@@ -64,8 +66,9 @@
     double late = state_.settings.report_interval_s + Settings::clock_skew_tolerance_s;
     double elapsed = now_ + state_.wall_clock_offset_s - submitted_at - placement.placed_after_s - late;
     placement.started_at = std::max(earliest_start, now_ - std::max(0.0, elapsed));
-    // The earlier owner saw it start: after a crash of all controllers every old job looked as if it never
-    // had, and one that really had not waited behind hundreds (374 s, with 250 machines lost).
+    // The earlier owner must have seen the task start. Without this, after a crash of all controllers every
+    // old job looked as if it had never started, and a job that really had not waited behind hundreds of
+    // others (374 s, with 250 machines lost).
     if (elapsed > longest_image_fetch_s(state_, job.spec) + counts_as_started_after_s)
       job.mark_started(placement.task);
   }
@@ -77,9 +80,10 @@
     terminate_orphans(job);
   }
 
-  /// A placement is written only beside its machine's record, and the record goes only once the machine is
-  /// certainly gone. The earlier owner knew that but may have ended before it wrote so: without this the task
-  /// would wait for ever for a machine that nobody can reach or delete.
+  /// Terminates the placements on machines that have no record. A placement is written only while its
+  /// machine has a record, and that record is removed only once the machine is certainly gone. The earlier
+  /// owner may have ended before it wrote the task's removal; the task would then wait forever for a
+  /// machine that nobody can reach or delete.
   void terminate_orphans(Job& job) {
     for (auto& [task, placement] : job.placements) {
       if (state_.machine(placement.machine).is_recorded()) continue;
--- a/src/cluster/job.cpp
+++ b/src/cluster/job.cpp
@@ -74,12 +74,13 @@
 
 void Job::record_termination(const Placement& placement, const Settings& settings, Seconds now) {
   if (!settings.progress.enabled || spec.checkpoint_interval_s <= 0 || placement.running_at < 0) return;
-  // A gang's progress is one. The first member of an attempt to leave decides what is saved: once it has left
-  // without saving, whatever another reports as stored is of no use (PROTOCOL, "Gangs").
+  // All members of a gang share one progress, which is decided by the first member that leaves an attempt:
+  // once it has left without saving, progress that another member reports as saved is of no use (PROTOCOL,
+  // "Gangs").
   if (is_gang() && checkpoint_attempt == placement.attempt) return;
   checkpoint_attempt = placement.attempt;
   checkpoint::RunTimeBounds run_time{placement.observed_run_s, now - placement.started_at};
-  // Members keep running, as far as reports show, for a while after one is lost.
+  // After one member is lost, reports show the others as running for a while although they make no progress.
   if (is_gang() && !placement.checkpoint_saved)
     run_time.min_s =
         std::max(0.0, run_time.min_s - settings.gang_peer_timeout_s - settings.report_interval_s);
@@ -98,7 +99,7 @@
   finished_run_times = checkpoint::run_times_by_finish(std::move(finishes));
   slow_baseline_s = time_not_set;
   unrecorded_finishes.clear();
-  // What has saved progress has started; of a gang all members.
+  // A task with saved progress has started. In a gang, all members have started.
   for (const auto& [first, progress] : checkpoints) {
     if (!progress.any()) continue;
     TaskNumber end = is_gang() ? spec.tasks : first + 1;
--- a/src/cluster/machine.cpp
+++ b/src/cluster/machine.cpp
@@ -42,7 +42,7 @@
   auto cached = std::find(cached_images.begin(), cached_images.end(), image);
   if (cached != cached_images.end()) cached_images.erase(cached);
   cached_images.push_back(image);
-  // The agent keeps the most recently used images that fit in its cache, and the newest in any case.
+  // The agent keeps the most recently used images that fit in its cache, and the newest image in any case.
   double free_gb = cache_gb;
   std::size_t evicted = cached_images.size();
   for (; evicted > 0; --evicted) {
--- a/src/cluster/resources.cpp
+++ b/src/cluster/resources.cpp
@@ -6,7 +6,7 @@
 namespace oxbowmill {
 
 int how_many_fit(const Resources& need, const Resources& available) {
-  double most = 1e6;  // for tasks that need nothing
+  double most = 1e6;  // result for tasks that need nothing
   auto limit = [&most](double needed, double capacity) {
     if (needed > 0) most = std::min(most, std::floor((capacity + resource_tolerance) / needed));
   };
--- a/src/cluster/settings.cpp
+++ b/src/cluster/settings.cpp
@@ -7,8 +7,8 @@
 }  // namespace
 
 double Settings::read_only_period_s() const {
-  // Controller lease, read-only period, machine lease and margins together stay below the cancel deadline: by
-  // then nothing is left of what an owner that was cut off kept alive.
+  // Controller lease, read-only period, machine lease and margins together must stay below the cancel
+  // deadline, so that by then no task runs any more that an owner kept alive while it was cut off.
   double left =
       cancel_deadline_s - operator_settings.controller_lease_s - lease_expiry_s() - 2 * safety_margin_s;
   return std::clamp(left, 0.0, max_read_only_period_s);
--- a/src/cluster/start_deadline.cpp
+++ b/src/cluster/start_deadline.cpp
@@ -6,15 +6,15 @@
 namespace oxbowmill {
 
 namespace {
-// Fraction of the start deadline that is left when a job is no longer preempted, when it is first within its
-// priority and when it goes before other priorities. What is put first costs others their deadlines, and
-// where capacity never suffices all would be put first in the end: so as late as capacity can still be
-// gathered.
+// Fractions of the start deadline. When the slack falls below them, a job is no longer preempted, goes
+// first within its priority, and goes ahead of other priorities. Jobs that are put first cost others their
+// deadlines, and where capacity never suffices all jobs would be put first in the end. The fractions are
+// therefore so small that there is just enough time left to gather capacity.
 constexpr double not_preemptible_share = 0.4;
 constexpr double urgent_share = 0.25;
 constexpr double critical_share = 0.12;
-// A machine may fetch a third slower than its type says; where several tasks fit, the fetch of another's
-// image may share its rate for as long.
+// A machine may fetch at two thirds of its type's rate. Where several tasks fit on a machine, the fetch of
+// another image may share the rate for the duration of one fetch at the type's rate.
 constexpr double slow_fetch_factor = 1.5;
 constexpr double shared_fetch_factor = 1;
 
@@ -65,7 +65,8 @@
 
 bool is_preemptible(const ClusterState& state, const Job& job, const Placement& placement, Clock clock) {
   if (job.has_started(placement.task) || placement.has_started(clock.now)) return true;
-  // A controller that is not the owner gets no reports: the task counts as started when it should have.
+  // A controller that is not the owner gets no reports, so the task counts as started once it should have
+  // started.
   if (clock.now - placement.known_at > counts_as_started_after_s + longest_image_fetch_s(state, job.spec) +
                                            2 * state.settings.report_interval_s)
     return true;
--- a/src/decisions/decision_log.cpp
+++ b/src/decisions/decision_log.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double min_burst_writes =
-    4;  // so that a slow state service still allows a round of changes at once
+    4;  // allows a round of changes at once even if the state service's write rate is low
 
 bool is_allowed_change(const DecisionKind& kind, const Decision* current, const DecisionRecord& next) {
   if (current == nullptr) return kind.allows("", next.state);
@@ -46,8 +46,8 @@
                                  PartitionIndex partition, Clock clock, Effects& out, bool urgent,
                                  std::vector<Guard> additional_guards) {
   const std::string key = kind.key(name);
-  // Until the outcome of an earlier change is known, nobody knows the record that the next one would be based
-  // on; a second change could also be overtaken by a late copy of the first.
+  // Until the outcome of an earlier change is known, the record that the next change would be based on is not
+  // known either. A late copy of the first change could also overtake the second.
   if (has_pending_change(kind, name)) return ChangeResult::in_flight;
   if (partition.valid() && !scheduler_.owns(partition)) return ChangeResult::not_owner;
   const Decision* current = find(kind, name);
@@ -57,7 +57,7 @@
                  from.empty() ? "none" : from, next.state, next.epoch);
     return ChangeResult::invalid_transition;
   }
-  // Urgent changes use the budget too, so that the others are delayed in their favour.
+  // Urgent changes also use up the budget, so that other changes are delayed in their favour.
   if (!write_budget_.take(1, clock.now) && !urgent) return ChangeResult::rate_limited;
   next.sequence = current == nullptr ? 1 : current->record.sequence + 1;
   const bool begins_epoch = current != nullptr && next.epoch != current->record.epoch;
--- a/src/lease/controller_lease.cpp
+++ b/src/lease/controller_lease.cpp
@@ -31,10 +31,10 @@
   return count;
 }
 
-/// A controller's place among those that may acquire a partition; the lowest goes first.
+/// Sort key of a controller among those that may acquire a partition; the lowest goes first.
 struct Candidate {
-  std::size_t owned = 0;    // partitions that it owns
-  std::size_t rotated = 0;  // position that differs by partition
+  std::size_t owned = 0;    // number of partitions that it owns
+  std::size_t rotated = 0;  // position among all controllers, rotated by the partition's index
   std::string name;
   bool operator<(const Candidate& other) const {
     return std::tie(owned, rotated, name) < std::tie(other.owned, other.rotated, other.name);
@@ -54,7 +54,8 @@
                              const std::vector<std::string>& all) {
   std::vector<Candidate> order;
   for (std::size_t i = 0; i < all.size(); ++i) {
-    // Among equals each partition prefers another controller, so that they spread at the start.
+    // Among controllers that own equally many, each partition prefers a different one, so that partitions are
+    // spread at the start.
     std::size_t rotated = (i + all.size() - partition.value % all.size()) % all.size();
     order.push_back({partitions_owned(state, all[i]), rotated, all[i]});
   }
