--- a/include/oxbowmill/checkpoint/saved_progress.h
+++ b/include/oxbowmill/checkpoint/saved_progress.h
@@ -23,26 +23,26 @@
   double likely = 0;  ///< estimate
   double high = 0;    ///< upper bound
   /// Whether any progress may have been saved.
-  bool any() const { return high > 0; }
+  bool may_be_nonzero() const { return high > 0; }
 };
 
 /// Bounds on how long an attempt ran, in seconds.
 struct RunTimeBounds {
-  double min_s = 0;  ///< lower bound: the time for which reports showed it running
+  double min_s = 0;  ///< lower bound, from the reports that showed it running
   double max_s = 0;  ///< upper bound
 };
 
 /// Progress after an attempt that did not save when it ended: it keeps the last multiple of
 /// `checkpoint_interval_s` that it passed. Zero if the interval is 0 (the task never saves).
-SavedProgress after_loss(const SavedProgress& before, const RunTimeBounds& run_time,
-                         double checkpoint_interval_s, const Settings& settings);
+SavedProgress progress_after_unsaved_end(const SavedProgress& before, const RunTimeBounds& run_time,
+                                         double checkpoint_interval_s, const Settings& settings);
 /// Progress after an attempt that was stopped and whose agent reported its progress as saved. Zero if
 /// `checkpoint_interval_s` is 0 (the task never saves).
-SavedProgress after_store(const SavedProgress& before, const RunTimeBounds& run_time,
-                          double checkpoint_interval_s, const Settings& settings);
+SavedProgress progress_after_saved_stop(const SavedProgress& before, const RunTimeBounds& run_time,
+                                        double checkpoint_interval_s, const Settings& settings);
 /// Combines two statements about the same task: takes the greater of each bound, so that a lower bound never
 /// decreases, and keeps `low` <= `likely` <= `high`.
-SavedProgress merged(const SavedProgress& a, const SavedProgress& b);
+SavedProgress merge(const SavedProgress& a, const SavedProgress& b);
 
 /// Run time that the task still needs, in seconds, if its whole run time is the user's estimate `estimate_s`.
 double remaining_run_time(double estimate_s, const SavedProgress& saved);
--- a/include/oxbowmill/cluster/accounting_records.h
+++ b/include/oxbowmill/cluster/accounting_records.h
@@ -39,7 +39,7 @@
 
 /// Running statistics of a market's behaviour, each with the weight of the samples behind it. The weights of
 /// old samples decay.
-struct Evidence {
+struct MarketEvidence {
   double delivered = 0;     ///< machines delivered, with decay
   double undelivered = 0;   ///< machines promised and not delivered, with decay
   double delay_weight = 0;  ///< weight of the delay samples
@@ -54,7 +54,7 @@
 struct MarketRecord {
   bool suspended = false;  ///< no new bids until an operator reopens it: it overcharged or broke the protocol
   std::string reason;      ///< why it was suspended, for people
-  Evidence evidence;       ///< observed behaviour
+  MarketEvidence evidence;  ///< observed behaviour
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/cluster/capacity_usage.h
+++ b/include/oxbowmill/cluster/capacity_usage.h
@@ -25,18 +25,18 @@
   explicit CapacityUsage(std::size_t partition_count) : by_team_(partition_count) {}
 
   /// Resources that the team's tasks and reservations use.
-  const Resources& of_team(PartitionIndex partition) const { return by_team_[partition.value]; }
+  const Resources& team_usage(PartitionIndex partition) const { return by_team_[partition.value]; }
   /// Capacity that ended tasks have freed since this controller started, measured in machines.
-  double freed_machines() const { return freed_machines_; }
+  double freed_machine_equivalents() const { return freed_machine_equivalents_; }
   /// Adds or removes the reservation for one task whose placement is being written.
-  void reserve(Machine& machine, const JobSpec& spec, UsageChange change);
+  void update_reserved(Machine& machine, const JobSpec& spec, UsageChange change);
   /// Adds or removes the usage of one placed task. The team's sum does not change while the job's record is
   /// missing, because the team is not known.
-  void place(Machine& machine, const Job& job, UsageChange change);
+  void update_used(Machine& machine, const Job& job, UsageChange change);
 
  private:
   std::vector<Resources> by_team_;
-  double freed_machines_ = 0;
+  double freed_machine_equivalents_ = 0;
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/cluster/cluster_state.h
+++ b/include/oxbowmill/cluster/cluster_state.h
@@ -67,10 +67,10 @@
   /// Limits that durable decisions set on the job's placements.
   PlacementLimits placement_limits(JobIndex job_index) const;
   /// Number of the job's pending tasks that durable decisions allow to be placed now.
-  std::uint32_t placeable_tasks(JobIndex job_index) const;
-  /// The lowest-numbered tasks that are neither done nor placed, at most `most`.
-  std::vector<TaskNumber> pending_tasks(Job& current_job, std::size_t most) const {
-    return current_job.pending_tasks(most);
+  std::uint32_t placeable_task_count(JobIndex job_index) const;
+  /// The lowest-numbered tasks that are neither done nor placed, at most `max_count`.
+  std::vector<TaskNumber> pending_tasks(Job& current_job, std::size_t max_count) const {
+    return current_job.pending_tasks(max_count);
   }
 
   // Machines.
@@ -92,7 +92,7 @@
   std::vector<MachineIndex> take_changed_machines() { return machines_.take_changed(); }
   /// Machines of the partition.
   const std::set<MachineIndex>& machines_of(PartitionIndex partition) const {
-    return machines_.in(partition);
+    return machines_.in_partition(partition);
   }
   /// Machines of other partitions that are to be handed over to this one.
   const std::set<MachineIndex>& machines_requested_by(PartitionIndex partition) const {
@@ -117,9 +117,9 @@
   /// written.
   void reserve(MachineIndex machine_index, const JobSpec& spec, int sign);
   /// Part of the team's quota that its tasks and reservations use.
-  const Resources& team_usage(PartitionIndex partition) const { return usage_.of_team(partition); }
+  const Resources& team_usage(PartitionIndex partition) const { return usage_.team_usage(partition); }
   /// Capacity that ended tasks have freed since this controller started, measured in machines.
-  double freed_machines() const { return usage_.freed_machines(); }
+  double freed_machine_equivalents() const { return usage_.freed_machine_equivalents(); }
 
   // Owners.
 
@@ -131,7 +131,7 @@
   const std::map<std::string, LiveController>& controllers() const { return owners_.controllers(); }
   /// Time by which this controller had learned of the present lease of every controller. Any response that a
   /// controller sent under an earlier lease was sent before that time. Below 0: a controller is missing.
-  Seconds all_reacquired_since() const;
+  Seconds all_leases_reacquired_since() const;
   /// Lowest fencing token that only the present owner can have given the machine.
   Revision lowest_fencing_token(const Machine& machine) const;
   /// Fencing token for the next response to the machine.
--- a/include/oxbowmill/cluster/job.h
+++ b/include/oxbowmill/cluster/job.h
@@ -74,22 +74,22 @@
   /// Bit per task: has started at some time, as far as this owner knows. If such a task is pending again,
   /// it is repeated; the job does not count as one that never started.
   std::vector<std::uint64_t> ever_started;
-  double machine_fraction = 1;   ///< fraction of a machine that one task takes up
-  std::uint32_t done_count = 0;  ///< number of done tasks
-  std::uint32_t scan_from = 0;   ///< words of `done_or_placed` before this one have no clear bit
+  double machine_fraction = 1;           ///< fraction of a machine that one task takes up
+  std::uint32_t done_count = 0;          ///< number of done tasks
+  std::uint32_t pending_scan_chunk = 0;  ///< chunks before this one have no pending task
 
   // Working state of the owner.
-  bool writing = false;                   ///< a transaction that concerns it is in flight
-  Seconds write_backoff_until = 0;        ///< no transactions until then, after one was refused or unanswered
-  Seconds done_marks_due = time_not_set;  ///< when postponed done marks are written; below 0: none
-  bool done_marks_urgent = false;         ///< other work waits for the done marks: they are not postponed
-  Seconds placement_backoff_until = 0;    ///< no placements until then, after errors of its tasks
-  Seconds last_placement_at = long_ago;   ///< when tasks of the job were last placed
-  std::uint32_t error_count = 0;          ///< consecutive errors of its tasks
-  Attempt broken_attempt = 0;             ///< attempt in which a gang member reported that it lost its peers
+  bool write_in_flight = false;     ///< a transaction that concerns it is in flight
+  Seconds write_backoff_until = 0;  ///< no transactions until then, after one was refused or unanswered
+  Seconds done_marks_due_at = time_not_set;  ///< when postponed done marks are written; below 0: none
+  bool done_marks_urgent = false;            ///< other work waits for the done marks: they are not postponed
+  Seconds placement_backoff_until = 0;       ///< no placements until then, after errors of its tasks
+  Seconds last_placement_at = long_ago;      ///< when tasks of the job were last placed
+  std::uint32_t error_count = 0;             ///< consecutive errors of its tasks
+  Attempt broken_attempt = 0;  ///< attempt in which a gang member reported that it lost its peers
   /// Since when no machines have been found for the other members of a partly placed gang; below 0: not so.
   Seconds unschedulable_since = time_not_set;
-  Seconds first_seen = 0;  ///< since when it has waited, by this node's steady clock
+  Seconds waiting_since = 0;  ///< since when it has waited, by this node's steady clock
   PendingReason pending_reason = PendingReason::queue_order;  ///< why its pending tasks have no machine
   Seconds pending_reason_logged_at = long_ago;                ///< when `pending_reason` was last logged
   std::vector<double> finished_run_times;  ///< in seconds, in order of finishing; for slow-task detection
@@ -118,14 +118,14 @@
     return phase == JobPhase::open ? spec.tasks - done_count - static_cast<std::uint32_t>(placements.size())
                                    : 0;
   }
-  /// The lowest-numbered pending tasks, at most `most`. Advances `scan_from`.
-  std::vector<TaskNumber> pending_tasks(std::size_t most);
+  /// The lowest-numbered pending tasks, at most `max_count`. Advances `pending_scan_chunk`.
+  std::vector<TaskNumber> pending_tasks(std::size_t max_count);
   /// Takes over the specification when the job's record is first read. Keeps chunks and placements that were
   /// read before it.
-  void adopt_spec(const JobSpec& new_spec);
-  /// Applies a chunk record. `busy` has a bit for each of its done and placed tasks.
+  void set_spec(const JobSpec& new_spec);
+  /// Applies a chunk record. `done_or_placed_bits` has a bit for each of its done and placed tasks.
   void update_chunk(std::uint32_t position, const ChunkRecord& record, Revision new_revision,
-                    std::uint64_t busy);
+                    std::uint64_t done_or_placed_bits);
   /// Estimates what a task can resume from after it has left its machine without finishing. Has no effect
   /// unless progress is estimated, the job saves checkpoints and the task was seen running.
   void record_termination(const Placement& placement, const Settings& settings, Seconds now);
--- a/include/oxbowmill/cluster/job_spec.h
+++ b/include/oxbowmill/cluster/job_spec.h
@@ -40,15 +40,15 @@
 };
 /// Why a task ended, as its agent reports it.
 enum class EndCause : std::uint8_t {
-  none,         ///< has not ended, or its end was never reported
-  done,         ///< finished
-  stopped,      ///< killed by a controller's command
-  peers_lost,   ///< a gang member lost contact with its peers
-  incomplete,   ///< not all members of the gang arrived in time
-  error,        ///< the program or its image failed
-  no_capacity,  ///< start refused: not enough free resources
-  busy,         ///< start refused: another attempt is on the machine
-  no_such,      ///< start refused: no such job or task
+  none,              ///< has not ended, or its end was never reported
+  done,              ///< finished
+  stopped,           ///< killed by a controller's command
+  peers_lost,        ///< a gang member lost contact with its peers
+  gang_incomplete,   ///< not all members of the gang arrived in time
+  error,             ///< the program or its image failed
+  no_capacity,       ///< start refused: not enough free resources
+  attempt_conflict,  ///< start refused: another attempt is on the machine
+  unknown_task,      ///< start refused: no such job or task
 };
 
 /// A job as submitted; it never changes afterwards.
--- a/include/oxbowmill/cluster/job_table.h
+++ b/include/oxbowmill/cluster/job_table.h
@@ -18,7 +18,7 @@
 class JobTable {
  public:
   /// Starts empty, for partitions with indices below `partition_count`.
-  explicit JobTable(std::size_t partition_count) : live_(partition_count) {}
+  explicit JobTable(std::size_t partition_count) : live_by_partition_(partition_count) {}
 
   /// The job's index, or an invalid one if the job is not known.
   [[nodiscard]] JobIndex find(const std::string& ref) const;
@@ -35,11 +35,13 @@
   /// The job, or null if it has no record.
   [[nodiscard]] const Job* live(JobIndex job_index) const;
   /// Jobs of the partition that have a record.
-  const std::set<JobIndex>& live_in(PartitionIndex partition) const { return live_[partition.value]; }
+  const std::set<JobIndex>& live_in(PartitionIndex partition) const {
+    return live_by_partition_[partition.value];
+  }
   /// Adds the job to the live jobs of its partition.
-  void list_live(JobIndex job_index);
+  void add_live(JobIndex job_index);
   /// Removes the job from the live jobs of its partition. Has no effect if its partition never became known.
-  void unlist_live(JobIndex job_index);
+  void remove_live(JobIndex job_index);
   /// Erases the job if it has no record, no chunk and no placement. Returns whether it was erased.
   [[nodiscard]] bool erase_if_unused(JobIndex job_index);
 
@@ -47,7 +49,7 @@
   std::unordered_map<std::string, JobIndex> by_name_;
   std::unordered_map<std::uint32_t, Job> jobs_;
   std::uint32_t next_index_ = 0;
-  std::vector<std::set<JobIndex>> live_;
+  std::vector<std::set<JobIndex>> live_by_partition_;
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/cluster/machine.h
+++ b/include/oxbowmill/cluster/machine.h
@@ -50,7 +50,7 @@
   /// It is known to have booted: it has reported, run a task or been moved. This holds even if it reports to
   /// another owner.
   bool has_booted = false;
-  bool writing = false;                   ///< a transaction that concerns it is in flight
+  bool write_in_flight = false;           ///< a transaction that concerns it is in flight
   std::uint32_t error_count = 0;          ///< number of errors of tasks on it
   std::string address;                    ///< address at which its agent can be reached
   Resources used;                         ///< resources used by placed tasks
@@ -59,7 +59,7 @@
   Resources reserved;                     ///< resources reserved for placements that are being written
   std::uint32_t reservations = 0;         ///< number of tasks in `reserved`
   std::vector<ImageIndex> cached_images;  ///< in order of use, the most recently used last
-  bool change_noted = false;              ///< MachineTable already lists it as changed
+  bool marked_changed = false;            ///< MachineTable already lists it as changed
 
   /// Whether the state service holds a record of it.
   bool is_recorded() const { return revision != no_record; }
@@ -73,7 +73,7 @@
   void restart_session(Seconds now);
   /// Resets everything except its tasks, usage and reservations, which are removed with the placement
   /// records.
-  void forget_all_but_usage();
+  void reset_except_usage();
   /// Marks the image as the most recently used and removes the images that no longer fit in a cache of
   /// `cache_gb`. `image_gb` holds the size of every cached image, by image.
   void use_image(ImageIndex image, double cache_gb, const std::vector<double>& image_gb);
--- a/include/oxbowmill/cluster/machine_record.h
+++ b/include/oxbowmill/cluster/machine_record.h
@@ -8,7 +8,7 @@
 
 namespace oxbowmill {
 
-/// Mark in a machine's record.
+/// Whether a machine's record marks it for deletion.
 enum class MachineMark : std::uint8_t {
   none,      ///< in use
   deleting,  ///< a deletion may have been sent to the cloud
@@ -20,7 +20,7 @@
   TypeIndex type;                        ///< machine type
   ZoneIndex zone;                        ///< zone that it is in
   bool spot = false;                     ///< whether it is a spot machine
-  MachineMark mark = MachineMark::none;  ///< marked for deletion
+  MachineMark mark = MachineMark::none;  ///< whether it is marked for deletion
   /// Partition for which the leader asks the owner to drain the machine and hand it over; invalid: none.
   PartitionIndex requested_by;
   /// It had reported when it was registered, so its next owner need not wait for it to boot.
--- a/include/oxbowmill/cluster/machine_table.h
+++ b/include/oxbowmill/cluster/machine_table.h
@@ -16,7 +16,8 @@
 class MachineTable {
  public:
   /// Starts empty, for partitions with indices below `partition_count`.
-  explicit MachineTable(std::size_t partition_count) : in_(partition_count), requested_by_(partition_count) {}
+  explicit MachineTable(std::size_t partition_count)
+      : by_partition_(partition_count), requested_by_(partition_count) {}
 
   /// Adds empty machines up to and including this index.
   void add(MachineIndex machine_index);
@@ -32,8 +33,8 @@
   /// Adds the machine to the list of changed machines, unless it is already there.
   void mark_changed(MachineIndex machine_index) {
     Machine& machine = machines_[machine_index.value];
-    if (machine.change_noted) return;
-    machine.change_noted = true;
+    if (machine.marked_changed) return;
+    machine.marked_changed = true;
     changed_.push_back(machine_index);
   }
   /// Machines changed since the last call, each once, in order of their first change.
@@ -42,7 +43,9 @@
   bool is_recorded(MachineIndex machine_index) const;
 
   /// Machines of the partition.
-  const std::set<MachineIndex>& in(PartitionIndex partition) const { return in_[partition.value]; }
+  const std::set<MachineIndex>& in_partition(PartitionIndex partition) const {
+    return by_partition_[partition.value];
+  }
   /// Machines of other partitions that are to be handed over to this one.
   const std::set<MachineIndex>& requested_by(PartitionIndex partition) const {
     return requested_by_[partition.value];
@@ -53,10 +56,10 @@
   void erase_record(MachineIndex machine_index);
 
  private:
-  void unlist(MachineIndex machine_index);
+  void remove_from_partitions(MachineIndex machine_index);
 
   std::vector<Machine> machines_;
-  std::vector<std::set<MachineIndex>> in_;
+  std::vector<std::set<MachineIndex>> by_partition_;
   std::vector<std::set<MachineIndex>> requested_by_;
   std::vector<MachineIndex> changed_;
 };
--- a/include/oxbowmill/lease/controller_lease.h
+++ b/include/oxbowmill/lease/controller_lease.h
@@ -75,11 +75,11 @@
 /// process's registration may overwrite it, and the key is then deleted when the earlier lease ends.
 bool needs_registration(const ClusterState& state, const ControllerLease& lease, const std::string& own_name);
 
-/// How many of the controllers `all` should try to acquire a partition without an owner before this one;
-/// controllers that own fewer partitions go first. `all` are the live controllers, or every configured one
-/// while this controller has just started and cannot tell a dead controller from one that is still
-/// starting.
+/// How many of the `candidates` should try to acquire a partition without an owner before this one;
+/// controllers that own fewer partitions go first. The candidates are the live controllers, or every
+/// configured one while this controller has just started and cannot tell a dead controller from one that is
+/// still starting.
 std::size_t acquisition_turn(const ClusterState& state, PartitionIndex partition, const std::string& own_name,
-                             const std::vector<std::string>& all);
+                             const std::vector<std::string>& candidates);
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/market/reputation.h
+++ b/include/oxbowmill/market/reputation.h
@@ -42,7 +42,7 @@
   /// What is expected of a market that nobody has dealt with.
   Reputation() = default;
   /// From stored evidence.
-  explicit Reputation(const Evidence& evidence) : evidence_(evidence) {}
+  explicit Reputation(const MarketEvidence& evidence) : evidence_(evidence) {}
 
   /// Counts machines that came as agreed (`kept`) and that did not (`broken`).
   void record_machines(double kept, double broken);
@@ -68,12 +68,12 @@
   /// The ratio that it stays below with this probability.
   double price_drift_quantile(double probability) const;
   /// What has been counted, as it is stored.
-  const Evidence& evidence() const { return evidence_; }
+  const MarketEvidence& evidence() const { return evidence_; }
   /// This kind's own evidence on top of what is known of the whole market.
   Reputation combined_with(const Reputation& whole) const;
 
  private:
-  Evidence evidence_;
+  MarketEvidence evidence_;
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/scheduling/queue_order.h
+++ b/include/oxbowmill/scheduling/queue_order.h
@@ -18,8 +18,8 @@
 
 /// A job in the queue.
 struct WaitingJob {
-  JobIndex job;                                           ///< that waits
-  StartDeadline start_deadline = StartDeadline::relaxed;  ///< how pressing its start is
+  JobIndex job;                                         ///< that waits
+  StartUrgency start_deadline = StartUrgency::relaxed;  ///< how pressing its start is
 };
 
 /// Waiting jobs of a partition: those whose start deadline is critical; then by priority, within it first
--- a/src/autoscaling/candidate_finder.cpp
+++ b/src/autoscaling/candidate_finder.cpp
@@ -21,7 +21,7 @@
   bool booted_lately = machine.state == MachineState::expected && machine.has_booted &&
                        now - machine.known_since < environment_.state.settings.lease_s;
   return (machine.state == MachineState::ready || booted_lately) && !machine.preemption_notice &&
-         !machine.writing && !machine.reported_failed && machine.placed_tasks.empty() &&
+         !machine.write_in_flight && !machine.reported_failed && machine.placed_tasks.empty() &&
          !environment_.scheduler.is_unreachable(machine.record.zone, now) &&
          !returns_.is_draining(machine_index) && !environment_.is_suspected(machine_index);
 }
@@ -38,7 +38,7 @@
   for (const auto& [name, adoption] : adoption_.queued()) {
     MachineIndex machine_index = state.names.machines.find(name);
     const Machine& machine = state.machine(machine_index);
-    if (adoption.record.partition != idle_pool || !adoption.record.has_booted || machine.writing ||
+    if (adoption.record.partition != idle_pool || !adoption.record.has_booted || machine.write_in_flight ||
         machine.revision != 0)
       continue;
     candidates.push_back({machine_index, adoption.record.type, adoption.record.zone, adoption.record.spot, 0,
@@ -114,7 +114,7 @@
 
 bool CandidateFinder::may_be_drained(MachineIndex machine_index) const {
   const Machine& machine = environment_.state.machine(machine_index);
-  return machine.state != MachineState::deleting && !machine.writing &&
+  return machine.state != MachineState::deleting && !machine.write_in_flight &&
          !machine.record.requested_by.valid() && machine.has_booted && !moves_.contains(machine_index) &&
          !machine.reported_failed && !environment_.is_suspected(machine_index);
 }
--- a/src/autoscaling/demand_reconciler.cpp
+++ b/src/autoscaling/demand_reconciler.cpp
@@ -31,7 +31,7 @@
 
 void DemandReconciler::update_freed_rate() {
   double keep = std::exp(-demand_interval_s / freed_window_s);
-  double freed = environment_.state.freed_machines();
+  double freed = environment_.state.freed_machine_equivalents();
   freed_rate_ = keep * freed_rate_ + (1 - keep) * (freed - freed_observed_) / demand_interval_s;
   freed_observed_ = freed;
 }
@@ -65,7 +65,7 @@
   Job& job = state.job(waiting.job);
   PartitionDemand& partition = cycle.partitions[job.spec.partition.value];
   auto most = std::min<std::size_t>(
-      {state.placeable_tasks(waiting.job),
+      {state.placeable_task_count(waiting.job),
        static_cast<std::size_t>(how_many_fit(job.spec.task_resources, partition.quota_left)),
        max_tasks_per_job});
   if (job.spec.shape == JobShape::gang && most < job.pending_count()) return std::nullopt;
@@ -76,7 +76,7 @@
   demand.index = waiting.job;
   demand.job = &job;
   demand.guaranteed = guaranteed;
-  demand.deadline_pressing = waiting.start_deadline != StartDeadline::relaxed;
+  demand.deadline_pressing = waiting.start_deadline != StartUrgency::relaxed;
   demand.may_preempt = settings.preempt && (job.spec.priority >= Priority::high || guaranteed);
   demand.avoid_whole_machines = !demand.deadline_pressing && partition.has_whole_machine_gangs &&
                                 planner_.is_spot_available_for(job.spec, cycle.clock.now);
@@ -163,9 +163,9 @@
 bool DemandReconciler::should_scale_out(const JobDemand& demand, const Cycle& cycle) const {
   const Job& job = *demand.job;
   Seconds now = cycle.clock.now;
-  Seconds waited_s = now - job.first_seen;
+  Seconds waited_s = now - job.waiting_since;
   // Its owner may be placing it at this moment, and a placement that is being written does not show yet.
-  if (job.writing || waited_s < placement_delay_s) return false;
+  if (job.write_in_flight || waited_s < placement_delay_s) return false;
   bool waited_enough = waited_s >= environment_.state.settings.operator_settings.scale_out_delay_s;
   if (!waited_enough && cycle.freed_soon >= 0 && !demand.avoid_whole_machines && !demand.deadline_pressing)
     return false;
@@ -195,7 +195,7 @@
   unmet.tasks = static_cast<std::uint32_t>(demand.tasks.size());
   unmet.zone = spec.zone;
   unmet.estimated_run_s = spec.estimate_s;
-  unmet.waited_s = clock.now - demand.job->first_seen;
+  unmet.waited_s = clock.now - demand.job->waiting_since;
   if (spec.deadline_s >= 0) {
     double fetch = state.catalog.empty() ? 0 : fetch_time(spec, state.catalog.front());
     unmet.slack_s = spec.submitted_at + spec.deadline_s - spec.estimate_s - fetch - clock.wall;
--- a/src/autoscaling/machine_adoption.cpp
+++ b/src/autoscaling/machine_adoption.cpp
@@ -53,7 +53,7 @@
       continue;
     }
     const Adoption& adoption = it->second;
-    if (adoption.record.has_booted == booted && !state.machine(machine_index).writing &&
+    if (adoption.record.has_booted == booted && !state.machine(machine_index).write_in_flight &&
         transaction.size() < state.settings.max_transaction_ops) {
       transaction.write(machine_index, 0, adoption.record);
       transaction.wake(machine_index, adoption.agent_epoch);
--- a/src/autoscaling/machine_returns.cpp
+++ b/src/autoscaling/machine_returns.cpp
@@ -15,7 +15,7 @@
   for (MachineIndex machine_index : draining_) {
     const Machine& machine = environment_.state.machine(machine_index);
     if (machine.revision != 0 && machine.record.partition != idle_pool &&
-        machine.record.requested_by != idle_pool && !machine.writing &&
+        machine.record.requested_by != idle_pool && !machine.write_in_flight &&
         machine.state != MachineState::deleting)
       moves.add(machine_index, idle_pool, MoveMode::request_handover);
   }
@@ -41,7 +41,7 @@
   for (std::uint32_t i = 0; i < state.machine_count(); ++i) {
     MachineIndex machine_index{i};
     const Machine& machine = state.machine(machine_index);
-    if (machine.revision == 0 || machine.writing) continue;
+    if (machine.revision == 0 || machine.write_in_flight) continue;
     if (machine.record.mark == MachineMark::deleting) {
       plan_marked(machine_index, machine, plan);
     } else if (should_mark(machine_index, machine, plan, now) &&
--- a/src/checkpoint/saved_progress.cpp
+++ b/src/checkpoint/saved_progress.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-SavedProgress after_loss(const SavedProgress& before, const RunTimeBounds& run_time,
-                         double checkpoint_interval_s, const Settings& settings) {
+SavedProgress progress_after_unsaved_end(const SavedProgress& before, const RunTimeBounds& run_time,
+                                         double checkpoint_interval_s, const Settings& settings) {
   if (checkpoint_interval_s <= 0) return {};
   SavedProgress reached = progress_after_run(before, run_time, settings);
   SavedProgress saved = {last_checkpoint(reached.low, checkpoint_interval_s),
@@ -31,13 +31,13 @@
           std::max(before.high, saved.high)};
 }
 
-SavedProgress after_store(const SavedProgress& before, const RunTimeBounds& run_time,
-                          double checkpoint_interval_s, const Settings& settings) {
+SavedProgress progress_after_saved_stop(const SavedProgress& before, const RunTimeBounds& run_time,
+                                        double checkpoint_interval_s, const Settings& settings) {
   if (checkpoint_interval_s <= 0) return {};
   return progress_after_run(before, run_time, settings);
 }
 
-SavedProgress merged(const SavedProgress& a, const SavedProgress& b) {
+SavedProgress merge(const SavedProgress& a, const SavedProgress& b) {
   SavedProgress result{std::max(a.low, b.low), std::max(a.likely, b.likely), std::max(a.high, b.high)};
   result.likely = std::max(result.likely, result.low);
   result.high = std::max(result.high, result.likely);
--- a/src/cluster/apply_changes.cpp
+++ b/src/cluster/apply_changes.cpp
@@ -13,15 +13,15 @@
 
 /// Fraction of a machine that one task takes up, on the allowed type that holds the most of these tasks.
 double machine_fraction(const JobSpec& spec, const std::vector<MachineType>& catalog) {
-  int most = 1;
+  int task_count = 1;
   for (std::uint32_t type = 0; type < catalog.size(); ++type) {
     if (spec.allows(TypeIndex{type}))
-      most = std::max(most, how_many_fit(spec.task_resources, catalog[type].capacity));
+      task_count = std::max(task_count, how_many_fit(spec.task_resources, catalog[type].capacity));
   }
-  return 1.0 / most;
+  return 1.0 / task_count;
 }
 
-bool lists(const ChunkRecord& record, const Placement& placement) {
+bool contains_placement(const ChunkRecord& record, const Placement& placement) {
   return std::any_of(
       record.placements.begin(), record.placements.end(), [&placement](const PlacedTask& placed_task) {
         return placed_task.task == placement.task && placed_task.attempt == placement.attempt &&
@@ -73,7 +73,7 @@
 
 void ClusterState::add_job(JobIndex job_index, const JobSpec& spec, Seconds now) {
   Job& current_job = job(job_index);
-  current_job.adopt_spec(spec);
+  current_job.set_spec(spec);
   // Placement records may have been read first; their usage is counted once the job is known.
   for (const auto& [task, placement] : current_job.placements) {
     if (!is_off_machine(placement.state)) change_usage(current_job, placement, UsageChange::acquire);
@@ -82,16 +82,16 @@
   // A job that was accepted while no controller was running has waited since its submission, not since its
   // record was read.
   double age = wall_clock_offset_s != 0 ? now + wall_clock_offset_s - current_job.spec.submitted_at : 0;
-  current_job.first_seen =
+  current_job.waiting_since =
       age > Settings::clock_skew_tolerance_s ? now - std::min(age, max_assumed_wait_s) : now;
   current_job.machine_fraction = machine_fraction(current_job.spec, catalog);
-  jobs_.list_live(job_index);
-  SPDLOG_INFO("job known job={} shape={} tasks={}", current_job.spec.ref, name_of(current_job.spec.shape),
+  jobs_.add_live(job_index);
+  SPDLOG_INFO("job added job={} shape={} tasks={}", current_job.spec.ref, name_of(current_job.spec.shape),
               current_job.spec.tasks);
 }
 
 void ClusterState::remove_job_record(JobIndex job_index) {
-  jobs_.unlist_live(job_index);
+  jobs_.remove_live(job_index);
   Job& current_job = job(job_index);
   current_job.revision = no_record;
   // The final phase is stored under another key. In this table none of the job's tasks may start any more.
@@ -118,7 +118,7 @@
   const ChunkRecord& content = record != nullptr ? *record : empty;
   Job& current_job = job(key.job);
   remove_unlisted_placements(current_job, key.chunk, content, now);
-  std::uint64_t busy = content.done;
+  std::uint64_t done_or_placed_bits = content.done;
   for (const PlacedTask& placed_task : content.placements) {
     auto placement_it = current_job.placements.find(placed_task.task);
     if (placement_it == current_job.placements.end()) {
@@ -126,10 +126,10 @@
     } else {
       placement_it->second.restarting = placed_task.restarting;
     }
-    busy |= task_bit(placed_task.task);
+    done_or_placed_bits |= task_bit(placed_task.task);
   }
   if (record != nullptr) {
-    current_job.update_chunk(key.chunk, *record, revision, busy);
+    current_job.update_chunk(key.chunk, *record, revision, done_or_placed_bits);
   } else {
     current_job.chunks.erase(key.chunk);
   }
@@ -143,7 +143,7 @@
   auto next = current_job.placements.lower_bound(first);
   while (next != current_job.placements.end() && next->first < first + tasks_per_chunk) {
     auto placement_it = next++;
-    if (!lists(record, placement_it->second)) remove_placement(current_job, placement_it, now);
+    if (!contains_placement(record, placement_it->second)) remove_placement(current_job, placement_it, now);
   }
 }
 
--- a/src/cluster/capacity_usage.cpp
+++ b/src/cluster/capacity_usage.cpp
@@ -9,7 +9,7 @@
 }
 }  // namespace
 
-void CapacityUsage::reserve(Machine& machine, const JobSpec& spec, UsageChange change) {
+void CapacityUsage::update_reserved(Machine& machine, const JobSpec& spec, UsageChange change) {
   const Resources amount = static_cast<double>(change) * spec.task_resources;
   machine.reserved += amount;
   machine.reservations += count_change(change);
@@ -17,12 +17,12 @@
   if (machine.reservations == 0) machine.reserved = {};  // prevents rounding errors from accumulating
 }
 
-void CapacityUsage::place(Machine& machine, const Job& job, UsageChange change) {
+void CapacityUsage::update_used(Machine& machine, const Job& job, UsageChange change) {
   const Resources amount = static_cast<double>(change) * job.spec.task_resources;
   machine.used += amount;
   if (job.spec.shape == JobShape::service) machine.long_running_tasks += count_change(change);
   if (job.spec.partition.valid()) by_team_[job.spec.partition.value] += amount;
-  if (change == UsageChange::release) freed_machines_ += job.machine_fraction;
+  if (change == UsageChange::release) freed_machine_equivalents_ += job.machine_fraction;
 }
 
 }  // namespace oxbowmill
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -21,13 +21,13 @@
   return limits;
 }
 
-std::uint32_t ClusterState::placeable_tasks(JobIndex job_index) const {
+std::uint32_t ClusterState::placeable_task_count(JobIndex job_index) const {
   const Job& current_job = job(job_index);
   std::uint32_t pending = current_job.pending_count();
   if (pending == 0 || constraints == nullptr) return pending;
-  std::uint32_t most = placement_limits(job_index).max_tasks;
+  std::uint32_t max_tasks = placement_limits(job_index).max_tasks;
   auto placed = static_cast<std::uint32_t>(current_job.placements.size());
-  return most <= placed ? 0 : std::min(pending, most - placed);
+  return max_tasks <= placed ? 0 : std::min(pending, max_tasks - placed);
 }
 
 MachineIndex ClusterState::intern_machine(const std::string& name) {
@@ -76,10 +76,11 @@
 }
 
 void ClusterState::reserve(MachineIndex machine_index, const JobSpec& spec, int sign) {
-  usage_.reserve(edit_machine(machine_index), spec, sign > 0 ? UsageChange::acquire : UsageChange::release);
+  usage_.update_reserved(edit_machine(machine_index), spec,
+                         sign > 0 ? UsageChange::acquire : UsageChange::release);
 }
 
-Seconds ClusterState::all_reacquired_since() const {
+Seconds ClusterState::all_leases_reacquired_since() const {
   return owners_.all_live_since(settings.all_controllers).value_or(time_not_set);
 }
 
@@ -123,11 +124,11 @@
   current_machine.state = new_state;
   if (new_state == MachineState::ready && current_machine.placed_tasks.empty())
     current_machine.idle_since = now;
-  if (new_state == MachineState::unknown) current_machine.forget_all_but_usage();
+  if (new_state == MachineState::unknown) current_machine.reset_except_usage();
 }
 
 void ClusterState::change_usage(const Job& job, const Placement& placement, UsageChange change) {
-  usage_.place(edit_machine(placement.machine), job, change);
+  usage_.update_used(edit_machine(placement.machine), job, change);
 }
 
 }  // namespace oxbowmill
--- a/src/cluster/failover.cpp
+++ b/src/cluster/failover.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Lower bound of Placement::started_at after a failover, because 0 means that no start command was sent.
-constexpr Seconds earliest_start = 1e-3;
+constexpr Seconds min_started_at = 1e-3;
 
 /// Resets the machines, placements and jobs of one partition to the view of a new owner, which knows the
 /// durable facts but nothing of what its predecessor sent or received.
@@ -42,7 +42,7 @@
     const Job& job = state_.job(placement.job);
     placement.inherited = true;
     placement.started_at = now_;
-    continue_predecessors_clock(placement);
+    restore_start_time(placement);
     placement.sent_report_sequence = placement.sent_agent_epoch = 0;
     placement.restart_requested = false;
     // What this node knew from an earlier ownership no longer holds, because an owner in between may have
@@ -57,19 +57,20 @@
   /// a little later, because the start command followed the placement and clocks differ. If the run time
   /// were counted from the failover, the new owner would flag slow tasks later than an uninterrupted one,
   /// and tasks that then finish would count as short and cause others to be flagged too early.
-  void continue_predecessors_clock(Placement& placement) {
+  void restore_start_time(Placement& placement) {
     Job& job = state_.job(placement.job);
     double submitted_at = job.spec.submitted_at;
     bool placement_time_known = state_.settings.progress.enabled && placement.placed_after_s >= 0 &&
                                 state_.wall_clock_offset_s != 0 && submitted_at > 0;
     if (!placement_time_known) return;
-    double late = state_.settings.report_interval_s + Settings::clock_skew_tolerance_s;
-    double elapsed = now_ + state_.wall_clock_offset_s - submitted_at - placement.placed_after_s - late;
-    placement.started_at = std::max(earliest_start, now_ - std::max(0.0, elapsed));
+    double start_lag_s = state_.settings.report_interval_s + Settings::clock_skew_tolerance_s;
+    double elapsed_s =
+        now_ + state_.wall_clock_offset_s - submitted_at - placement.placed_after_s - start_lag_s;
+    placement.started_at = std::max(min_started_at, now_ - std::max(0.0, elapsed_s));
     // The earlier owner must have seen the task start. Without this, after a crash of all controllers every
     // old job looked as if it had never started, and a job that really had not waited behind hundreds of
     // others (374 s, with 250 machines lost).
-    if (elapsed > longest_image_fetch_s(state_, job.spec) + counts_as_started_after_s)
+    if (elapsed_s > longest_image_fetch_s(state_, job.spec) + counts_as_started_after_s)
       job.mark_started(placement.task);
   }
 
--- a/src/cluster/job.cpp
+++ b/src/cluster/job.cpp
@@ -34,12 +34,13 @@
   if (task / tasks_per_chunk < ever_started.size()) ever_started[task / tasks_per_chunk] |= task_bit(task);
 }
 
-std::vector<TaskNumber> Job::pending_tasks(std::size_t most) {
+std::vector<TaskNumber> Job::pending_tasks(std::size_t max_count) {
   std::vector<TaskNumber> pending;
-  for (std::uint32_t chunk = scan_from; chunk < done_or_placed.size() && pending.size() < most; ++chunk) {
+  for (std::uint32_t chunk = pending_scan_chunk; chunk < done_or_placed.size() && pending.size() < max_count;
+       ++chunk) {
     std::uint64_t free = ~done_or_placed[chunk];
-    if (free == 0 && chunk == scan_from) scan_from = chunk + 1;
-    while (free != 0 && pending.size() < most) {
+    if (free == 0 && chunk == pending_scan_chunk) pending_scan_chunk = chunk + 1;
+    while (free != 0 && pending.size() < max_count) {
       TaskNumber task = chunk * tasks_per_chunk + static_cast<TaskNumber>(__builtin_ctzll(free));
       free &= free - 1;
       if (task < spec.tasks) pending.push_back(task);
@@ -48,7 +49,7 @@
   return pending;
 }
 
-void Job::adopt_spec(const JobSpec& new_spec) {
+void Job::set_spec(const JobSpec& new_spec) {
   spec = new_spec;
   done_or_placed.assign((spec.tasks + tasks_per_chunk - 1) / tasks_per_chunk, 0);
   for (const auto& [position, chunk] : chunks) {
@@ -60,15 +61,15 @@
 }
 
 void Job::update_chunk(std::uint32_t position, const ChunkRecord& record, Revision new_revision,
-                       std::uint64_t busy) {
+                       std::uint64_t done_or_placed_bits) {
   Chunk& chunk = chunks[position];
   done_count += count_tasks(record.done) - count_tasks(chunk.done);
   chunk = {new_revision, record.done, record.restarted, record.finishes};
   for (const auto& [task, progress] : record.checkpoints)
-    checkpoints[task] = checkpoint::merged(checkpoints[task], progress);
+    checkpoints[task] = checkpoint::merge(checkpoints[task], progress);
   if (position < done_or_placed.size()) {
-    done_or_placed[position] = busy;
-    scan_from = std::min(scan_from, position);
+    done_or_placed[position] = done_or_placed_bits;
+    pending_scan_chunk = std::min(pending_scan_chunk, position);
   }
 }
 
@@ -86,10 +87,11 @@
         std::max(0.0, run_time.min_s - settings.gang_peer_timeout_s - settings.report_interval_s);
   checkpoint::SavedProgress before = checkpoint_of(placement.task);
   checkpoint::SavedProgress after =
-      placement.checkpoint_saved
-          ? checkpoint::after_store(before, run_time, spec.checkpoint_interval_s, settings.progress)
-          : checkpoint::after_loss(before, run_time, spec.checkpoint_interval_s, settings.progress);
-  checkpoints[is_gang() ? 0 : placement.task] = checkpoint::merged(before, after);
+      placement.checkpoint_saved ? checkpoint::progress_after_saved_stop(
+                                       before, run_time, spec.checkpoint_interval_s, settings.progress)
+                                 : checkpoint::progress_after_unsaved_end(
+                                       before, run_time, spec.checkpoint_interval_s, settings.progress);
+  checkpoints[is_gang() ? 0 : placement.task] = checkpoint::merge(before, after);
 }
 
 void Job::restore_progress() {
@@ -101,7 +103,7 @@
   unrecorded_finishes.clear();
   // A task with saved progress has started. In a gang, all members have started.
   for (const auto& [first, progress] : checkpoints) {
-    if (!progress.any()) continue;
+    if (!progress.may_be_nonzero()) continue;
     TaskNumber end = is_gang() ? spec.tasks : first + 1;
     for (TaskNumber task = first; task < end; ++task) mark_started(task);
   }
--- a/src/cluster/job_table.cpp
+++ b/src/cluster/job_table.cpp
@@ -31,13 +31,13 @@
   return job == nullptr || job->revision == no_record ? nullptr : job;
 }
 
-void JobTable::list_live(JobIndex job_index) {
-  live_[at(job_index).spec.partition.value].insert(job_index);
+void JobTable::add_live(JobIndex job_index) {
+  live_by_partition_[at(job_index).spec.partition.value].insert(job_index);
 }
 
-void JobTable::unlist_live(JobIndex job_index) {
+void JobTable::remove_live(JobIndex job_index) {
   PartitionIndex partition = at(job_index).spec.partition;
-  if (partition.valid()) live_[partition.value].erase(job_index);
+  if (partition.valid()) live_by_partition_[partition.value].erase(job_index);
 }
 
 bool JobTable::erase_if_unused(JobIndex job_index) {
--- a/src/cluster/machine.cpp
+++ b/src/cluster/machine.cpp
@@ -27,14 +27,14 @@
   lost_responses = 0;
 }
 
-void Machine::forget_all_but_usage() {
+void Machine::reset_except_usage() {
   Machine fresh;
   fresh.placed_tasks = std::move(placed_tasks);
   fresh.used = used;
   fresh.long_running_tasks = long_running_tasks;
   fresh.reserved = reserved;
   fresh.reservations = reservations;
-  fresh.change_noted = change_noted;
+  fresh.marked_changed = marked_changed;
   *this = std::move(fresh);
 }
 
--- a/src/cluster/machine_table.cpp
+++ b/src/cluster/machine_table.cpp
@@ -9,7 +9,7 @@
 std::vector<MachineIndex> MachineTable::take_changed() {
   std::vector<MachineIndex> changed;
   changed.swap(changed_);
-  for (MachineIndex machine_index : changed) machines_[machine_index.value].change_noted = false;
+  for (MachineIndex machine_index : changed) machines_[machine_index.value].marked_changed = false;
   return changed;
 }
 
@@ -19,25 +19,25 @@
 }
 
 void MachineTable::set_record(MachineIndex machine_index, const MachineRecord& record, Revision revision) {
-  unlist(machine_index);
+  remove_from_partitions(machine_index);
   Machine& machine = edit(machine_index);
   machine.record = record;
   machine.revision = revision;
-  in_[record.partition.value].insert(machine_index);
+  by_partition_[record.partition.value].insert(machine_index);
   bool is_requested = record.requested_by.valid() && record.requested_by != record.partition &&
                       record.mark == MachineMark::none;
   if (is_requested) requested_by_[record.requested_by.value].insert(machine_index);
 }
 
 void MachineTable::erase_record(MachineIndex machine_index) {
-  unlist(machine_index);
+  remove_from_partitions(machine_index);
   edit(machine_index).revision = no_record;
 }
 
-void MachineTable::unlist(MachineIndex machine_index) {
+void MachineTable::remove_from_partitions(MachineIndex machine_index) {
   const Machine& machine = at(machine_index);
   if (!machine.is_recorded()) return;
-  in_[machine.record.partition.value].erase(machine_index);
+  by_partition_[machine.record.partition.value].erase(machine_index);
   if (machine.record.requested_by.valid())
     requested_by_[machine.record.requested_by.value].erase(machine_index);
 }
--- a/src/cluster/start_deadline.cpp
+++ b/src/cluster/start_deadline.cpp
@@ -16,7 +16,7 @@
 // A machine may fetch at two thirds of its type's rate. Where several tasks fit on a machine, the fetch of
 // another image may share the rate for the duration of one fetch at the type's rate.
 constexpr double slow_fetch_factor = 1.5;
-constexpr double shared_fetch_factor = 1;
+constexpr double rate_sharing_factor = 1;
 
 }  // namespace
 
@@ -25,16 +25,16 @@
   for (std::uint32_t i = 0; i < state.catalog.size(); ++i) {
     const MachineType& type = state.catalog[i];
     if (!spec.allows(TypeIndex{i}) || type.fetch_gb_per_s <= 0) continue;
-    bool shares = how_many_fit(spec.task_resources, type.capacity) > 1;
-    fetch = std::max(fetch, (slow_fetch_factor + (shares ? shared_fetch_factor : 0)) * spec.image_gb /
+    bool is_rate_shared = how_many_fit(spec.task_resources, type.capacity) > 1;
+    fetch = std::max(fetch, (slow_fetch_factor + (is_rate_shared ? rate_sharing_factor : 0)) * spec.image_gb /
                                 type.fetch_gb_per_s);
   }
   return fetch;
 }
 
-const char* name_of(StartDeadline deadline) {
+const char* name_of(StartUrgency urgency) {
   static constexpr const char* names[] = {"relaxed", "not_preemptible", "urgent", "critical"};
-  return names[static_cast<int>(deadline)];
+  return names[static_cast<int>(urgency)];
 }
 
 Seconds start_deadline_slack(const ClusterState& state, const JobSpec& spec, double wall) {
@@ -44,21 +44,22 @@
          longest_image_fetch_s(state, spec) - 2 * settings.report_interval_s - wall;
 }
 
-StartDeadline start_deadline_of(const ClusterState& state, const JobSpec& spec, double wall) {
+StartUrgency start_urgency_of(const ClusterState& state, const JobSpec& spec, double wall) {
   Seconds slack = start_deadline_slack(state, spec, wall);
   double deadline_s = state.settings.operator_settings.start_deadline_s;
-  return slack < critical_share * deadline_s          ? StartDeadline::critical
-         : slack < urgent_share * deadline_s          ? StartDeadline::urgent
-         : slack < not_preemptible_share * deadline_s ? StartDeadline::not_preemptible
-                                                      : StartDeadline::relaxed;
+  return slack < critical_share * deadline_s          ? StartUrgency::critical
+         : slack < urgent_share * deadline_s          ? StartUrgency::urgent
+         : slack < not_preemptible_share * deadline_s ? StartUrgency::not_preemptible
+                                                      : StartUrgency::relaxed;
 }
 
 bool awaits_first_start(const Job& job) {
   for (std::uint32_t chunk = 0; chunk < job.done_or_placed.size(); ++chunk) {
-    std::uint32_t tasks = std::min<std::uint32_t>(tasks_per_chunk, job.spec.tasks - tasks_per_chunk * chunk);
-    std::uint64_t all = tasks == tasks_per_chunk ? ~0ULL : (1ULL << tasks) - 1;
+    std::uint32_t task_count =
+        std::min<std::uint32_t>(tasks_per_chunk, job.spec.tasks - tasks_per_chunk * chunk);
+    std::uint64_t all_tasks = task_count == tasks_per_chunk ? ~0ULL : (1ULL << task_count) - 1;
     std::uint64_t started = chunk < job.ever_started.size() ? job.ever_started[chunk] : 0;
-    if ((all & ~job.done_or_placed[chunk] & ~started) != 0) return true;
+    if ((all_tasks & ~job.done_or_placed[chunk] & ~started) != 0) return true;
   }
   return false;
 }
@@ -70,7 +71,7 @@
   if (clock.now - placement.known_at > counts_as_started_after_s + longest_image_fetch_s(state, job.spec) +
                                            2 * state.settings.report_interval_s)
     return true;
-  return start_deadline_of(state, job.spec, clock.wall) == StartDeadline::relaxed;
+  return start_urgency_of(state, job.spec, clock.wall) == StartUrgency::relaxed;
 }
 
 }  // namespace oxbowmill
--- a/src/lease/controller_lease.cpp
+++ b/src/lease/controller_lease.cpp
@@ -33,11 +33,12 @@
 
 /// Sort key of a controller among those that may acquire a partition; the lowest goes first.
 struct Candidate {
-  std::size_t owned = 0;    // number of partitions that it owns
-  std::size_t rotated = 0;  // position among all controllers, rotated by the partition's index
+  std::size_t owned_partition_count = 0;  // partitions that it owns
+  std::size_t rotated_position = 0;       // position among all controllers, rotated by the partition's index
   std::string name;
   bool operator<(const Candidate& other) const {
-    return std::tie(owned, rotated, name) < std::tie(other.owned, other.rotated, other.name);
+    return std::tie(owned_partition_count, rotated_position, name) <
+           std::tie(other.owned_partition_count, other.rotated_position, other.name);
   }
 };
 
@@ -51,13 +52,14 @@
 }
 
 std::size_t acquisition_turn(const ClusterState& state, PartitionIndex partition, const std::string& own_name,
-                             const std::vector<std::string>& all) {
+                             const std::vector<std::string>& candidates) {
   std::vector<Candidate> order;
-  for (std::size_t i = 0; i < all.size(); ++i) {
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
     // Among controllers that own equally many, each partition prefers a different one, so that partitions are
     // spread at the start.
-    std::size_t rotated = (i + all.size() - partition.value % all.size()) % all.size();
-    order.push_back({partitions_owned(state, all[i]), rotated, all[i]});
+    std::size_t rotated_position =
+        (i + candidates.size() - partition.value % candidates.size()) % candidates.size();
+    order.push_back({partitions_owned(state, candidates[i]), rotated_position, candidates[i]});
   }
   std::sort(order.begin(), order.end());
   auto own = std::find_if(order.begin(), order.end(),
--- a/src/market/reputation.cpp
+++ b/src/market/reputation.cpp
@@ -58,11 +58,11 @@
   return std::log(std::clamp(actual / std::max(stated, min_quoted), min_ratio, max_ratio));
 }
 
-PredictiveDistribution delay_distribution(const Evidence& evidence) {
+PredictiveDistribution delay_distribution(const MarketEvidence& evidence) {
   return {evidence.delay_weight, evidence.delay_mean, evidence.delay_m2, prior_delay_sd};
 }
 
-PredictiveDistribution drift_distribution(const Evidence& evidence) {
+PredictiveDistribution drift_distribution(const MarketEvidence& evidence) {
   return {evidence.drift_weight, evidence.drift_mean, evidence.drift_m2, prior_drift_sd};
 }
 }  // namespace
@@ -137,7 +137,7 @@
 
 Reputation Reputation::combined_with(const Reputation& whole) const {
   // The kind's own machines count fully, those of the whole market as `overall_weight` machines at most.
-  Evidence evidence = whole.evidence_;
+  MarketEvidence evidence = whole.evidence_;
   double overall = evidence.delivered + evidence.undelivered;
   double scale = overall > overall_weight ? overall_weight / overall : 1;
   evidence.delivered = evidence.delivered * scale + evidence_.delivered;
--- a/src/reconciliation/suspicion_detector.cpp
+++ b/src/reconciliation/suspicion_detector.cpp
@@ -40,7 +40,7 @@
 std::optional<Seconds> SuspicionDetector::silence_limit_s(const Machine& machine,
                                                           const ZoneReports::Zone& zone) const {
   const Seconds timeout_s = state_.settings.first_report_timeout_s();
-  if (!machine.inherited || machine.last_answered_report_at >= 0 || state_.all_reacquired_since() < 0)
+  if (!machine.inherited || machine.last_answered_report_at >= 0 || state_.all_leases_reacquired_since() < 0)
     return timeout_s;
   Seconds threshold_s =
       suspicion_threshold(zone.first_report_delays_s, zone.expected, first_report_s, timeout_s, settings_);
--- a/src/scheduling/capacity_tracker.cpp
+++ b/src/scheduling/capacity_tracker.cpp
@@ -61,7 +61,8 @@
   if (!usable) return {};
   if (machine_state.state == MachineState::expected && !machine_state.has_booted)
     return estimate_booting_capacity(machine, now);
-  if (machine_state.preemption_notice || machine_state.writing || machine_state.record.requested_by.valid())
+  if (machine_state.preemption_notice || machine_state.write_in_flight ||
+      machine_state.record.requested_by.valid())
     return {};
   Seconds unavailable_until = std::max(machine_state.blocked_until, machine_state.faulty_until);
   if (unavailable_until > now) return {std::nullopt, unavailable_until};
@@ -93,7 +94,7 @@
     // A member that gave up waiting has its image here and is placed here again as soon as its end is
     // durable. (Taken by another gang in that moment, the machine cost it a second fetch, longer than a gang
     // waits; so gangs with large images began after 340 s.)
-    if (placement.state == PlacementState::terminated && placement.cause == EndCause::incomplete)
+    if (placement.state == PlacementState::terminated && placement.cause == EndCause::gang_incomplete)
       capacity.candidate.free_capacity -= spec.task_resources;
     if (is_off_machine(placement.state)) continue;
     capacity.fetching_images =
--- a/src/scheduling/done_mark_collector.cpp
+++ b/src/scheduling/done_mark_collector.cpp
@@ -55,12 +55,12 @@
   if (count.restart_requested || count.ended == 0) return false;
   bool stopping_gang = is_stopping_gang(job, count);
   if (!stopping_gang && (!has_later_write(job, count) || job.done_marks_urgent)) return false;
-  if (job.done_marks_due < 0) {
+  if (job.done_marks_due_at < 0) {
     if (!write_rate_.exceeds(collecting_write_fraction)) return false;
-    job.done_marks_due = now + state_.settings.operator_settings.done_mark_delay_s;
-    due_.emplace(job.done_marks_due, job_index);
+    job.done_marks_due_at = now + state_.settings.operator_settings.done_mark_delay_s;
+    due_.emplace(job.done_marks_due_at, job_index);
   }
-  return now < job.done_marks_due;
+  return now < job.done_marks_due_at;
 }
 
 void DoneMarkCollector::release_due(Seconds now) {
--- a/src/scheduling/job_transaction_builder.cpp
+++ b/src/scheduling/job_transaction_builder.cpp
@@ -106,7 +106,8 @@
 void JobTransactionBuilder::add_checkpoints(std::uint32_t chunk_number, ChunkRecord& record) const {
   for (auto it = job_.checkpoints.lower_bound(chunk_number * tasks_per_chunk);
        it != job_.checkpoints.end() && it->first < (chunk_number + 1) * tasks_per_chunk; ++it) {
-    if ((record.done & task_bit(it->first)) == 0 && it->second.any()) record.checkpoints.insert(*it);
+    if ((record.done & task_bit(it->first)) == 0 && it->second.may_be_nonzero())
+      record.checkpoints.insert(*it);
   }
 }
 
--- a/src/scheduling/job_writer.cpp
+++ b/src/scheduling/job_writer.cpp
@@ -15,7 +15,7 @@
     if (job == nullptr || !ownership_.owns(job->spec.partition)) continue;
     if (job->spec.shape == JobShape::gang) gangs_.check(*job, now);
     stop_restarting(*job, now);
-    if (job->writing || now < job->write_backoff_until) {
+    if (job->write_in_flight || now < job->write_backoff_until) {
       state_.dirty_jobs.insert(job_index);
       continue;
     }
@@ -35,7 +35,7 @@
   Job& job = state_.job(job_index);
   bool places = !planned.empty() && job.phase == JobPhase::open;
   if (!places && done_marks_.may_wait(job_index, now)) return;
-  job.done_marks_due = -1;
+  job.done_marks_due_at = -1;
   job.done_marks_urgent = false;
   JobTransactionBuilder builder(state_, job_index, planned, now);
   if (!builder.collect_changes()) return;
--- a/src/scheduling/machine_monitor.cpp
+++ b/src/scheduling/machine_monitor.cpp
@@ -30,7 +30,7 @@
   WaitingWork waiting;
   for (JobIndex job_index : state_.live_jobs(partition)) {
     const JobSpec& spec = state_.job(job_index).spec;
-    if (state_.placeable_tasks(job_index) == 0) continue;
+    if (state_.placeable_task_count(job_index) == 0) continue;
     waiting.spot = waiting.spot || spec.spot;
     waiting.on_demand = waiting.on_demand || !spec.spot || spec.shape != JobShape::array;
   }
@@ -60,7 +60,7 @@
 
 bool MachineMonitor::delete_if_suspected(MachineIndex machine_index, Effects& out) {
   const Machine& machine = state_.machine(machine_index);
-  if (recovery_admission_ == nullptr || machine.writing ||
+  if (recovery_admission_ == nullptr || machine.write_in_flight ||
       !recovery_admission_->marked_for_deletion(machine_index))
     return false;
   // Its tasks stay on it in the cluster state until the deletion is confirmed and the record goes.
@@ -110,7 +110,7 @@
   const Machine& machine = state_.machine(machine_index);
   // A placement that is being written may become durable before the move: its task would be on a machine of a
   // partition whose owner does not know the job.
-  if (machine.record.partition == idle_pool || !machine.placed_tasks.empty() || machine.writing ||
+  if (machine.record.partition == idle_pool || !machine.placed_tasks.empty() || machine.write_in_flight ||
       machine.reservations != 0)
     return;
   EmptyMachineUse use = use_of_empty(machine, waiting, now);
--- a/src/scheduling/partition_ownership.cpp
+++ b/src/scheduling/partition_ownership.cpp
@@ -47,7 +47,7 @@
   // The earlier owner's read-only period need not be waited for once every controller has reacquired a lease:
   // what was answered to this agent on behalf of the partition was answered under a lease that has ended
   // since, and its holder answers nothing under it any more (docs/reconciliation.md, "Safety").
-  Seconds reacquired_since = state_.all_reacquired_since();
+  Seconds reacquired_since = state_.all_leases_reacquired_since();
   return reacquired_since < 0
              ? after_read_only_period
              : std::min(after_read_only_period, std::max(machine.in_partition_since, reacquired_since));
--- a/src/scheduling/pending_reason.cpp
+++ b/src/scheduling/pending_reason.cpp
@@ -78,7 +78,7 @@
     job.pending_reason_logged_at = clock.now;
     SPDLOG_INFO("job pending job={} pending={} tasks={} waited_s={:.0f} reason={} start_deadline={}",
                 job.spec.ref, status.tasks, job.spec.tasks, waited, name_of(status.reason),
-                name_of(start_deadline_of(state, job.spec, clock.wall)));
+                name_of(start_urgency_of(state, job.spec, clock.wall)));
   }
 }
 
--- a/src/scheduling/placement_cycle.cpp
+++ b/src/scheduling/placement_cycle.cpp
@@ -67,7 +67,7 @@
 
 std::size_t PlacementCycle::max_placeable(const Cycle& cycle, JobIndex job_index) const {
   const JobSpec& spec = state_.job(job_index).spec;
-  return std::min<std::size_t>(state_.placeable_tasks(job_index),
+  return std::min<std::size_t>(state_.placeable_task_count(job_index),
                                static_cast<std::size_t>(how_many_fit(spec.task_resources, cycle.quota_left)));
 }
 
@@ -78,7 +78,7 @@
 PendingReason PlacementCycle::place_job(Cycle& cycle, const WaitingJob& waiting) {
   Job& job = state_.job(waiting.job);
   Seconds now = cycle.clock.now;
-  if (job.writing || now < job.write_backoff_until) {
+  if (job.write_in_flight || now < job.write_backoff_until) {
     cycle.last->wake_by(job.write_backoff_until);
     return PendingReason::transaction_pending;
   }
@@ -91,7 +91,7 @@
   if (most == 0 || (gang && most < job.pending_count())) return PendingReason::quota;
   auto tasks = state_.pending_tasks(job, most);
   SelectionQuery query = selection_query_for(state_, capacity_, zones_, job, now);
-  query.has_start_deadline = waiting.start_deadline != StartDeadline::relaxed;
+  query.has_start_deadline = waiting.start_deadline != StartUrgency::relaxed;
   if (cycle.avoid_whole_machines && !query.has_start_deadline)
     tasks = keep_whole_machines_free(state_, job, now, cycle.capacity, query, tasks);
   if (tasks.empty()) return PendingReason::awaiting_spot;
@@ -158,7 +158,7 @@
   // request them before a long fetch begins.
   return job.spec.shape == JobShape::gang && job.spec.priority >= Priority::high &&
          selection.last_start_s() > reselection_threshold_s && job.placements.empty() &&
-         state_.settings.operator_settings.preempt && now - job.first_seen < leader_response_s;
+         state_.settings.operator_settings.preempt && now - job.waiting_since < leader_response_s;
 }
 
 bool PlacementCycle::waits_for_more(const Job& job, std::size_t placeable, std::size_t wanted,
@@ -173,7 +173,7 @@
   Job& job = state_.job(job_index);
   Seconds now = cycle.clock.now;
   bool leader_first = awaits_leader(job, selection, now);
-  if (leader_first) cycle.last->wake_by(job.first_seen + leader_response_s);
+  if (leader_first) cycle.last->wake_by(job.waiting_since + leader_response_s);
   if (job.spec.shape == JobShape::gang && may_preempt_in(cycle, job) && !leader_first)
     preemptor_.preempt_for(job, selection, cycle.clock);
   cycle.quota_left -= static_cast<double>(selection.assignments.size()) * job.spec.task_resources;
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -19,7 +19,7 @@
   int tier = 0;  // -1: has to start now, 0: can meet its deadline, 1: no deadline, 2: late in any case
   double sort_key = 0, waiting_since = 0;
   JobIndex job;
-  StartDeadline start_deadline = StartDeadline::relaxed;
+  StartUrgency start_deadline = StartUrgency::relaxed;
 };
 
 /// The gang can be placed as a whole, or it lacks members in an attempt that has not run yet.
@@ -90,14 +90,14 @@
   std::vector<QueueEntry*> lifted;
   for (QueueEntry& entry : entries) {
     const Job& job = model.job(entry.job);
-    entry.start_deadline = start_deadline_of(model, job.spec, clock.wall);
-    if (entry.start_deadline < StartDeadline::urgent || !awaits_first_start(job)) {
-      entry.start_deadline = StartDeadline::relaxed;
+    entry.start_deadline = start_urgency_of(model, job.spec, clock.wall);
+    if (entry.start_deadline < StartUrgency::urgent || !awaits_first_start(job)) {
+      entry.start_deadline = StartUrgency::relaxed;
       continue;
     }
     entry.tier = -1;
     entry.sort_key = start_deadline_slack(model, job.spec, clock.wall);
-    if (entry.start_deadline == StartDeadline::critical) lifted.push_back(&entry);
+    if (entry.start_deadline == StartUrgency::critical) lifted.push_back(&entry);
   }
   std::sort(lifted.begin(), lifted.end(), [](const QueueEntry* left, const QueueEntry* right) {
     return std::tie(left->sort_key, left->job) < std::tie(right->sort_key, right->job);
@@ -111,7 +111,7 @@
     if (liftable_machines >= 0 || first) {
       entry->priority = before_all_ranks;
     } else {
-      entry->start_deadline = StartDeadline::urgent;
+      entry->start_deadline = StartUrgency::urgent;
     }
     first = false;
   }
@@ -126,7 +126,7 @@
   QueueEntries entries;
   for (JobIndex job_index : model.live_jobs(partition)) {
     const Job& job = model.job(job_index);
-    if (model.placeable_tasks(job_index) == 0) continue;
+    if (model.placeable_task_count(job_index) == 0) continue;
     if (job.spec.shape == JobShape::gang && !gang_may_be_placed(job)) continue;
     // Progress that was saved before its machines were lost counts: those nearest their end continue first.
     double since = job.spec.submitted_at - model.placement_limits(job_index).priority_boost_s -
--- a/src/scheduling/task_report_reader.cpp
+++ b/src/scheduling/task_report_reader.cpp
@@ -151,7 +151,7 @@
     return;
   }
   if (task_report.cause == EndCause::peers_lost) job.broken_attempt = placement.attempt;
-  if (task_report.cause == EndCause::error || task_report.cause == EndCause::no_such) {
+  if (task_report.cause == EndCause::error || task_report.cause == EndCause::unknown_task) {
     on_error(reading, placement, task_report);
   } else if (task_report.cause == EndCause::no_capacity) {
     machine.blocked_until =
--- a/src/scheduling/transaction_queue.cpp
+++ b/src/scheduling/transaction_queue.cpp
@@ -24,7 +24,7 @@
 void TransactionQueue::queue(Effects& out, Urgency urgency, Transaction txn,
                              const std::vector<MachineIndex>& machines, std::vector<WakeUp> wake_ups,
                              std::function<void()> on_settled) {
-  for (MachineIndex machine_index : machines) state_.edit_machine(machine_index).writing = true;
+  for (MachineIndex machine_index : machines) state_.edit_machine(machine_index).write_in_flight = true;
   PendingTransaction transaction;
   transaction.txn = std::move(txn);
   transaction.urgency = urgency;
@@ -36,7 +36,7 @@
 
 void TransactionQueue::queue_job(Effects& out, JobTransaction transaction) {
   Job& job = state_.job(transaction.job);
-  job.writing = true;
+  job.write_in_flight = true;
   for (const PlacedTask& placed : transaction.placed_tasks) state_.reserve(placed.machine, job.spec, 1);
   PendingTransaction pending;
   pending.txn = std::move(transaction.txn);
@@ -86,10 +86,11 @@
 void TransactionQueue::settle(Pending::iterator position, Seconds now, double backoff_s) {
   PendingTransaction settled = std::move(position->second);
   pending_.erase(position);
-  for (MachineIndex machine_index : settled.machines) state_.edit_machine(machine_index).writing = false;
+  for (MachineIndex machine_index : settled.machines)
+    state_.edit_machine(machine_index).write_in_flight = false;
   Job* job = settled.job.valid() ? state_.live_job(settled.job) : nullptr;
   if (job != nullptr) {
-    job->writing = false;
+    job->write_in_flight = false;
     if (backoff_s > 0) job->write_backoff_until = now + backoff_s;
     state_.dirty_jobs.insert(settled.job);
   }
--- a/src/scheduling/whole_machines.cpp
+++ b/src/scheduling/whole_machines.cpp
@@ -52,7 +52,7 @@
   std::size_t elsewhere = capacity.free->count_packed_places(query, tasks.size());
   if (tasks.size() <= elsewhere) return tasks;
   std::size_t coming = count_coming_places(state, job, capacity);
-  bool patient = now - job.first_seen < state.settings.operator_settings.scale_out_delay_s;
+  bool patient = now - job.waiting_since < state.settings.operator_settings.scale_out_delay_s;
   if (!patient && tasks.size() > elsewhere + coming) {
     query.avoid_whole_machines = false;  // more tasks than coming capacity: the rest may use whole machines
     return tasks;
--- a/src/simulation/agent_simulator.cpp
+++ b/src/simulation/agent_simulator.cpp
@@ -309,7 +309,7 @@
   }
   if (run.waiting_for_gang_since < 0) return on_image_ready(hollow, event.task_id, run, now);
   if (now - run.waiting_for_gang_since >= settings_.gang_wait_s)
-    finish(hollow, event.task_id, EndCause::incomplete);
+    finish(hollow, event.task_id, EndCause::gang_incomplete);
 }
 
 void AgentSimulator::on_image_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now) {
--- a/src/simulation/cluster_agents.cpp
+++ b/src/simulation/cluster_agents.cpp
@@ -178,7 +178,7 @@
     if (job.class_index == 0) tick_gang(job, all_ready, ended);
     for (TaskNumber task : ended) finish(job, task, EndCause::done);
     for (TaskNumber task : gave_up) {
-      if (job.gang_started < 0 && job.runs.count(task) != 0) finish(job, task, EndCause::incomplete);
+      if (job.gang_started < 0 && job.runs.count(task) != 0) finish(job, task, EndCause::gang_incomplete);
     }
   }
 }
--- a/src/state/accounting_records.cpp
+++ b/src/state/accounting_records.cpp
@@ -83,7 +83,7 @@
 
 Json encode_record(const MarketRecord& record, const ClusterState&) {
   namespace field = stored::market;
-  const Evidence& evidence = record.evidence;
+  const MarketEvidence& evidence = record.evidence;
   Json value = {{field::deliveries, {evidence.delivered, evidence.undelivered}},
                 {field::delay, {evidence.delay_weight, evidence.delay_mean, evidence.delay_m2}},
                 {field::drift, {evidence.drift_weight, evidence.drift_mean, evidence.drift_m2}}};
@@ -94,7 +94,7 @@
 std::optional<MarketRecord> decode_market(const Json& value) {
   namespace field = stored::market;
   MarketRecord record;
-  Evidence& evidence = record.evidence;
+  MarketEvidence& evidence = record.evidence;
   record.reason = read_string(value, field::suspension_reason);
   record.suspended = value.contains(field::suspension_reason);
   if (!read_numbers(value, field::deliveries, {&evidence.delivered, &evidence.undelivered}) ||
--- a/src/wire/agent_codec.cpp
+++ b/src/wire/agent_codec.cpp
@@ -34,11 +34,14 @@
                                                {"saving", TaskPhase::saving},
                                                {"ended", TaskPhase::ended}};
 
-constexpr WireName<EndCause> end_causes[] = {
-    {"done", EndCause::done},        {"stopped", EndCause::stopped},
-    {"peers", EndCause::peers_lost}, {"incomplete", EndCause::incomplete},
-    {"error", EndCause::error},      {"no_room", EndCause::no_capacity},
-    {"busy", EndCause::busy},        {"no_such", EndCause::no_such}};
+constexpr WireName<EndCause> end_causes[] = {{"done", EndCause::done},
+                                             {"stopped", EndCause::stopped},
+                                             {"peers", EndCause::peers_lost},
+                                             {"incomplete", EndCause::gang_incomplete},
+                                             {"error", EndCause::error},
+                                             {"no_room", EndCause::no_capacity},
+                                             {"busy", EndCause::attempt_conflict},
+                                             {"no_such", EndCause::unknown_task}};
 
 constexpr WireName<CommandKind> command_kinds[] = {
     {"start", CommandKind::start}, {"kill", CommandKind::kill}, {"clear", CommandKind::clear}};
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -83,7 +83,7 @@
   std::string machine_name = cluster.machines_of_task("run-1", 0).at(0);
   ASSERT_TRUE(cluster.worker(machine_name).has("run-1/0"));
   Attempt attempt = cluster.worker(machine_name).attempt("run-1/0");
-  cluster.worker(machine_name).finish("run-1/0", EndCause::incomplete);
+  cluster.worker(machine_name).finish("run-1/0", EndCause::gang_incomplete);
   cluster.now += 0.5;
   WorkerReport late = cluster.worker(machine_name).report(cluster.now);
   ASSERT_EQ(late.tasks.at(0).phase, TaskPhase::ended);
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -1,4 +1,5 @@
-// The fencing points of docs/design.md, each with the interleaving that it guards against.
+// Tests of the fencing rules of docs/design.md. Each builds the interleaving of events that a rule guards
+// against.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,7 +17,8 @@
 
 constexpr PartitionIndex red_partition{1};
 
-/// Controller 0 places run-1, and the transaction is delayed in transit.
+/// Lets controller 0 place run-1 with `tasks` tasks. The transaction is delayed in transit and kept in its
+/// `lost_writes`.
 void delay_placement_transaction(SimulatedCluster& cluster, std::uint32_t tasks) {
   cluster.submit(test_job("run-1", tasks, 4));
   cluster.controller(0).sync(cluster.now);
@@ -30,14 +32,15 @@
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 3));
   cluster.run(4);
-  for (const char* t : {"run-1/0", "run-1/1", "run-1/2"}) {
-    ASSERT_TRUE(cluster.worker("m1").has(t)) << t;
-    cluster.worker("m1").finish(t, EndCause::done);
+  for (const char* task : {"run-1/0", "run-1/1", "run-1/2"}) {
+    ASSERT_TRUE(cluster.worker("m1").has(task)) << task;
+    cluster.worker("m1").finish(task, EndCause::done);
   }
   cluster.run(3);
   EXPECT_EQ(cluster.phase("run-1"), "done");
-  // Only the final phase and the fleet's keys are left.
-  for (const auto& [key, e] : cluster.store.keys()) EXPECT_EQ(key.find("run-1/"), std::string::npos) << key;
+  // Of the job only its final phase may remain in the state service.
+  for (const auto& [key, entry] : cluster.store.keys())
+    EXPECT_EQ(key.find("run-1/"), std::string::npos) << key;
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
@@ -66,18 +69,18 @@
   cluster.now += 0.5;
   EXPECT_EQ(cluster.exchange_report(machine_name, 0, true).commands.size(), 1U);
   cluster.now += 0.5;
-  auto again = cluster.exchange_report(machine_name, 0);
-  ASSERT_EQ(again.commands.size(), 1U);
-  EXPECT_EQ(again.commands[0].kind, CommandKind::start);
+  auto next_response = cluster.exchange_report(machine_name, 0);
+  ASSERT_EQ(next_response.commands.size(), 1U);
+  EXPECT_EQ(next_response.commands[0].kind, CommandKind::start);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{machine_name});
   cluster.run(2);
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
 }
 
 TEST(Fencing, AbsenceUnderAnOldFencingTokenProvesNothing) {
-  // Controller 0 sends the start and ends; the agent's next report reaches controller 1 and lacks the task,
-  // since controller 0's response is still in transit. Only a report that shows controller 1's fencing token
-  // proves anything.
+  // Controller 0 sends the start command and ends. The agent's next report reaches controller 1 without the
+  // task, because controller 0's response is still in transit. Only a report that shows controller 1's
+  // fencing token proves that the task is not on the machine.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -86,18 +89,18 @@
   cluster.controller(0).sync(cluster.now);
   cluster.controller(0).run_cycle(cluster.now);
   std::string machine_name = cluster.machines_of_task("run-1", 0).at(0);
-  auto late =
+  auto late_response =
       cluster.controller(0).handle_report(cluster.worker(machine_name).report(cluster.now), cluster.now);
-  ASSERT_EQ(late.commands.size(), 1U);
+  ASSERT_EQ(late_response.commands.size(), 1U);
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.now += 0.5;
   auto report = cluster.worker(machine_name).report(cluster.now);
   EXPECT_TRUE(cluster.controller(1).handle_report(report, cluster.now).commands.empty());
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{machine_name});
-  const Machine& m = cluster.controller(1).cluster_state.machine(
+  const Machine& machine = cluster.controller(1).cluster_state.machine(
       cluster.controller(1).cluster_state.names.machines.find(machine_name));
-  EXPECT_EQ(m.state, MachineState::unreconciled);
+  EXPECT_EQ(machine.state, MachineState::unreconciled);
 }
 
 TEST(Fencing, LateTransactionOfAnEarlierOwnerFails) {
@@ -118,12 +121,13 @@
 }
 
 TEST(Fencing, LatePlacementOfAnEarlierOwnerFailsEvenIfNothingElseChanged) {
-  // Job, record and machine are unchanged, since the new owner gave the team's quota to another job: only the
-  // guard on the ownership fails. Applied, the transaction would put the team over its quota of eight.
+  // The new owner has given the team's quota to another job, so the records of the delayed job and of the
+  // machine are unchanged, and only the guard on the ownership fails. If the transaction were applied, the
+  // team would exceed its quota of eight GPUs.
   SimulatedCluster cluster;
-  for (const char* m : {"m1", "m2", "m3"}) cluster.add_machine(m);
-  for (std::size_t n : {0, 1})
-    cluster.controller(n).cluster_state.settings.operator_settings.release_to_pool_s = 1000;
+  for (const char* name : {"m1", "m2", "m3"}) cluster.add_machine(name);
+  for (std::size_t i : {0, 1})
+    cluster.controller(i).cluster_state.settings.operator_settings.release_to_pool_s = 1000;
   cluster.run(2);
   ASSERT_NO_FATAL_FAILURE(delay_placement_transaction(cluster, 1));
   JobSpec other = test_job("run-2", 2, 4);
@@ -131,7 +135,7 @@
   cluster.submit(other);
   cluster.fail_over(0, 1, 0.5);
   cluster.run(3, 1);
-  ASSERT_TRUE(cluster.machines_of_task("run-1", 0).empty()) << "precondition of this case";
+  ASSERT_TRUE(cluster.machines_of_task("run-1", 0).empty()) << "precondition: run-1 is not placed";
   ASSERT_EQ(cluster.machines_of_task("run-2", 0).size() + cluster.machines_of_task("run-2", 1).size(), 2U);
   EXPECT_EQ(cluster.store.txn(cluster.controller(0).lost_writes[0]).status, 409);
   cluster.run(3, 1);
@@ -139,31 +143,32 @@
 }
 
 TEST(Fencing, LatePlacementOnAMachineWhoseRecordHasChangedFails) {
-  // The leader marks machines and deletes the records of those that are gone, whatever their partition's
-  // owner is writing: applied afterwards, a placement would be on a machine that no controller can reach or
-  // delete.
-  for (bool gone : {true, false}) {
+  // The leader marks machines for deletion and deletes the records of those that are gone, whatever the owner
+  // of their partition is writing at that time. A placement applied afterwards would be on a machine that no
+  // controller can reach or delete.
+  for (bool record_deleted : {true, false}) {
     SimulatedCluster cluster;
     cluster.add_machine("m1");
     cluster.run(2);
     ASSERT_NO_FATAL_FAILURE(delay_placement_transaction(cluster, 1));
     simulation::Json change = {{"delete", "o/m/m1"}};
-    if (!gone) {
+    if (!record_deleted) {
       simulation::Json marked = cluster.store.keys().at("o/m/m1").value;
       marked["del"] = true;
       change = {{"put", "o/m/m1"}, {"value", marked}};
     }
     ASSERT_EQ(cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {change}}}).status, 200);
-    EXPECT_EQ(cluster.store.txn(cluster.controller(0).lost_writes[0]).status, 409) << gone;
-    EXPECT_TRUE(cluster.machines_of_task("run-1", 0).empty()) << gone;
+    EXPECT_EQ(cluster.store.txn(cluster.controller(0).lost_writes[0]).status, 409) << record_deleted;
+    EXPECT_TRUE(cluster.machines_of_task("run-1", 0).empty()) << record_deleted;
   }
 }
 
 TEST(Fencing, UnansweredTransactionStaysIndeterminateWhenItsRetryIsRejected) {
-  // The first copy is delayed, the second gets 503: that proves nothing about the first. If its quota were
-  // freed, other work could take it, and the first copy, applied late, would exceed the team's quota.
+  // The first copy is delayed and the second gets 503, which proves nothing about the first. If the reserved
+  // quota were released, other work could take it, and the team would exceed its quota when the first copy is
+  // applied late.
   SimulatedCluster cluster;
-  for (const char* m : {"m1", "m2", "m3", "m4"}) cluster.add_machine(m);
+  for (const char* name : {"m1", "m2", "m3", "m4"}) cluster.add_machine(name);
   cluster.run(2);
   ASSERT_NO_FATAL_FAILURE(delay_placement_transaction(cluster, 2));
   cluster.controller(0).write_outcome = WriteOutcome::answered;
@@ -180,15 +185,15 @@
   cluster.run(2);
   std::size_t placed = 0;
   for (const char* job : {"run-1", "run-2"}) {
-    for (TaskNumber t : {0U, 1U}) placed += cluster.machines_of_task(job, t).size();
+    for (TaskNumber task : {0U, 1U}) placed += cluster.machines_of_task(job, task).size();
   }
-  EXPECT_EQ(placed, 2U);  // of 4 GPUs each, and the team's quota is 8
+  EXPECT_EQ(placed, 2U);  // 4 GPUs each, and the team's quota is 8
   EXPECT_TRUE(cluster.worker("m1").has("run-1/0") || cluster.worker("m2").has("run-1/0"));
 }
 
 TEST(Fencing, RetriedTransactionIsIdenticalEvenIfItsJobIsGone) {
-  // Encoded again from the replica it would name a job that is no longer there, which once ended the
-  // controller.
+  // If a retry encoded the transaction again from the replica, it would refer to a job that is no longer
+  // there. That made a controller crash.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -205,8 +210,8 @@
 }
 
 TEST(Fencing, UnansweredTransactionKeepsItsReservationAndIsRetried) {
-  // The response is lost though the placement was applied: its capacity stays reserved, and the repeat finds
-  // it done.
+  // The placement is applied but the response is lost. The capacity stays reserved, and the retry finds that
+  // the transaction has been applied.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -253,9 +258,9 @@
   cluster.silenced_workers.insert("m1");
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.controller(1).cluster_state.settings.operator_settings.idle_retention_s =
-      1000;  // m2 must still be there when it is needed
-  double wait = cluster.controller(1).cluster_state.settings.failover_silence_s();
-  cluster.run(wait - 2, 1);
+      1000;  // keeps m2 until it is needed
+  double silence_s = cluster.controller(1).cluster_state.settings.failover_silence_s();
+  cluster.run(silence_s - 2, 1);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   cluster.run(4, 1);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m2"});
@@ -266,14 +271,14 @@
 TEST(Fencing, ReadOnlyPeriodIsSkippedOnceEveryControllerHasRestarted) {
   struct Case {
     const char* description;
-    bool node_0_restarted, node_0_restarted_again, handed_over;
-    bool resolved_early;
+    bool node_0_restarted, node_0_lease_revoked, machine_was_moved;
+    bool read_only_period_skipped;
   };
   for (const Case& test_case :
-       {Case{"both have begun anew", true, false, false, true},
-        Case{"the earlier owner may still answer", false, false, false, false},
-        Case{"it was there and is gone again", true, true, false, false},
-        Case{"the machine came by a move, from an owner that lives", true, false, true, false}}) {
+       {Case{"both controllers have restarted", true, false, false, true},
+        Case{"the earlier owner has not restarted and may still answer", false, false, false, false},
+        Case{"the earlier owner has restarted and lost its lease again", true, true, false, false},
+        Case{"the machine was moved from an owner that still runs", true, false, true, false}}) {
     SimulatedCluster cluster;
     cluster.add_machine("m1");
     cluster.run(2);
@@ -283,30 +288,32 @@
     cluster.add_machine("m2");
     cluster.kill_controller(0);
     cluster.silenced_workers.insert("m1");
-    ClusterState& model = cluster.controller(1).cluster_state;
-    model.settings.all_controllers = {"node-0", "node-1"};
-    model.settings.operator_settings.idle_retention_s = model.settings.operator_settings.release_to_pool_s =
-        1000;
+    ClusterState& cluster_state = cluster.controller(1).cluster_state;
+    cluster_state.settings.all_controllers = {"node-0", "node-1"};
+    cluster_state.settings.operator_settings.idle_retention_s =
+        cluster_state.settings.operator_settings.release_to_pool_s = 1000;
     cluster.controller(1).acquire_all_partitions(cluster.now);
     cluster.register_controller(1);
-    std::uint64_t back = test_case.node_0_restarted ? cluster.register_controller(0) : 0;
+    std::uint64_t node_0_lease = test_case.node_0_restarted ? cluster.register_controller(0) : 0;
     cluster.run(1, 1);
-    if (test_case.node_0_restarted_again) cluster.store.revoke_lease(back);
-    if (test_case.handed_over) model.edit_machine(model.names.machines.find("m1")).inherited = false;
-    cluster.run(model.settings.lease_expiry_s() - 2, 1);
+    if (test_case.node_0_lease_revoked) cluster.store.revoke_lease(node_0_lease);
+    if (test_case.machine_was_moved)
+      cluster_state.edit_machine(cluster_state.names.machines.find("m1")).inherited = false;
+    cluster.run(cluster_state.settings.lease_expiry_s() - 2, 1);
     EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"}) << test_case.description;
     cluster.run(4, 1);
     EXPECT_EQ(cluster.machines_of_task("run-1", 0),
-              std::vector<std::string>{test_case.resolved_early ? "m2" : "m1"})
+              std::vector<std::string>{test_case.read_only_period_skipped ? "m2" : "m1"})
         << test_case.description;
-    cluster.run(model.settings.read_only_period_s(), 1);
+    cluster.run(cluster_state.settings.read_only_period_s(), 1);
     EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m2"}) << test_case.description;
     EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
   }
 }
 
 TEST(Fencing, TasksOnAMachineMarkedForDeletionAreProvedGoneBySilenceAcrossFailover) {
-  // The cloud is down: the deletion is marked and never confirmed, and the owner ends.
+  // The cloud is down, so the machine is marked for deletion but the deletion is never confirmed. Then the
+  // owner ends.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -322,8 +329,8 @@
   cluster.controller(1).cluster_state.settings.operator_settings.idle_retention_s =
       cluster.controller(1).cluster_state.settings.operator_settings.release_to_pool_s = 1000;
   cluster.controller(1).acquire_all_partitions(cluster.now);
-  double wait = cluster.controller(1).cluster_state.settings.failover_silence_s();
-  cluster.run(wait - 2, 1);
+  double silence_s = cluster.controller(1).cluster_state.settings.failover_silence_s();
+  cluster.run(silence_s - 2, 1);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   cluster.run(4, 1);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m2"});
@@ -334,7 +341,8 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
-  auto delayed_report = cluster.worker("m1").report(cluster.now);  // before the start, delivered much later
+  auto delayed_report =
+      cluster.worker("m1").report(cluster.now);  // sent before the task starts, delivered much later
   cluster.submit(test_job("run-1", 1));
   cluster.run(3);
   ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
@@ -351,13 +359,14 @@
   cluster.submit(test_job("run-1", 1));
   cluster.controller(0).sync(cluster.now);
   cluster.controller(0).run_cycle(cluster.now);
-  cluster.silenced_workers.insert("m1");  // placed, never reports
+  cluster.silenced_workers.insert("m1");  // the task is placed, but the agent never reports
   auto current_partition = [&cluster] {
     return cluster.store.keys().at("o/m/m1").value.at("part").get<std::string>();
   };
   cluster.run(8);
   EXPECT_EQ(current_partition(), "red");
-  cluster.run(10);  // its agent's lease is over: the task is gone, the machine is released to be deleted
+  cluster.run(
+      10);  // the agent's lease has expired: the task is gone, and the machine is released for deletion
   EXPECT_EQ(current_partition(), ".pool");
   EXPECT_TRUE(cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());
 }
@@ -366,14 +375,14 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
-  MachineIndex m = cluster.controller(0).cluster_state.names.machines.find("m1");
-  Revision first =
-      cluster.controller(0).cluster_state.fencing_token(cluster.controller(0).cluster_state.machine(m));
+  MachineIndex m1_at_controller_0 = cluster.controller(0).cluster_state.names.machines.find("m1");
+  Revision first = cluster.controller(0).cluster_state.fencing_token(
+      cluster.controller(0).cluster_state.machine(m1_at_controller_0));
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
-  MachineIndex m1 = cluster.controller(1).cluster_state.names.machines.find("m1");
-  Revision second =
-      cluster.controller(1).cluster_state.fencing_token(cluster.controller(1).cluster_state.machine(m1));
+  MachineIndex m1_at_controller_1 = cluster.controller(1).cluster_state.names.machines.find("m1");
+  Revision second = cluster.controller(1).cluster_state.fencing_token(
+      cluster.controller(1).cluster_state.machine(m1_at_controller_1));
   EXPECT_GT(second, first);
   cluster.controller(0).sync(cluster.now);
   EXPECT_EQ(cluster.exchange_report("m1", 0).kind, Kind::redirect);
@@ -381,7 +390,7 @@
 }
 
 TEST(Fencing, ControllerWithALowerTokenDoesNotRespond) {
-  // Controller 0 does not know yet that controller 1 has its ownership now.
+  // Controller 0 does not know yet that controller 1 now owns its partitions.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -394,19 +403,20 @@
 
 TEST(Fencing, AuthorityExpiresAfterTheLastRenewalAndWatchResponse) {
   Settings settings = simulation::test_settings("n");
-  double life = settings.operator_settings.controller_lease_s, grace = settings.read_only_period_s();
+  double lease_s = settings.operator_settings.controller_lease_s, read_only_s = settings.read_only_period_s();
   struct Case {
     double renewed_at, watch_answered_at, now;
     Authority expected;
   };
   const Case cases[] = {
-      {0, 0, life - 0.1, Authority::full},
-      {0, 0, life, Authority::read_only},
-      {0, 0, life + grace - 0.1, Authority::read_only},
-      {0, 0, life + grace, Authority::none},
-      {10, 0, life + 1, Authority::read_only},  // renewals are not enough: it learns of no cancellations
-      {0, 10, life + 1, Authority::read_only},
-      {10, 10, life + 1, Authority::full},
+      {0, 0, lease_s - 0.1, Authority::full},
+      {0, 0, lease_s, Authority::read_only},
+      {0, 0, lease_s + read_only_s - 0.1, Authority::read_only},
+      {0, 0, lease_s + read_only_s, Authority::none},
+      {10, 0, lease_s + 1,
+       Authority::read_only},  // renewed, but without the watch it learns of no cancellations
+      {0, 10, lease_s + 1, Authority::read_only},
+      {10, 10, lease_s + 1, Authority::full},
   };
   for (const Case& test_case : cases) {
     ControllerLease lease(settings);
@@ -416,7 +426,7 @@
     EXPECT_EQ(static_cast<int>(lease.authority(test_case.now)), static_cast<int>(test_case.expected))
         << test_case.renewed_at << " " << test_case.watch_answered_at << " " << test_case.now;
   }
-  EXPECT_LT(life + grace + settings.lease_expiry_s(), settings.cancel_deadline_s);
+  EXPECT_LT(lease_s + read_only_s + settings.lease_expiry_s(), settings.cancel_deadline_s);
 }
 
 TEST(Fencing, StateOutageKeepsTasksAliveWithoutCommands) {
@@ -443,10 +453,11 @@
   cluster.run(3);
   Settings settings = cluster.controller(0).cluster_state.settings;
   cluster.withdraw("run-1");
-  cluster.now += settings.operator_settings.controller_lease_s + 0.5;  // it receives nothing any more
-  auto a = cluster.exchange_report("m1", 0);
-  EXPECT_EQ(a.kind, Kind::ok);
-  EXPECT_TRUE(a.commands.empty());
+  cluster.now +=
+      settings.operator_settings.controller_lease_s + 0.5;  // its lease and its watch are not renewed
+  auto answer = cluster.exchange_report("m1", 0);
+  EXPECT_EQ(answer.kind, Kind::ok);
+  EXPECT_TRUE(answer.commands.empty());
   cluster.now += settings.read_only_period_s();
   EXPECT_EQ(cluster.exchange_report("m1", 0).kind, Kind::refuse);
 }
@@ -461,7 +472,7 @@
     cluster.exchange_report("m1", 0);
     std::string expected;
     if (cancel_first) {
-      // The owner does not know of the cancellation when it writes the done mark.
+      // The owner writes the done mark without knowing of the cancellation.
       EXPECT_EQ(cluster.withdraw("run-1"), 200);
       cluster.controller(0).run_cycle(cluster.now);
       EXPECT_EQ(cluster.controller(0).refused_writes, 1);
@@ -481,11 +492,12 @@
 TEST(Fencing, CancelledTasksAreKilledAndNeverStarted) {
   SimulatedCluster cluster;
   cluster.add_machine("m1");
-  cluster.submit(test_job("run-1", 6));  // four fit
+  cluster.submit(test_job("run-1", 6));  // four tasks fit on the machine
   cluster.run(3);
   cluster.withdraw("run-1");
   cluster.run(4);
-  for (int t = 0; t < 6; ++t) EXPECT_FALSE(cluster.worker("m1").has("run-1/" + std::to_string(t)));
+  for (int task = 0; task < 6; ++task)
+    EXPECT_FALSE(cluster.worker("m1").has("run-1/" + std::to_string(task)));
   EXPECT_EQ(cluster.phase("run-1"), "cancelled");
   cluster.run(4);
   EXPECT_EQ(cluster.run_log.starts["run-1/5"], 0);
@@ -500,16 +512,17 @@
   cluster.worker("m1").finish("run-1/0", EndCause::done);
   cluster.controller(0).write_outcome = WriteOutcome::not_arrived;
   cluster.run(2);
-  EXPECT_EQ(cluster.worker("m1").phase("run-1/0"), TaskPhase::ended);  // still reported
+  EXPECT_EQ(cluster.worker("m1").phase("run-1/0"), TaskPhase::ended);  // the agent still reports it
   cluster.controller(0).write_outcome = WriteOutcome::answered;
   cluster.run(3);
-  auto r = cluster.worker("m1").report(cluster.now);
-  EXPECT_EQ(r.tasks.size(), 1U);
+  auto report = cluster.worker("m1").report(cluster.now);
+  EXPECT_EQ(report.tasks.size(), 1U);
   EXPECT_EQ(cluster.store.keys().at("o/c/run-1/0").value.at("d"), "1");
 }
 
 TEST(Fencing, QuotaCountsUnreportedTasks) {
-  // The team's quota is 8 GPUs; two machines fall silent with 8 in use on them, so nothing else may start.
+  // The team's quota is 8 GPUs. Two machines stop reporting while 8 GPUs are in use on them, so no other task
+  // may start.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -530,81 +543,84 @@
 TEST(Fencing, SingleZoneConstraintCountsUnreportedTasks) {
   SimulatedCluster cluster;
   cluster.add_machine("m1", "a");
-  JobSpec s = test_job("run-1", 2, 4);
-  s.single_zone = true;
-  cluster.submit(s);
+  JobSpec spec = test_job("run-1", 2, 4);
+  spec.single_zone = true;
+  cluster.submit(spec);
   cluster.run(3);
   ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
   cluster.silenced_workers.insert("m1");
   cluster.add_machine("m2", "b");
   cluster.run(8);
-  EXPECT_FALSE(cluster.worker("m2").has("run-1/1"));  // task 0 still counts as in zone a
+  EXPECT_FALSE(cluster.worker("m2").has("run-1/1"));  // task 0 still counts as running in zone a
 }
 
 TEST(Fencing, DeletedMachineIsProvablyGoneAndNotReadmitted) {
   SimulatedCluster cluster;
   cluster.add_machine("m1", "a", ".pool");
   cluster.run(2);
-  double keep = cluster.controller(0).cluster_state.settings.operator_settings.idle_retention_s;
-  cluster.run(keep + 3);
+  double idle_retention_s = cluster.controller(0).cluster_state.settings.operator_settings.idle_retention_s;
+  cluster.run(idle_retention_s + 3);
   ASSERT_FALSE(cluster.controller(0).machines_to_delete.empty());
   EXPECT_TRUE(
-      cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());  // durable before the delete is sent
+      cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());  // durable before the deletion is sent
   cluster.controller(0).autoscaler.on_deleted(cluster.controller(0).machines_to_delete, true);
   cluster.silenced_workers.insert("m1");
   cluster.run(2);
   EXPECT_EQ(cluster.store.keys().count("o/m/m1"), 0U);
-  // A listing from before the deletion must not bring it back.
-  ListedMachine old{"m1", "127.0.0.1:1", "std", "a", false, ListedMachine::Phase::running, 100};
+  // A listing from before the deletion must not register the machine again.
+  ListedMachine stale_entry{"m1", "127.0.0.1:1", "std", "a", false, ListedMachine::Phase::running, 100};
   for (int i = 0; i < 10; ++i) {
-    cluster.controller(0).autoscaler.on_listed({old}, cluster.now);
+    cluster.controller(0).autoscaler.on_listed({stale_entry}, cluster.now);
     cluster.run(3);
   }
   EXPECT_EQ(cluster.store.keys().count("o/m/m1"), 0U);
 }
 
 TEST(Fencing, PartitionsSpreadOverLiveControllers) {
-  ClusterState model(simulation::test_settings("n0"), simulation::test_names());
-  auto record_ownership = [&model](std::uint32_t partition, const std::string& node, Revision revision) {
-    model.apply({OwnershipKey{PartitionIndex{partition}}, OwnershipRecord{node, 1}, 1}, revision, 100);
+  ClusterState cluster_state(simulation::test_settings("n0"), simulation::test_names());
+  auto record_ownership = [&cluster_state](std::uint32_t partition, const std::string& controller,
+                                           Revision revision) {
+    cluster_state.apply({OwnershipKey{PartitionIndex{partition}}, OwnershipRecord{controller, 1}, 1},
+                        revision, 100);
   };
-  std::vector<std::string> all = {"n0", "n1", "n2"};
-  // At the start every partition prefers another controller.
-  EXPECT_EQ(acquisition_turn(model, PartitionIndex{0}, "n0", all), 0U);
-  EXPECT_EQ(acquisition_turn(model, PartitionIndex{1}, "n1", all), 0U);
-  EXPECT_EQ(acquisition_turn(model, PartitionIndex{2}, "n2", all), 0U);
-  EXPECT_EQ(acquisition_turn(model, PartitionIndex{1}, "n0", all), 2U);
-  // Later the controller with fewer partitions goes first.
+  std::vector<std::string> candidates = {"n0", "n1", "n2"};
+  // At the start each partition prefers a different controller.
+  EXPECT_EQ(acquisition_turn(cluster_state, PartitionIndex{0}, "n0", candidates), 0U);
+  EXPECT_EQ(acquisition_turn(cluster_state, PartitionIndex{1}, "n1", candidates), 0U);
+  EXPECT_EQ(acquisition_turn(cluster_state, PartitionIndex{2}, "n2", candidates), 0U);
+  EXPECT_EQ(acquisition_turn(cluster_state, PartitionIndex{1}, "n0", candidates), 2U);
+  // Later, controllers that own fewer partitions go first.
   record_ownership(0, "n1", 10);
-  EXPECT_NE(acquisition_turn(model, PartitionIndex{1}, "n1", all), 0U);
+  EXPECT_NE(acquisition_turn(cluster_state, PartitionIndex{1}, "n1", candidates), 0U);
 }
 
 TEST(Fencing, RecordsMayArriveInAnyOrder) {
-  // After a restart placement records are listed before their jobs: capacity and quota in use must be the
-  // same.
+  // After a restart, chunk records are listed before the records of their jobs. The capacity and quota in use
+  // must be the same as in any other order.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 2));
   cluster.run(3);
-  simulation::SimulatedController late("node-9", cluster.store, simulation::test_settings("node-9"));
+  simulation::SimulatedController restarted("node-9", cluster.store, simulation::test_settings("node-9"));
   std::vector<std::string> keys;
-  for (const auto& [key, e] : cluster.store.keys()) keys.push_back(key);
+  for (const auto& [key, entry] : cluster.store.keys()) keys.push_back(key);
   std::sort(keys.begin(), keys.end());
   for (const std::string& key : keys) {
-    const auto& e = cluster.store.keys().at(key);
-    auto change = state::decode(key, &e.value, late.cluster_state);
+    const auto& entry = cluster.store.keys().at(key);
+    auto change = state::decode(key, &entry.value, restarted.cluster_state);
     ASSERT_TRUE(change) << key;
-    late.cluster_state.apply(*change, e.revision, cluster.now);
+    restarted.cluster_state.apply(*change, entry.revision, cluster.now);
   }
-  const Machine& m = late.cluster_state.machine(late.cluster_state.names.machines.find("m1"));
-  EXPECT_DOUBLE_EQ(m.used.gpus, 2);
-  EXPECT_DOUBLE_EQ(late.cluster_state.team_usage(red_partition).gpus, 2);
-  EXPECT_EQ(late.cluster_state.job(late.cluster_state.find_job("run-1")).pending_count(), 0U);
+  const Machine& machine = restarted.cluster_state.machine(restarted.cluster_state.names.machines.find("m1"));
+  EXPECT_DOUBLE_EQ(machine.used.gpus, 2);
+  EXPECT_DOUBLE_EQ(restarted.cluster_state.team_usage(red_partition).gpus, 2);
+  EXPECT_EQ(restarted.cluster_state.job(restarted.cluster_state.find_job("run-1")).pending_count(), 0U);
 }
 
 TEST(Fencing, WakeUpUsesATokenThatEveryLaterOwnerExceeds) {
-  // Agents that report seldom are woken once their task's placement is durable. The wake-up's token is the
-  // placement's revision: above what the agent has seen, below the ownership revision of any later owner.
+  // Agents that report at long intervals are woken once a placement on their machine is durable. The fencing
+  // token of the wake-up is the revision of the placement. It is higher than any token that the agent has
+  // seen, and lower than the ownership revision of any later owner.
   SimulatedCluster cluster;
   cluster.controller(0).cluster_state.settings.report_interval_s = 5;
   cluster.add_machine("m1");
@@ -620,16 +636,16 @@
   ASSERT_EQ(cluster.exchange_report("m1", 0).commands.size(), 1U);
   cluster.kill_controller(0);
   ASSERT_TRUE(cluster.controller(1).acquire_partition(red_partition, cluster.now));
-  auto a = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
-  EXPECT_EQ(a.kind, ReportAnswer::Kind::ok);
-  EXPECT_GT(a.fencing_token, wake_up.fencing_token);
-  cluster.worker("m1").answer(a, cluster.now);
-  EXPECT_FALSE(cluster.worker("m1").command(wake_up));  // a late wake-up is refused
+  auto answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
+  EXPECT_EQ(answer.kind, ReportAnswer::Kind::ok);
+  EXPECT_GT(answer.fencing_token, wake_up.fencing_token);
+  cluster.worker("m1").answer(answer, cluster.now);
+  EXPECT_FALSE(cluster.worker("m1").command(wake_up));  // a late copy of the wake-up is refused
 }
 
-TEST(Fencing, RedirectDistinguishesDepartedWorkersFromNewOnes) {
-  // Only a departed agent's reports are forwarded to the owner: across a network cut between zones its lease
-  // would run out.
+TEST(Fencing, RedirectMarksTheOwnerUnreachableOnlyForAgentsThatItServed) {
+  // Only the reports of an agent that lost contact with its owner are forwarded to the owner. Without that,
+  // the lease of an agent that is cut off from its owner's zone would expire.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.controller(1).sync(cluster.now);
@@ -638,7 +654,8 @@
   EXPECT_FALSE(answer.owner_unreachable);  // the owner never served it
   cluster.run(5);
   answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
-  EXPECT_FALSE(answer.owner_unreachable);  // ownership is recent: it may have been told to report at once
+  EXPECT_FALSE(
+      answer.owner_unreachable);  // ownership is recent: the agent may have been told to report at once
   cluster.run(30);
   answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
   EXPECT_EQ(answer.kind, Kind::redirect);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -424,12 +424,18 @@
   EXPECT_EQ(full->fencing_token, 41U);
   EXPECT_EQ(full->preemption_notice_s, 12.5);
   const std::vector<std::pair<TaskPhase, EndCause>> expected = {
-      {TaskPhase::fetching, EndCause::none},    {TaskPhase::gathering, EndCause::none},
-      {TaskPhase::running, EndCause::none},     {TaskPhase::saving, EndCause::none},
-      {TaskPhase::ended, EndCause::done},       {TaskPhase::ended, EndCause::stopped},
-      {TaskPhase::ended, EndCause::peers_lost}, {TaskPhase::ended, EndCause::incomplete},
-      {TaskPhase::ended, EndCause::error},      {TaskPhase::ended, EndCause::no_capacity},
-      {TaskPhase::ended, EndCause::busy},       {TaskPhase::ended, EndCause::no_such},
+      {TaskPhase::fetching, EndCause::none},
+      {TaskPhase::gathering, EndCause::none},
+      {TaskPhase::running, EndCause::none},
+      {TaskPhase::saving, EndCause::none},
+      {TaskPhase::ended, EndCause::done},
+      {TaskPhase::ended, EndCause::stopped},
+      {TaskPhase::ended, EndCause::peers_lost},
+      {TaskPhase::ended, EndCause::gang_incomplete},
+      {TaskPhase::ended, EndCause::error},
+      {TaskPhase::ended, EndCause::no_capacity},
+      {TaskPhase::ended, EndCause::attempt_conflict},
+      {TaskPhase::ended, EndCause::unknown_task},
       {TaskPhase::ended, EndCause::error},  // an unknown cause
   };
   ASSERT_EQ(full->tasks.size(), expected.size());
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -198,7 +198,7 @@
   cluster.worker("m2").set_phase(task_on_m2, TaskPhase::fetching);
   cluster.run(1);
   Attempt attempt = cluster.worker("m2").attempt(task_on_m2);
-  cluster.worker("m1").finish(task_on_m1, EndCause::incomplete);
+  cluster.worker("m1").finish(task_on_m1, EndCause::gang_incomplete);
   cluster.run(3);
   EXPECT_EQ(cluster.run_log.starts[task_on_m2], 1);  // still fetching
   ASSERT_TRUE(cluster.worker("m1").has(task_on_m1));
@@ -312,7 +312,7 @@
   other.priority = Priority::high;  // it would go first
   cluster.submit(other);
   cluster.controller(0).sync(cluster.now);
-  cluster.worker("m1").finish(task, EndCause::incomplete);
+  cluster.worker("m1").finish(task, EndCause::gang_incomplete);
   cluster.now += 0.5;
   cluster.exchange_report("m1", 0);
   cluster.controller(0).write_outcome =
