--- a/src/cluster/machine.cpp
+++ b/src/cluster/machine.cpp
@@ -27,14 +27,14 @@
   lost_responses = 0;
 }
 
-void Machine::forget_all_but_usage() {
+void Machine::reset_except_usage() {
   Machine fresh;
   fresh.placed_tasks = std::move(placed_tasks);
   fresh.used = used;
   fresh.long_running_tasks = long_running_tasks;
   fresh.reserved = reserved;
   fresh.reservations = reservations;
-  fresh.change_noted = change_noted;
+  fresh.marked_changed = marked_changed;
   *this = std::move(fresh);
 }
 
@@ -42,7 +42,7 @@
   auto cached = std::find(cached_images.begin(), cached_images.end(), image);
   if (cached != cached_images.end()) cached_images.erase(cached);
   cached_images.push_back(image);
-  // The agent keeps the most recently used images that fit in its cache, and the newest in any case.
+  // The agent keeps the most recently used images that fit in its cache, and the newest image in any case.
   double free_gb = cache_gb;
   std::size_t evicted = cached_images.size();
   for (; evicted > 0; --evicted) {
