--- a/include/oxbowmill/reconciliation/agent_liveness.h
+++ b/include/oxbowmill/reconciliation/agent_liveness.h
@@ -1,5 +1,5 @@
-// What is concluded about single machines: the liveness of an agent, when its silence makes it suspected, and
-// whether deleting a suspect pays. Pure functions, and statistics that their owner keeps. Not thread-safe.
+// Liveness of an agent, the silence after which it is suspected, and whether deleting a suspected machine is
+// worthwhile. Pure functions, and statistics that the caller owns. Not thread-safe.
 #pragma once
 
 #include <vector>
@@ -9,37 +9,37 @@
 
 namespace oxbowmill::reconciliation {
 
-/// What is known of a machine's agent, during reconciliation and after it.
+/// What a controller knows of a machine's agent, during reconciliation and after it.
 enum class AgentLiveness : std::uint8_t {
-  none,                 ///< not a machine of an owned partition
-  booting,              ///< nothing is placed on it and it was never up: its silence means nothing
-  awaited,              ///< owned since a takeover or a hand-over, and has not reported since
-  reported,             ///< has reported, but not yet with this owner's fencing token
-  mismatched,           ///< has reported with it, and some difference is still to be settled
-  reconciled,           ///< record and report agree
-  suspected,            ///< silent, while the others of its zone report
-  marked_for_deletion,  ///< suspected, and its deletion is expected to pay
-  lost,                 ///< proved to be empty, by its lease or by its deletion
+  none,        ///< the machine is in no partition that this controller owns
+  booting,     ///< no report is expected, see `may_be_silent`
+  awaited,     ///< has not reported since this controller took over its partition or received the machine
+  reported,    ///< has reported, but not yet with the fencing token of this owner
+  mismatched,  ///< has reported with that token; some difference from the records is not settled yet
+  reconciled,  ///< its report agrees with the records
+  suspected,   ///< silent while the other machines of its zone report
+  marked_for_deletion,  ///< suspected, and its deletion is expected to be worthwhile
+  lost,                 ///< its lease has expired, which proves that it runs nothing
 };
 /// Name for logs.
 const char* name_of(AgentLiveness liveness);
-/// Suspected, whether or not it is to be deleted.
+/// Whether the agent is suspected, marked for deletion or not.
 [[nodiscard]] bool is_doubted(AgentLiveness liveness);
-/// Has reported and is not suspected since.
+/// Whether the agent has reported and has not become suspected since.
 [[nodiscard]] bool has_reported(AgentLiveness liveness);
 
-/// How often suspects came back; the weight of old evidence fades.
+/// How often suspected machines reported again or were lost. The weight of old outcomes decays.
 class SuspicionStatistics {
  public:
-  /// A suspect has reported again.
+  /// Records that a suspected machine has reported again.
   void record_return() { add_evidence(1, 0); }
-  /// A suspect was proved to be lost.
+  /// Records that a suspected machine was proved to be lost.
   void record_loss() { add_evidence(0, 1); }
-  /// Probability that a suspect comes back by itself; never taken for impossible.
+  /// Probability that a suspected machine reports again by itself; never 0.
   [[nodiscard]] double return_probability() const;
-  /// Weight of the suspects that came back.
+  /// Decayed number of suspected machines that reported again.
   [[nodiscard]] double returns() const { return returned_weight_; }
-  /// Weight of the suspects that were lost.
+  /// Decayed number of suspected machines that were lost.
   [[nodiscard]] double losses() const { return lost_weight_; }
 
  private:
@@ -47,27 +47,29 @@
   double returned_weight_ = 0, lost_weight_ = 0;
 };
 
-/// How long after a takeover a machine that has not reported is suspected, by the delays (from the takeover,
-/// ascending) of the first reports of its zone. It rests on the latest of them, not on a median: first
-/// reports are spread over a whole report interval, and only once they have ceased does silence mean
-/// something. At least `floor`, at most `cap`. Negative: too few of the `expected` machines have reported.
+/// Seconds after a takeover from which a machine without a report is suspected. Computed from the delays of
+/// the first reports of its zone (seconds from the takeover, ascending). The latest delay counts, not the
+/// median, because first reports are spread over a whole report interval: silence is evidence only after they
+/// have ceased. The result is at least `floor` and at most `cap`; it is negative if too few of the
+/// `expected` machines have reported.
 [[nodiscard]] Seconds suspicion_threshold(const std::vector<double>& first_report_delays_s,
                                           std::uint32_t expected, Seconds floor, Seconds cap,
                                           const Settings& settings);
-/// Probability that a machine silent for `silent_s` reports within the next `rest_s`: of the troubles that
-/// pass by themselves, those that have lasted long last longer (durations without a scale of their own).
+/// Probability that a machine that has been silent for `silent_s` reports within the next `rest_s`.
+/// Temporary silences have no typical duration (scale-free): the longer one has lasted, the longer it is
+/// expected to last.
 [[nodiscard]] double report_probability(const SuspicionStatistics& experience, Seconds silent_s,
                                         Seconds rest_s);
 
-/// What deleting a suspect at once is expected to do, compared with waiting for the proof by its lease.
+/// Expected effects of deleting a suspected machine now instead of waiting until its lease proves it empty.
 struct DeletionTradeoff {
-  double gain = 0;  ///< machine-seconds of waiting that are saved if it is lost
-  double loss = 0;  ///< machine-seconds that are lost if it would have come back
-  /// Whether deleting it now is expected to pay.
+  double gain = 0;  ///< machine-seconds of waiting saved if the machine is lost, times that probability
+  double loss = 0;  ///< machine-seconds lost if the machine reports again, times that probability
+  /// Whether deleting the machine now is expected to save more than it loses.
   [[nodiscard]] bool is_worthwhile() const { return gain > loss; }
 };
-/// Weighs the deletion of a machine that is proved to be empty at `proof_at` and comes back before with
-/// probability `chance_of_return`. Both times are of the steady clock.
+/// Estimates the effects of deleting a machine that is proved to be empty at `proof_at` and reports before
+/// that with probability `chance_of_return`. Times are of the steady clock.
 [[nodiscard]] DeletionTradeoff deletion_tradeoff(const ClusterState& model, MachineIndex machine_index,
                                                  Seconds proof_at, double chance_of_return, Seconds now);
 
--- a/include/oxbowmill/reconciliation/difference.h
+++ b/include/oxbowmill/reconciliation/difference.h
@@ -1,5 +1,6 @@
-// Differences between an agent's report and the recorded state, by kind. Pure functions without state. What
-// follows from each difference, and on which proof, is in docs/reconciliation.md; the scheduler acts on it.
+// Detects the differences between an agent's report and the recorded state, by kind. Pure functions without
+// state. The scheduler acts on the differences; docs/reconciliation.md describes the action for each kind and
+// the proof that it requires.
 #pragma once
 
 #include <array>
@@ -9,28 +10,30 @@
 
 namespace oxbowmill::reconciliation {
 
-/// A kind of difference between report and record.
+/// A kind of difference between a report and the records.
 enum class Difference : std::uint8_t {
-  stale_token,   ///< the agent has not shown the present owner's fencing token: what it lacks proves nothing
-  not_reported,  ///< placed here, and the agent does not list it: lost, or never started
-  not_placed,    ///< the agent runs a task that has no placement anywhere
-  placed_elsewhere,  ///< it runs a task placed on another machine: an earlier start whose end was proved
-  other_attempt,     ///< it runs another attempt than the one placed here
-  ended_unreported,  ///< placed here, and it ended while no owner received reports
-  job_finished,      ///< it runs a task of a job that is done or cancelled
-  gang_broken,       ///< a gang member is not reported, ended or lost while others of its attempt are there
-  uncleared_task,    ///< it lists an ended task without a placement: to be cleared
-  market_managed,    ///< its record belongs to a market: only its own report and its lease count
+  stale_token,   ///< the agent has not shown this owner's fencing token: a task missing in its report proves
+                 ///< nothing
+  not_reported,  ///< a task placed here is not in the report: lost or never started
+  not_placed,    ///< the agent runs a task that has no placement
+  placed_elsewhere,  ///< the agent runs a task that was placed on another machine after this start was proved
+                     ///< to have ended
+  other_attempt,     ///< the agent lists another attempt than the one placed here
+  ended_unreported,  ///< a task placed here ended while no owner received reports
+  job_finished,      ///< the agent runs a task of a job that is done, cancelled or not known
+  gang_broken,  ///< a gang member is not reported or did not end as done, while others of its attempt may run
+  uncleared_task,  ///< the agent lists an ended task that is not placed here: it is told to forget it
+  market_managed,  ///< the machine belongs to a market: only its own report and its lease are proof
 };
 /// Number of `Difference` kinds.
 constexpr std::size_t difference_kind_count = 10;
 /// Name for logs.
 const char* name_of(Difference difference);
 
-/// How many differences of each kind there are.
+/// Number of differences of each kind.
 struct Differences {
-  std::array<std::uint32_t, difference_kind_count> count{};  ///< by `Difference`
-  /// Counts one more of this kind.
+  std::array<std::uint32_t, difference_kind_count> count{};  ///< indexed by `Difference`
+  /// Counts one more difference of this kind.
   void add(Difference difference) { ++count[static_cast<std::size_t>(difference)]; }
   /// Number of differences of this kind.
   std::uint32_t operator[](Difference difference) const {
@@ -41,23 +44,24 @@
     for (std::size_t i = 0; i < difference_kind_count; ++i) count[i] += other.count[i];
     return *this;
   }
-  /// Whether a command, a record or a proof has yet to settle something.
+  /// Whether there is a difference that a command, a change of a record or a proof has to settle.
   [[nodiscard]] bool any() const;
 };
 
-/// Compares a valid report with the recorded state, before anything is concluded from it.
+/// Compares a valid report with the recorded state. To be called before the scheduler handles the report.
 [[nodiscard]] Differences compare(const ClusterState& model, MachineIndex machine_index,
                                   const WorkerReport& report);
 
-/// Whether a report may be compared at all.
+/// Whether a report may be compared with the records.
 enum class ReportValidity : std::uint8_t {
-  unregistered,  ///< from a machine without a record
-  not_owned,     ///< the machine is another controller's
-  stale,         ///< older than a report that was judged already, or from before the takeover
-  higher_token,  ///< the agent has seen a later fencing token than this owner's
-  valid,         ///< to be compared
+  unregistered,  ///< the machine has no record
+  not_owned,     ///< another controller owns the machine's partition
+  stale,         ///< not newer than the machine's last handled report
+  higher_token,  ///< the agent has a later fencing token than this owner's
+  valid,         ///< may be compared
 };
-/// Checks a report from `machine_index` (invalid: no record); `owned`: its partition is this controller's.
+/// Checks a report of the machine. `machine_index` is invalid if there is no record; `owned` says whether
+/// this controller owns the machine's partition.
 [[nodiscard]] ReportValidity check_validity(const ClusterState& model, bool owned, MachineIndex machine_index,
                                             const WorkerReport& report);
 
--- a/include/oxbowmill/reconciliation/liveness_table.h
+++ b/include/oxbowmill/reconciliation/liveness_table.h
@@ -1,5 +1,5 @@
-// The liveness of every agent of this controller's partitions. Owns it and the statistics of how suspicions
-// ended; the only place where an agent's liveness changes. Not thread-safe.
+// Liveness of every agent in this controller's partitions. LivenessTable owns it, with the statistics on how
+// suspicions ended, and is the only place where it changes. Not thread-safe.
 #pragma once
 
 #include <vector>
@@ -9,24 +9,27 @@
 
 namespace oxbowmill::reconciliation {
 
-/// No report of the machine is awaited: it never was up, or it is being deleted.
+/// Whether no report of the machine is expected: it has not booted and has no tasks, it is being deleted, or
+/// the cloud lists it as failed.
 [[nodiscard]] bool may_be_silent(const Machine& machine);
 
-/// Liveness by machine, with the bookkeeping and the log lines of its changes.
+/// Liveness by machine. Counts and logs its changes.
 class LivenessTable {
  public:
-  /// `state` outlives this object.
+  /// `state` must outlive this object.
   explicit LivenessTable(const ClusterState& state) : state_(state) {}
 
-  /// Of this machine; `none` for one that was never seen.
+  /// Liveness of this machine's agent; `none` if the table has no entry for the machine.
   [[nodiscard]] AgentLiveness of(MachineIndex machine_index) const {
     return machine_index.value < liveness_.size() ? liveness_[machine_index.value] : AgentLiveness::none;
   }
-  /// The machine has a new liveness other than `none`; the change is counted in `counts`, its partition's.
+  /// Sets a liveness other than `none` and counts the change in `counts`, which belong to the machine's
+  /// partition.
   void set(MachineIndex machine_index, AgentLiveness liveness, ReconciliationCounts& counts);
-  /// The machine is another owner's now, perhaps without a record: its change is not counted.
+  /// Resets the liveness to `none` without counting the change: another controller may own the machine now,
+  /// or its record may be gone.
   void forget(MachineIndex machine_index);
-  /// Forgets all machines outside the partitions that `owns` accepts.
+  /// Resets all machines that have no record or whose partition `owns` does not accept.
   template <class Owns>
   void forget_unless(const Owns& owns) {
     for (std::uint32_t i = 0; i < liveness_.size(); ++i) {
@@ -35,12 +38,12 @@
       if (!owned) liveness_[i] = AgentLiveness::none;
     }
   }
-  /// How suspicions have ended so far.
+  /// Statistics on how suspicions have ended so far.
   [[nodiscard]] const SuspicionStatistics& statistics() const { return statistics_; }
 
  private:
   const ClusterState& state_;
-  std::vector<AgentLiveness> liveness_;  // by machine
+  std::vector<AgentLiveness> liveness_;  // by machine index
   SuspicionStatistics statistics_;
 };
 
--- a/include/oxbowmill/reconciliation/partition_status.h
+++ b/include/oxbowmill/reconciliation/partition_status.h
@@ -1,4 +1,4 @@
-// The phase of a partition's reconciliation, and what controllers publish of it to each other. Plain data.
+// Phase of a partition's reconciliation, and the status of it that controllers send each other. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -7,27 +7,27 @@
 
 namespace oxbowmill::reconciliation {
 
-/// How far a partition's owner is between takeover and ordinary service. The order of the values is that of
-/// the phases; they are sent between controllers as numbers.
+/// Phases of a partition from its takeover to normal operation, in this order. Controllers send the values to
+/// each other as numbers.
 enum class PartitionPhase : std::uint8_t {
-  not_owned,         ///< another controller's, or nobody's
-  loading_state,     ///< taken over, but the loaded state has not reached the takeover yet
-  awaiting_reports,  ///< the agents report one by one
-  reconciling,       ///< enough have reported to judge by; differences and suspects are being settled
-  observing_demand,  ///< idle pool only: demand is observed anew, no idle machine is returned
+  not_owned,         ///< another controller or none owns the partition
+  loading_state,     ///< taken over, but the scheduler has not noticed the takeover in the loaded state yet
+  awaiting_reports,  ///< waiting for the first reports of the agents
+  reconciling,       ///< enough agents have reported; differences and suspected machines are being settled
+  observing_demand,  ///< idle pool only: demand is observed, and no idle machine is returned
   ramping_down,      ///< idle pool only: idle machines are returned at a limited rate
-  serving,           ///< ordinary service
+  serving,           ///< normal operation
 };
 /// Name for logs.
 const char* name_of(PartitionPhase phase);
 
-/// What controllers publish of a partition's reconciliation.
+/// Status of a partition's reconciliation, as its owner sends it to the other controllers.
 struct PartitionStatus {
-  PartitionIndex partition;                          ///< whose status it is
-  Revision ownership_revision = 0;                   ///< of the takeover that it belongs to
-  PartitionPhase phase = PartitionPhase::not_owned;  ///< at the owner
-  std::uint32_t expected = 0;                        ///< machines that were to report
-  std::uint32_t reported = 0;                        ///< machines of these that have reported
+  PartitionIndex partition;         ///< the partition
+  Revision ownership_revision = 0;  ///< revision of the ownership record under which it is reconciled
+  PartitionPhase phase = PartitionPhase::not_owned;  ///< phase at the owner
+  std::uint32_t expected = 0;                        ///< machines whose first report was awaited
+  std::uint32_t reported = 0;                        ///< first reports received
 };
 
 }  // namespace oxbowmill::reconciliation
--- a/include/oxbowmill/reconciliation/peer_hints.h
+++ b/include/oxbowmill/reconciliation/peer_hints.h
@@ -1,5 +1,5 @@
-// What other controllers have published lately: the status of their partitions and whom they suspect. Owns
-// these hints; they expire and prove nothing. Not thread-safe.
+// Hints that other controllers have sent lately: the status of their partitions, and the machines that they
+// suspect. PeerHints owns them; they expire, and they prove nothing. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -10,34 +10,34 @@
 
 namespace oxbowmill::reconciliation {
 
-/// Hints of the other controllers. Times are of the steady clock.
+/// Hints of all peers. Times are of the steady clock.
 class PeerHints {
  public:
-  /// No hints yet, for so many partitions.
+  /// Starts without hints, for the given number of partitions.
   explicit PeerHints(std::size_t partition_count) : statuses_(partition_count) {}
 
-  /// A peer has published the status of its partition.
+  /// Records the status that a peer has sent of its partition.
   void record_status(const PartitionStatus& status, Seconds now);
-  /// A peer suspects this machine.
+  /// Records that a peer suspects this machine.
   void record_suspect(MachineIndex machine_index, Seconds now);
-  /// Forgets the suspicions that have expired.
+  /// Removes the suspicions that have expired.
   void expire(Seconds now);
 
-  /// Some peer suspects this machine.
+  /// Whether a peer suspects this machine.
   [[nodiscard]] bool is_suspected(MachineIndex machine_index) const {
     return suspected_at_.count(machine_index) != 0;
   }
-  /// Phase that the owner with this ownership revision published; none if nothing recent is known of it.
+  /// Phase that the owner with this ownership revision sent; none if it has sent no recent status.
   [[nodiscard]] std::optional<PartitionPhase> phase(PartitionIndex partition, Revision ownership_revision,
                                                     Seconds now) const;
 
  private:
   struct ReceivedStatus {
     PartitionStatus status;
-    Seconds received_at = -1e9;  // long ago
+    Seconds received_at = -1e9;  // never received
   };
   std::vector<ReceivedStatus> statuses_;          // by partition
-  std::map<MachineIndex, Seconds> suspected_at_;  // when a peer last published the suspicion
+  std::map<MachineIndex, Seconds> suspected_at_;  // when a peer last sent the suspicion
 };
 
 }  // namespace oxbowmill::reconciliation
--- a/include/oxbowmill/reconciliation/reconciler.h
+++ b/include/oxbowmill/reconciliation/reconciler.h
@@ -1,8 +1,8 @@
-// Reconciliation of a controller's partitions, from the takeover to ordinary service, and suspicions of
-// single machines after it. Reports, the hints of peers and the time come in; what may be done goes out
-// through `RecoveryAdmission`. Owns the phase and counts of each partition; other classes own agents'
-// liveness, zone statistics, peers' hints and requested replacements. Does no input or output; not
-// thread-safe. docs/reconciliation.md holds the reasons.
+// Reconciles a controller's partitions from their takeover to normal operation, and suspects single silent
+// machines afterwards. Its inputs are reports, hints of peers and the time; the scheduler and the autoscaler
+// ask it through `RecoveryAdmission` what they may do. Reconciler owns the phase and the counts of each
+// partition; its members own the liveness of agents, the zone statistics, the hints of peers and the
+// requested replacements. It does no I/O. Not thread-safe. docs/reconciliation.md gives the reasons.
 #pragma once
 
 #include <functional>
@@ -22,62 +22,63 @@
 /// Reconciles the partitions of one controller. Times are of the steady clock.
 class Reconciler : public RecoveryAdmission {
  public:
-  /// Reads `model` and `scheduler`, which outlive this object.
+  /// `model` and `scheduler` must outlive this object.
   Reconciler(const ClusterState& model, const Scheduler& scheduler, Settings settings);
   Reconciler(const Reconciler&) = delete;
   Reconciler& operator=(const Reconciler&) = delete;
 
-  /// Called after a partition's phase has changed; may be empty.
+  /// Called after the phase of a partition has changed; may be empty.
   std::function<void()> on_phase_change;
-  /// A report of an agent. To be called before the scheduler judges it and after the scheduler has noticed
-  /// takeovers, and only with full authority.
+  /// Handles an agent's report. To be called after the scheduler has noticed takeovers and before it handles
+  /// the report, and only while this controller has full authority.
   void on_report(const WorkerReport& report, Seconds now);
-  /// One cycle, after the scheduler's and before the autoscaler's, and only with full authority: a controller
-  /// that may not act cannot know whose fault a silence is, and counts silence anew when it may.
+  /// Runs one cycle. To be called between the cycles of the scheduler and of the autoscaler, and only while
+  /// this controller has full authority: without it, silence of an agent may be this controller's own fault,
+  /// so silence is counted from the return of authority.
   void run_cycle(Seconds now);
 
-  /// Status of the partitions that are owned here, to be published to the other controllers as a hint.
+  /// Status of the partitions that this controller owns, to be sent to its peers as a hint.
   [[nodiscard]] std::vector<PartitionStatus> partition_statuses() const;
-  /// Machines that are suspected here, at most `most`, to be published as a hint.
+  /// At most `most` machines that this controller suspects, to be sent to its peers as a hint.
   [[nodiscard]] std::vector<MachineIndex> suspects(std::size_t most) const;
-  /// A peer has published this status.
+  /// Handles the status that a peer has sent.
   void on_peer_status(const PartitionStatus& status, Seconds now) { peer_hints_.record_status(status, now); }
-  /// A peer has published that it suspects this machine.
+  /// Handles a peer's hint that it suspects this machine.
   void on_peer_suspect(MachineIndex machine_index, Seconds now) {
     peer_hints_.record_suspect(machine_index, now);
   }
 
-  /// Suspected here or by a peer.
+  /// Whether this controller or a peer suspects the machine.
   bool suspected(MachineIndex machine_index) const override;
-  /// Suspected here, and its deletion is expected to pay.
+  /// Whether this controller suspects the machine and expects its deletion to be worthwhile.
   bool marked_for_deletion(MachineIndex machine_index) const override;
-  /// False while reports that are still awaited may show that the job needs no machine; never for guaranteed
+  /// False while awaited reports may still show that the job needs no machine. Always true for guaranteed
   /// work.
   bool may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) override;
-  /// False before demand is known; then takes one return from the budget.
+  /// False until demand is known; while returns ramp down, takes one return from the budget.
   bool may_return(MachineIndex machine_index, Seconds now) override;
-  /// Machines to request ahead of proof: see `ReplacementPlanner`.
+  /// Replacements to request before a loss is proved, see `ReplacementPlanner`.
   std::vector<Replacement> replacements(Seconds now) const override;
-  /// The replacement of this suspect was requested.
+  /// Records that the replacement of this suspected machine was requested.
   void replacement_started(MachineIndex suspect) override;
 
-  /// Phase of this partition here.
+  /// Phase of this partition at this controller.
   [[nodiscard]] PartitionPhase phase(PartitionIndex partition) const {
     return partitions_.at(partition.value).phase;
   }
-  /// Liveness of this machine's agent; `none` outside the owned partitions.
+  /// Liveness of this machine's agent; `none` if this controller does not own its partition.
   [[nodiscard]] AgentLiveness agent_liveness(MachineIndex machine_index) const {
     return liveness_.of(machine_index);
   }
-  /// How suspicions have ended so far.
+  /// Statistics on how suspicions have ended so far.
   [[nodiscard]] const SuspicionStatistics& suspicion_statistics() const { return liveness_.statistics(); }
-  /// The counts' name in this interface.
+  /// Counts of one reconciliation.
   using Counts = ReconciliationCounts;
-  /// Counts of the partition's reconciliation that is under way or was last.
+  /// Counts of the partition's current or latest reconciliation.
   [[nodiscard]] const Counts& counts(PartitionIndex partition) const {
     return partitions_.at(partition.value).counts;
   }
-  /// When that reconciliation had settled all machines; negative: not yet.
+  /// When that reconciliation had settled all machines; negative if it has not.
   [[nodiscard]] Seconds reconciled_at(PartitionIndex partition) const {
     return partitions_.at(partition.value).reconciled_at;
   }
@@ -85,29 +86,31 @@
  private:
   struct PartitionState {
     PartitionPhase phase = PartitionPhase::not_owned;
-    Revision ownership_revision = 0;  // of the ownership that is reconciled; 0: not owned
-    Seconds since = 0;                // start of this reconciliation
+    Revision ownership_revision = 0;  // ownership that is reconciled; 0: not owned
+    Seconds since = 0;                // of this reconciliation
     Seconds reconciled_at = -1;       // negative: not yet
     ZoneReports zones;
     Counts counts;
   };
-  /// Machines of a takeover that are not settled yet.
+  /// Numbers of inherited machines that are not settled yet.
   struct UnsettledMachines {
-    std::uint32_t unreconciled = 0;  // record and report do not agree, or there is no report
-    std::uint32_t awaited = 0;       // those of them that have not reported
+    std::uint32_t unreconciled =
+        0;  // without a report, suspected, or with a report that does not agree with the records
+    std::uint32_t awaited = 0;  // those of them that have not reported
   };
 
   void start_reconciliation(PartitionIndex partition, Seconds now);
-  /// A partition that the scheduler does not own, perhaps because the takeover is not loaded yet.
+  /// Updates a partition that the scheduler does not own, perhaps because it has not noticed the takeover
+  /// yet.
   void update_unowned(PartitionIndex partition, Seconds now);
-  /// The only place where a partition's phase changes.
+  /// Changes and logs the phase; the only place where it changes.
   void set_phase(PartitionIndex partition, PartitionPhase phase, Seconds now);
   void advance_phase(PartitionIndex partition, Seconds now);
   [[nodiscard]] UnsettledMachines count_unsettled(PartitionIndex partition) const;
-  /// Whether no machine was expected to report and none is recorded in any partition.
+  /// Whether no report was expected and no partition has a recorded machine.
   [[nodiscard]] bool is_first_start(const PartitionState& partition_state) const;
-  /// The partition's owner, here or elsewhere, has not yet enough reports, or nothing is known of it and it
-  /// is too early.
+  /// Whether the partition's owner, this controller or a peer, still waits for reports. If nothing is known
+  /// of the owner, whether first reports may still arrive.
   [[nodiscard]] bool still_awaiting_reports(PartitionIndex partition, Seconds now) const;
 
   const ClusterState& state_;
@@ -115,12 +118,12 @@
   Settings settings_;
   std::vector<PartitionState> partitions_;
   LivenessTable liveness_;
-  TokenBucket return_budget_;  // of returns while ramping down, and of deletions on suspicion
+  TokenBucket return_budget_;  // for returns while ramping down and for deletions of suspected machines
   SuspicionDetector suspicion_;
   PeerHints peer_hints_;
   ReplacementPlanner replacements_;
-  Seconds last_cycle_at_ = -1e9;  // long ago
-  Seconds first_cycle_at_ = -1;   // of this process; negative: none yet
+  Seconds last_cycle_at_ = -1e9;  // no cycle yet
+  Seconds first_cycle_at_ = -1;   // first cycle of this process; negative: none yet
 };
 
 }  // namespace oxbowmill::reconciliation
--- a/include/oxbowmill/reconciliation/suspicion_detector.h
+++ b/include/oxbowmill/reconciliation/suspicion_detector.h
@@ -1,5 +1,5 @@
-// Decides which machines are suspected, and which suspects are deleted before the proof that they are lost.
-// Owns only the time from which silence counts. Not thread-safe.
+// Decides which machines are suspected, and which of these are deleted before it is proved that they are
+// lost. SuspicionDetector owns only the time from which silence counts. Not thread-safe.
 #pragma once
 
 #include <optional>
@@ -10,10 +10,11 @@
 
 namespace oxbowmill::reconciliation {
 
-/// Updates the liveness of the machines of owned partitions by their silence. Times are of the steady clock.
+/// Updates the liveness of the machines in owned partitions from their silence. Times are of the steady
+/// clock.
 class SuspicionDetector {
  public:
-  /// All outlive this object. Deletions take from `return_budget`.
+  /// All arguments must outlive this object. Deletions are taken from `return_budget`.
   SuspicionDetector(const ClusterState& state, const Scheduler& scheduler, const Settings& settings,
                     LivenessTable& liveness, TokenBucket& return_budget)
       : state_(state),
@@ -22,18 +23,18 @@
         liveness_(liveness),
         return_budget_(return_budget) {}
 
-  /// Silence before `now` was this controller's own fault, whichever machine it is of.
+  /// Ignores silence of all machines before `now`, because it may be this controller's own fault.
   void ignore_silence_before(Seconds now) { silence_counted_from_ = now; }
-  /// Updates all machines of the partition, whose report statistics and counts are given.
+  /// Updates all machines of the partition. `zones` and `counts` belong to the partition.
   void update(PartitionIndex partition, const ZoneReports& zones, ReconciliationCounts& counts, Seconds now);
 
  private:
-  /// A machine whose silence means nothing.
+  /// Updates a machine that is not suspected whatever its silence, see `may_be_silent`.
   void update_silent(MachineIndex machine_index, const Machine& machine, ReconciliationCounts& counts);
-  /// A machine that was handed over, adopted or booted since the last cycle.
+  /// Updates a machine that was moved here, adopted or booted since the last cycle; leaves others unchanged.
   void update_new(MachineIndex machine_index, const Machine& machine, ReconciliationCounts& counts);
   [[nodiscard]] Seconds silent_since(const Machine& machine, const ZoneReports::Zone& zone) const;
-  /// Silence after which the machine is suspected; none: for now no silence is long enough.
+  /// Silence after which the machine is suspected; none if it cannot be suspected yet.
   [[nodiscard]] std::optional<Seconds> silence_limit_s(const Machine& machine,
                                                        const ZoneReports::Zone& zone) const;
   [[nodiscard]] bool is_deletion_worthwhile(MachineIndex machine_index, Seconds silent_s, Seconds now) const;
@@ -43,7 +44,7 @@
   const Settings& settings_;
   LivenessTable& liveness_;
   TokenBucket& return_budget_;
-  Seconds silence_counted_from_ = -1e9;  // long ago
+  Seconds silence_counted_from_ = -1e9;  // all silence counts
 };
 
 }  // namespace oxbowmill::reconciliation
--- a/src/reconciliation/agent_liveness.cpp
+++ b/src/reconciliation/agent_liveness.cpp
@@ -7,7 +7,7 @@
 namespace oxbowmill::reconciliation {
 
 namespace {
-constexpr double max_evidence = 50;  // weight of all remembered suspicions
+constexpr double max_evidence = 50;  // maximum total weight of recorded outcomes
 constexpr double min_return_probability = 0.05;
 }  // namespace
 
@@ -36,8 +36,8 @@
 }
 
 double SuspicionStatistics::return_probability() const {
-  // Without evidence, three of four suspects are expected back: a wrong deletion is a certain loss, a late
-  // one only a delay.
+  // Without outcomes, three of four suspected machines are expected to report again: a wrong deletion is a
+  // certain loss, a late deletion only a delay.
   constexpr double prior_returns = 3, prior_losses = 1;
   return std::max(
       min_return_probability,
@@ -59,15 +59,15 @@
 
 namespace {
 
-/// Machine-seconds of a task's progress, per machine of its size, that are lost with the machine if it lives.
+/// Seconds of a task's progress that are lost if its machine is deleted although it is alive.
 double progress_at_risk_s(const ClusterState& model, const Machine& machine, const Job& job,
                           const Placement& placement, Seconds now) {
-  // A service has no progress to lose, but a replica that is up, until another has fetched its image.
+  // A service has no progress to lose, but is short of a replica until a new one has fetched the image.
   if (job.spec.shape == JobShape::service)
     return model.settings.report_interval_s +
            fetch_time(job.spec, model.catalog.at(machine.record.type.value));
   double ran = now - placement.started_at;
-  // Half an interval on average since the last checkpoint.
+  // On average the last checkpoint is half an interval old.
   return job.spec.checkpoint_interval_s > 0 ? job.spec.checkpoint_interval_s / 2
                                             : std::max(ran, job.spec.estimate_s / 2);
 }
@@ -77,7 +77,7 @@
 DeletionTradeoff deletion_tradeoff(const ClusterState& model, MachineIndex machine_index, Seconds proof_at,
                                    double chance_of_return, Seconds now) {
   const Machine& machine = model.machine(machine_index);
-  double waiting = 0;  // machines' worth of work that stands still until the proof
+  double waiting = 0;  // machines of work that wait until the proof
   double at_risk = 0;  // machine-seconds of progress that are lost if the machine is alive
   for (TaskId id : machine.placed_tasks) {
     const Job* job = model.live_job(id.job);
@@ -86,8 +86,8 @@
     double size = job->machine_fraction;
     bool broken = false;
     if (job->spec.shape == JobShape::gang) {
-      // The whole gang waits for its last member. Another member's report that it has lost its peers is
-      // independent evidence, and then the machine holds no progress that could be lost.
+      // The whole gang waits for one missing member. Another member's report that it lost its peers is
+      // independent evidence, and the attempt then has no progress on the machine that could be lost.
       size *= job->spec.tasks;
       broken = job->broken_attempt == placement->attempt;
     }
--- a/src/reconciliation/difference.cpp
+++ b/src/reconciliation/difference.cpp
@@ -17,7 +17,7 @@
 bool Differences::any() const {
   for (std::size_t i = 0; i < difference_kind_count; ++i) {
     auto kind = static_cast<Difference>(i);
-    // A first report never shows the new fencing token: it is awaited, and proves nothing by itself.
+    // The first report to a new owner never has its fencing token, so `stale_token` needs no action.
     bool settles_itself = kind == Difference::market_managed || kind == Difference::uncleared_task ||
                           kind == Difference::stale_token;
     if (!settles_itself && count[i] != 0) return true;
@@ -34,7 +34,7 @@
   return found == report.tasks.end() ? nullptr : &*found;
 }
 
-/// Another member of this placement's attempt may still be there.
+/// Whether another member of this placement's attempt may still be on its machine.
 bool has_peers(const Job& job, const Placement& placement) {
   return std::any_of(job.placements.begin(), job.placements.end(), [&placement](const auto& other) {
     const Placement& peer = other.second;
@@ -42,7 +42,7 @@
   });
 }
 
-/// A placement that an earlier owner made, against what the agent reports of it (null: nothing).
+/// Compares a placement of an earlier owner with the agent's report of the task; null: it reports none.
 void compare_placement(const Job& job, const Placement& placement, const TaskReport* task_report,
                        Differences& differences) {
   bool gang = job.spec.shape == JobShape::gang;
@@ -58,20 +58,20 @@
   }
 }
 
-/// All placements on the machine that an earlier owner made.
+/// Compares all placements that earlier owners made on the machine.
 void compare_placements(const ClusterState& model, const Machine& machine, const WorkerReport& report,
                         Differences& differences) {
   for (TaskId id : machine.placed_tasks) {
     const Job* job = model.known_job(id.job);
     const Placement* placement = model.find_placement(id);
-    // What this owner placed itself is not a difference but a command under way.
+    // A task that this owner placed itself is not a difference: the agent may not have the command yet.
     if (job == nullptr || placement == nullptr || is_off_machine(placement->state) || !placement->inherited)
       continue;
     compare_placement(*job, *placement, find_task_report(report, job->spec.ref, id.task), differences);
   }
 }
 
-/// A reported task, against where it is placed.
+/// Compares a reported task with the placement of that task.
 void compare_reported_task(const ClusterState& model, MachineIndex machine_index,
                            const TaskReport& task_report, Differences& differences) {
   JobIndex job_index = model.find_job(task_report.job);
--- a/src/reconciliation/liveness_table.cpp
+++ b/src/reconciliation/liveness_table.cpp
@@ -32,7 +32,7 @@
     ++counts.returned;
     SPDLOG_INFO("agent reachable again machine={}", state_.names.machines.name(machine_index));
   }
-  // The deletion of a suspect does not show whether the suspicion was right.
+  // A machine that was marked for deletion is not counted: its deletion does not show whether it was lost.
   if (previous == AgentLiveness::suspected && liveness == AgentLiveness::lost) statistics_.record_loss();
   if (machine_index.value >= liveness_.size()) liveness_.resize(machine_index.value + 1);
   liveness_[machine_index.value] = liveness;
--- a/src/reconciliation/peer_hints.cpp
+++ b/src/reconciliation/peer_hints.cpp
@@ -5,11 +5,11 @@
 namespace oxbowmill::reconciliation {
 
 namespace {
-constexpr double hint_lifetime_s = 3;  // how long a peer's status and suspicions count
+constexpr double hint_lifetime_s = 3;  // a peer's status or suspicion is valid for so long
 }  // namespace
 
 void PeerHints::record_status(const PartitionStatus& status, Seconds now) {
-  // Messages of successive ownerships may cross: the later ownership counts.
+  // Messages of successive owners may arrive out of order: the later ownership wins.
   if (status.partition.valid() && status.partition.value < statuses_.size() &&
       status.ownership_revision >= statuses_[status.partition.value].status.ownership_revision)
     statuses_[status.partition.value] = {status, now};
--- a/src/reconciliation/reconciler.cpp
+++ b/src/reconciliation/reconciler.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 constexpr double cycle_interval_s = 0.2;
-/// After a longer gap between two cycles, missing reports are this controller's own fault.
+/// After a longer gap between two cycles, missing reports may be this controller's own fault.
 constexpr double max_cycle_gap_s = 1;
-constexpr double ramping_down_windows = 2;  // length of that phase, in demand windows
-/// A leader that has been up for so many first-report timeouts knows the running machines.
+constexpr double ramping_down_windows = 2;  // length of the phase, in demand windows
+/// First-report timeouts after which a controller that becomes leader knows the running machines.
 constexpr double leader_warm_up_timeouts = 2;
 
-/// The differences that were counted, as " kind=count" each.
+/// The kinds of differences that occurred, as " kind=count" each.
 std::string describe(const Differences& differences) {
   std::string text;
   for (std::size_t i = 0; i < difference_kind_count; ++i) {
@@ -140,17 +140,18 @@
   const UnsettledMachines unsettled = count_unsettled(partition);
   const Seconds elapsed_s = now - partition_state.since;
   if (partition_state.phase == PartitionPhase::awaiting_reports) {
-    // By the reports received; the timeout only ends the wait for machines that never report.
+    // Normally the received reports end this phase; the timeout is for machines that never report.
     bool enough =
         partition_state.counts.reported >= settings_.sufficient_fraction * partition_state.counts.expected;
     if (enough || unsettled.awaited == 0 || elapsed_s > state_.settings.first_report_timeout_s())
       set_phase(partition, PartitionPhase::reconciling, now);
   }
-  // Once silence proves every machine empty, unsettled ones delay nothing any more: a machine that no lease
-  // covers (empty, and handed over to this owner) must not keep all others from being returned.
+  // Once every silent machine is proved to be empty, unsettled machines no longer delay the next phase.
+  // Otherwise a machine without a lease (empty, and handed over to this owner) would block the return of all
+  // others.
   bool proved = elapsed_s > state_.settings.failover_silence_s() + state_.settings.report_interval_s;
   if (partition_state.phase == PartitionPhase::reconciling && (unsettled.unreconciled == 0 || proved)) {
-    // On a first start nothing was running before: there is no demand to observe anew.
+    // On a first start nothing was running before, so there is no demand to observe.
     bool observe = partition == idle_pool && !is_first_start(partition_state);
     set_phase(partition, observe ? PartitionPhase::observing_demand : PartitionPhase::serving, now);
   }
@@ -232,20 +233,22 @@
   const Ownership& ownership = state_.ownership(partition);
   if (std::optional<PartitionPhase> peer_phase = peer_hints_.phase(partition, ownership.revision, now))
     return *peer_phase <= PartitionPhase::awaiting_reports;
-  // Without an owner, or one that publishes no status (an older version): as long as first reports may take.
+  // The partition has no owner, or its owner sends no status (an older version): first reports may arrive
+  // until their timeout.
   return now - std::max(ownership.since, partitions_[idle_pool.value].since) <=
          state_.settings.first_report_timeout_s();
 }
 
 bool Reconciler::may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) {
   if (guaranteed || !scheduler_.owns(idle_pool)) return true;
-  // A leader that was up before knows the running machines. (Delayed by 16 s in the middle of a burst, while
-  // an earlier owner kept its agents, scale-outs came too late on maktaba-monastir-voice.)
+  // A controller that was up before it became leader knows the running machines. Scale outs that were
+  // delayed by 16 s in the middle of a burst, while an earlier owner kept its agents, came too late in the
+  // case maktaba-monastir-voice.
   if (first_cycle_at_ < 0 ||
       now - first_cycle_at_ > leader_warm_up_timeouts * state_.settings.first_report_timeout_s())
     return true;
   PartitionState& pool = partitions_[idle_pool.value];
-  // Without recorded machines none can yet report and make a scale-out needless.
+  // Without recorded machines no report can show that the scale out is not needed.
   bool none_recorded = state_.machines_of(partition).empty() && state_.machines_of(idle_pool).empty();
   bool delayed = pool.ownership_revision != 0 && !none_recorded &&
                  (still_awaiting_reports(partition, now) || still_awaiting_reports(idle_pool, now));
--- a/src/reconciliation/suspicion_detector.cpp
+++ b/src/reconciliation/suspicion_detector.cpp
@@ -5,7 +5,7 @@
 namespace oxbowmill::reconciliation {
 
 namespace {
-// An agent without an owner reports every second, or after the time-out of a report without an answer.
+// An agent without an owner reports every second, or after the timeout of a report without a response.
 constexpr double first_report_s = oxbowmill::Settings::report_timeout_s + 2;
 }  // namespace
 
@@ -28,9 +28,9 @@
 }
 
 Seconds SuspicionDetector::silent_since(const Machine& machine, const ZoneReports::Zone& zone) const {
-  // An earlier owner that lacks only the state service keeps its agents through its read-only period: they
-  // are healthy and report to it. (Without this, one owner's loss of the state service had 268 healthy
-  // machines deleted.)
+  // An earlier owner that has lost only the state service still answers its agents during its read-only
+  // period: they are healthy and report to it, not here. Counting silence from the takeover deleted 268
+  // healthy machines when one owner lost the state service.
   return std::max(
       {machine.last_answered_report_at,
        machine.inherited ? scheduler_.exclusively_owned_since(machine) : machine.in_partition_since,
@@ -73,7 +73,7 @@
     std::optional<Seconds> limit_s = silence_limit_s(machine, zone);
     if (!is_doubted(liveness_.of(machine_index)) && limit_s && silent_s > *limit_s)
       liveness_.set(machine_index, AgentLiveness::suspected, counts);
-    // A deletion costs writes that other work waits for: it is paid from the same budget as returns.
+    // Deletions share the budget of returns, because their writes delay those of other work.
     if (liveness_.of(machine_index) == AgentLiveness::suspected && settings_.delete_suspects &&
         !machine.record.market.valid() && is_deletion_worthwhile(machine_index, silent_s, now) &&
         return_budget_.take(1, now))
--- a/src/reconciliation/zone_reports.cpp
+++ b/src/reconciliation/zone_reports.cpp
@@ -5,8 +5,8 @@
 namespace oxbowmill::reconciliation {
 
 namespace {
-constexpr std::uint32_t min_reporting_machines = 4;  // due in a zone for it to be judged by its reports
-// Report intervals, and seconds besides, within which a machine that is up has reported.
+constexpr std::uint32_t min_reporting_machines = 4;  // with fewer due, no machine of the zone is suspected
+// A report is recent within so many report intervals plus so many seconds.
 constexpr double max_report_intervals = 1.6, report_delay_s = 0.5;
 }  // namespace
 
@@ -32,8 +32,8 @@
     Zone& zone = zones_[i];
     zone.has_enough_reports = zone.reports_due >= min_reporting_machines &&
                               zone.reported >= settings.reported_fraction * zone.reports_due;
-    // Where a zone as a whole is silent, no single machine of it is suspected. While first reports are
-    // awaited all machines have had the same time, so their silence counts from the takeover.
+    // No single machine is suspected while its zone as a whole is silent. While first reports are awaited,
+    // silence counts from the takeover for all machines alike.
     if ((!zone.has_enough_reports && phase != PartitionPhase::awaiting_reports) ||
         scheduler.is_unreachable(ZoneIndex{i}, now))
       zone.silence_counted_from = now;
