--- a/include/oxbowmill/release_calendar/final_phases.h
+++ b/include/oxbowmill/release_calendar/final_phases.h
@@ -1,6 +1,6 @@
-// Phases of jobs that releases wait for, including jobs that are over and no longer in the cluster state.
-// FinalPhases owns the final phases that were seen, which never change, and the queries to the state service.
-// Used on the controller's loop only; answers may arrive within the query or later.
+// Phases of the jobs that releases wait for, including jobs that are final and no longer in the cluster
+// state. FinalPhases caches final phases, which never change, and tracks the queries to the state service.
+// Used on the controller's loop only; answers may arrive during the query or later.
 #pragma once
 
 #include <functional>
@@ -12,29 +12,29 @@
 
 namespace oxbowmill::release_calendar {
 
-/// Looks up phases in the cluster state, and asks the state service for jobs that are not live.
+/// Looks up phases in the cluster state and asks the state service for jobs that are not live.
 class FinalPhases {
  public:
-  /// Asks the state service for the final phase of a job; the answer comes by `on_answer` or
+  /// Asks the state service for the final phase of a job. The caller passes the answer to `on_answer` or
   /// `on_query_failed`.
   using Query = std::function<void(const std::string& ref)>;
 
-  /// `query` may be empty, then nothing is asked; it must outlive this object.
+  /// Both must outlive this object. While `query` is empty, the state service is not asked.
   FinalPhases(const ClusterState& state, const Query& query) : state_(state), query_(query) {}
 
-  /// The phase of the job; none if it is not known (yet), in which case the state service is asked: at once,
-  /// and again after a pause.
+  /// Phase of the job; none if it is not known yet. The state service is then asked at once, and again after
+  /// a pause.
   std::optional<JobPhase> phase_of(const std::string& ref, Seconds now);
-  /// Whether the job is known to be done. Asks nobody.
+  /// Whether the job is known to be done. Sends no query.
   [[nodiscard]] bool is_known_done(const std::string& ref) const;
-  /// The state service's answer; none: there is no such job (yet).
+  /// Handles an answer of the state service; none: it has no record of the job (yet).
   void on_answer(const std::string& ref, std::optional<JobPhase> phase, Seconds now);
-  /// No answer came; the next `phase_of` asks again.
+  /// Handles a query without an answer: the next `phase_of` asks again.
   void on_query_failed(const std::string& ref) { queries_.erase(ref); }
 
  private:
   struct PhaseQuery {
-    Seconds updated_at = 0;  // when it was sent or, once answered, when the answer came
+    Seconds updated_at = 0;  // when it was sent; once answered, when the answer arrived
     bool in_flight = false;
   };
 
--- a/include/oxbowmill/release_calendar/job_matching.h
+++ b/include/oxbowmill/release_calendar/job_matching.h
@@ -1,5 +1,5 @@
-// Which jobs belong to a release: by the matchers of its spec, and by the job ids that were bound to a round.
-// Pure functions of the spec, the release's state and the name tables.
+// Determines which jobs belong to a release: those that its spec matches and those whose ids are bound to a
+// round. Pure functions of the spec, the release's state and the name tables.
 #pragma once
 
 #include "oxbowmill/cluster/cluster_state.h"
@@ -7,38 +7,38 @@
 
 namespace oxbowmill::release_calendar {
 
-/// What the jobs of a matcher do in a release.
+/// Role of the jobs of a matcher in a release.
 enum class JobRole : std::uint8_t {
-  render,   ///< must be done before any edition publishes
-  publish,  ///< waits for the decision
+  render,   ///< renders an edition; must be done before any edition publishes
+  publish,  ///< publishes an edition; withheld until the release is decided
 };
 
-/// The jobs that one matcher of an edition asks for. Refers to the spec, which must outlive it.
+/// Jobs that one matcher of an edition requires. Refers to the spec, which must outlive this object.
 struct RequiredJobs {
-  const Edition& edition;            ///< the edition that needs them
-  const JobMatcher& matcher;         ///< names them
-  JobRole role = JobRole::render;    ///< what they do
-  std::size_t render_job_index = 0;  ///< of the matcher in Edition::render_jobs; unused for `publish`
+  const Edition& edition;            ///< edition that requires the jobs
+  const JobMatcher& matcher;         ///< selects the jobs
+  JobRole role = JobRole::render;    ///< role of the jobs
+  std::size_t render_job_index = 0;  ///< index of the matcher in Edition::render_jobs; unused for `publish`
 
-  /// Name of the decision record's note with the ids of the jobs that were found. Stored data.
+  /// Name of the note in the decision record that holds the ids of the bound jobs. Stored data.
   [[nodiscard]] std::string bound_field() const;
 };
 
-/// The render jobs that an edition requires, in the order of its spec.
+/// Render jobs that an edition requires, in the order of its spec.
 std::vector<RequiredJobs> render_jobs_of(const Edition& edition);
-/// The publishing job that an edition requires.
+/// Publishing job that an edition requires.
 RequiredJobs publish_job_of(const Edition& edition);
 
-/// Whether the matcher names this job.
+/// Whether the matcher selects this job.
 bool matches(const Names& names, const JobMatcher& matcher, const JobSpec& spec);
-/// Whether any edition of the release publishes by this job.
+/// Whether this is the publishing job of an edition of the release.
 bool is_publishing_job(const Names& names, const ReleaseSpec& release_spec, const JobSpec& spec);
 
-/// The ids bound to `required` in the current round; null if there are none.
+/// Ids bound to `required` in the current round; null if there are none.
 const std::set<std::string>* bound_jobs_of(const ReleaseState& release, const RequiredJobs& required);
 /// Whether this id is bound to `required` in the current round.
 bool is_bound(const ReleaseState& release, const RequiredJobs& required, const std::string& ref);
-/// The known ids of the jobs: named by the spec, or bound in the current round.
+/// Known ids of the required jobs: the id that the spec names, or those bound in the current round.
 std::vector<std::string> known_jobs_of(const ReleaseState& release, const RequiredJobs& required);
 
 }  // namespace oxbowmill::release_calendar
--- a/include/oxbowmill/release_calendar/release_constraints.h
+++ b/include/oxbowmill/release_calendar/release_constraints.h
@@ -1,6 +1,6 @@
-// Placement of jobs that belong to releases: publishing jobs are withheld until their release is decided,
-// render jobs until they are bound to a round. Owns no state; answers by the shared state only, so that a job
-// is withheld as soon as it is known. Used on the controller's loop only.
+// Placement limits of jobs that belong to releases: publishing jobs are withheld until their release is
+// decided, render jobs until they are bound to a round. Owns no state. Reads only state that this controller
+// already has, so that a job is withheld as soon as it is known. Used on the controller's loop only.
 #pragma once
 
 #include "oxbowmill/cluster/placement_constraints.h"
@@ -11,7 +11,7 @@
 
 namespace oxbowmill::release_calendar {
 
-/// Narrows the placement limits of jobs by all releases.
+/// Narrows the placement limits of jobs according to all releases.
 class ReleaseConstraints : public PlacementConstraints {
  public:
   /// All arguments must outlive this object.
@@ -24,14 +24,14 @@
         records_(records),
         final_phases_(final_phases) {}
 
-  /// Withholds the job, guards its placement by the decision, or raises its priority.
+  /// Withholds the job, guards its placement with the decision record, or raises its priority.
   void constrain(JobIndex job_index, PlacementLimits& limits) const override;
 
  private:
-  /// By this controller's file, where it is newer than the shared state: a job could be placed before its
-  /// spec is written otherwise.
+  /// Whether this controller's calendar file withholds the job and is newer than the stored spec. Without
+  /// this check the job could be placed before the spec is written.
   [[nodiscard]] bool is_withheld_by_unwritten_spec(const JobSpec& spec) const;
-  /// The release, if it was parsed from the records as they are now; else null.
+  /// The parsed release; null if its records have changed since they were parsed.
   [[nodiscard]] const ReleaseState* find_current(const std::string& name, const Decision& spec_record) const;
   void constrain_by_release(const std::string& name, const ReleaseState& release, const JobSpec& spec,
                             PlacementLimits& limits) const;
@@ -39,9 +39,9 @@
   void constrain_publishing_job(const std::string& name, const ReleaseState& release, const JobSpec& spec,
                                 PlacementLimits& limits) const;
   void constrain_render_job(const ReleaseState& release, const JobSpec& spec, PlacementLimits& limits) const;
-  /// Whether the record has the publishing job, or its spec names it by id.
+  /// Whether this publishing job is bound in the record or named by id in the spec.
   [[nodiscard]] bool is_known_publishing_job(const ReleaseState& release, const JobSpec& spec) const;
-  /// Whether some other edition has rendered, as far as its jobs are known.
+  /// Whether all known render jobs of some other edition are done.
   [[nodiscard]] bool has_rendered_twin(const ReleaseState& release, const Edition& edition) const;
   [[nodiscard]] bool has_rendered(const ReleaseState& release, const Edition& edition) const;
 
--- a/include/oxbowmill/release_calendar/release_coordinator.h
+++ b/include/oxbowmill/release_calendar/release_coordinator.h
@@ -1,10 +1,10 @@
-// Paired editions publish together: the publishing jobs of a release are withheld until all of its editions
-// have rendered from one revision, and are then allowed by one durable decision. docs/release-calendar.md has
+// Publishes the editions of a release together: their publishing jobs are withheld until all editions have
+// rendered from one revision, and one durable decision then allows them. docs/release-calendar.md describes
 // the states and the safety points.
 //
-// ReleaseCoordinator owns the operators' calendar, the parsed records and the final phases that were seen. It
-// does no I/O: cluster state, final phases and the time come in; changes of records and queries go out. Used
-// on the controller's loop only.
+// ReleaseCoordinator owns the operators' calendar, the parsed records and the cache of final phases. It does
+// no I/O: its inputs are the cluster state, final phases and the time, its outputs are changes of records and
+// queries. Used on the controller's loop only.
 #pragma once
 
 #include "oxbowmill/decisions/decision_log.h"
@@ -16,36 +16,36 @@
 
 namespace oxbowmill::release_calendar {
 
-/// The entry point of the package for controllers: publishes the operators' specs, advances the releases as
-/// the leader, and constrains the placement of their jobs.
+/// Entry point of the package for controllers: stores the operators' specs, advances the releases on the
+/// leader, and constrains the placement of their jobs.
 class ReleaseCoordinator : public PlacementConstraints {
  public:
-  /// `skew_s`: bound of the clock's error in seconds; nothing publishes before its time by any clock within
-  /// it. The references must outlive this object.
+  /// `skew_s`: maximum error of the time of day, in seconds; nothing publishes before its time on any clock
+  /// within that error. The references must outlive this object.
   ReleaseCoordinator(ClusterState& state, decisions::DecisionLog& decision_log, const Scheduler& scheduler,
                      double skew_s);
   ReleaseCoordinator(const ReleaseCoordinator&) = delete;
   ReleaseCoordinator& operator=(const ReleaseCoordinator&) = delete;
 
-  /// Takes the operators' file. Returns false, and keeps the current one, if its version is lower.
+  /// Replaces the operators' calendar. Returns false and keeps the current one if the new version is lower.
   bool load(ReleaseCalendar calendar);
-  /// One cycle; only with full authority. Publishes newer specs and, as the leader, advances the releases.
+  /// Runs one cycle, only while this controller has full authority: stores newer specs and, on the leader,
+  /// advances the releases.
   void run_cycle(Clock clock, Effects& out);
-  /// Asks the state service for the final phase of a job that is not live; to be set by the owner of this
-  /// object.
+  /// Asks the state service for the final phase of a job that is not live. Set by the owner of this object.
   std::function<void(const std::string& ref)> query_final_phase;
-  /// The state service's answer; none: there is no such job (yet).
+  /// Handles an answer of the state service; none: it has no record of the job (yet).
   void on_final_phase(const std::string& ref, std::optional<JobPhase> phase, Seconds now) {
     final_phases_.on_answer(ref, phase, now);
   }
-  /// No answer came.
+  /// Handles a query without an answer.
   void on_query_failed(const std::string& ref) { final_phases_.on_query_failed(ref); }
 
-  /// Narrows the limits of a job by the releases that it belongs to.
+  /// Narrows the limits of a job according to the releases that it belongs to.
   void constrain(JobIndex job_index, PlacementLimits& limits) const override {
     constraints_.constrain(job_index, limits);
   }
-  /// Why a release has not been decided, for logs and tests; empty if there is nothing to say.
+  /// Last logged reason why the release waits, for logs and tests; empty if there is none.
   [[nodiscard]] const std::string& pending_reason(const std::string& release) const;
 
  private:
--- a/include/oxbowmill/release_calendar/release_lifecycle.h
+++ b/include/oxbowmill/release_calendar/release_lifecycle.h
@@ -1,6 +1,6 @@
-// Progress of one release: begins rounds, binds jobs to them, and decides once all editions have rendered.
-// States and safety points: docs/release-calendar.md. Owns no state: it reads ReleaseState and writes
-// decision records. Used on the controller's loop only.
+// Advances a release: begins rounds, binds jobs to them, and decides when all editions have rendered. Owns no
+// state: it reads ReleaseState and writes decision records. docs/release-calendar.md describes the states and
+// the safety points. Used on the controller's loop only.
 #pragma once
 
 #include "oxbowmill/decisions/decision_log.h"
@@ -10,25 +10,26 @@
 
 namespace oxbowmill::release_calendar {
 
-/// The leader's part of a release: at most one change of the decision record for each `reconcile`.
+/// Advances releases on the leader, with at most one change of the decision record in each `reconcile`.
 class ReleaseLifecycle {
  public:
   /// All arguments must outlive this object.
   ReleaseLifecycle(const ClusterState& state, decisions::DecisionLog& decision_log, FinalPhases& final_phases)
       : state_(state), decision_log_(decision_log), final_phases_(final_phases) {}
 
-  /// Takes the next step of the release, if there is one. Only for the leader, and only while no change of
-  /// the record is pending. `earliest_time`: a time of day that is not ahead of the true one.
+  /// Takes the next step of the release, if there is one. To be called on the leader only, and only while no
+  /// change of the decision record is pending. `earliest_time`: a time of day that is not ahead of the true
+  /// one, in seconds since the epoch.
   void reconcile(const std::string& name, ReleaseState& release, Clock clock, double earliest_time,
                  Effects& out);
 
  private:
-  /// What a release waits for.
+  /// A job that a release waits for.
   struct MissingRequirement {
     std::string description;
     bool cancelled = false;
   };
-  /// One call of `reconcile`.
+  /// Arguments of one call of `reconcile`.
   struct Step {
     const std::string& name;
     Clock clock;
@@ -37,18 +38,18 @@
   };
   enum class WriteUrgency : std::uint8_t { deferrable, urgent };
 
-  /// Withdraws the release or begins a round where the operators' spec asks for it. Returns whether that was
-  /// all that can be done now.
+  /// Withdraws the release or begins a round if the operators' spec requires it. Returns whether this call of
+  /// `reconcile` is complete.
   bool apply_desired_spec(const ReleaseState& release, const Step& step);
   void begin_round(const ReleaseState& release, bool is_new_epoch, const Step& step);
-  /// Binds new jobs that are named by class and image; they may not run before, because finished jobs are not
-  /// live and could not be found again. Returns whether a change was sent.
+  /// Binds new jobs that are matched by class and image. They may not run before they are bound: once done,
+  /// they are no longer live and could not be found again. Returns whether a change was sent.
   bool bind_jobs(const ReleaseState& release, const Step& step);
   bool bind_matching_jobs(const ReleaseState& release, const RequiredJobs& required,
                           std::set<std::string>& bound, Seconds now);
   void advance_undecided(ReleaseState& release, const Step& step);
   void advance_decided(ReleaseState& release, const Step& step);
-  /// The first missing job of the role; a cancelled one goes first.
+  /// The first missing job of the role, a cancelled one before all others; none if no job is missing.
   std::optional<MissingRequirement> find_missing_requirement(const ReleaseState& release, JobRole role,
                                                              Seconds now);
   [[nodiscard]] DecisionRecord current_record(const std::string& name) const;
--- a/include/oxbowmill/release_calendar/release_spec.h
+++ b/include/oxbowmill/release_calendar/release_spec.h
@@ -1,6 +1,6 @@
-// What operators want of a release: paired editions of one source revision that publish only when all of them
-// have rendered. Written in the calendar file and kept as text in the controllers' shared state;
-// docs/release-calendar.md. Owns no state.
+// Specification of a release by the operators: editions of one source revision that publish only when all of
+// them have rendered. It is read from the calendar file and stored as text in the shared records
+// (docs/release-calendar.md). Owns no state.
 #pragma once
 
 #include <optional>
@@ -13,18 +13,18 @@
 
 namespace oxbowmill::release_calendar {
 
-/// A stored release spec that cannot be read: not JSON, a field is missing or invalid.
+/// A stored release spec cannot be read: it is not a JSON object, or a field is missing or invalid.
 class ReleaseSpecError : public Error {
  public:
-  /// `reason`: what is wrong, with the field's name where one is at fault.
+  /// `reason`: what is wrong, with the name of the field if one is at fault.
   explicit ReleaseSpecError(const std::string& reason);
 };
 
-/// Names jobs: one by its id, or `count` by class and image where ids are not known in advance.
+/// Selects jobs: one by its id, or `count` jobs by class and image if their ids are not known in advance.
 struct JobMatcher {
-  std::string ref;          ///< id of the job; empty: by class and image
-  std::string job_class;    ///< class of the jobs, unless `ref` is set
-  std::string image;        ///< image of the jobs, unless `ref` is set
+  std::string ref;          ///< id of the job; empty: selected by class and image
+  std::string job_class;    ///< class of the jobs; unused if `ref` is set
+  std::string image;        ///< image of the jobs; unused if `ref` is set
   std::uint32_t count = 1;  ///< number of jobs of that class and image
 };
 
@@ -35,10 +35,10 @@
   JobMatcher publish_job;               ///< exactly one job
 };
 
-/// One release, as operators want it.
+/// One release, as the operators specify it.
 struct ReleaseSpec {
   std::string name;               ///< unique in the calendar
-  std::string revision;           ///< of the source
+  std::string revision;           ///< revision of the source
   std::vector<Edition> editions;  ///< two or more
   std::optional<ScheduledTime>
       publish_time;  ///< nothing publishes before; none: as soon as all have rendered
@@ -46,17 +46,18 @@
 
 /// The operators' calendar file.
 struct ReleaseCalendar {
-  std::uint64_t version = 0;  ///< raised with every change: controllers with different files use the newest
-  std::vector<ReleaseSpec> releases;  ///< all releases that are wanted
+  std::uint64_t version =
+      0;  ///< raised with every change; controllers with different files use the highest; 0: no file
+  std::vector<ReleaseSpec> releases;  ///< all releases in the file
   /// Whether there is no file.
   [[nodiscard]] bool empty() const { return version == 0; }
 };
 
-/// The text that records store.
+/// The spec as text, as records store it.
 std::string to_text(const ReleaseSpec& release_spec);
-/// Reads the text of a record. Throws ReleaseSpecError.
+/// Parses the text of a record. Throws ReleaseSpecError.
 ReleaseSpec parse_release_spec(const std::string& text);
-/// Like parse_release_spec, but text that cannot be read gives none.
+/// Like parse_release_spec, but returns none if the text cannot be read.
 std::optional<ReleaseSpec> from_text(const std::string& text);
 /// The first invalid field and why, as "field: reason"; empty if the spec is valid.
 std::string validation_error(const ReleaseSpec& release_spec);
--- a/src/release_calendar/final_phases.cpp
+++ b/src/release_calendar/final_phases.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr double query_retry_s = 5;  // for a job that the state service does not know yet
+constexpr double query_retry_s = 5;  // between queries for a job without a record
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     if (job->phase != JobPhase::open) final_phases_[ref] = job->phase;
     return job->phase;
   }
-  // Not live: it is over, or has not been submitted yet. The state service knows which.
+  // The job is final or has not been submitted yet; the state service knows which.
   auto [entry, is_new] = queries_.try_emplace(ref);
   PhaseQuery& query = entry->second;
   if (!query.in_flight && (is_new || now - query.updated_at >= query_retry_s) && query_) {
--- a/src/release_calendar/release_constraints.cpp
+++ b/src/release_calendar/release_constraints.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// How much earlier the render jobs of the last edition rank, since the whole release waits for them.
+// Render jobs rank so many seconds earlier once another edition has rendered, since the release waits for
+// them.
 constexpr double last_edition_boost_s = 60;
 
 void withhold(PlacementLimits& limits) {
@@ -21,7 +22,7 @@
   decision_log_.for_each(spec_kind(), [&](const std::string& name, const Decision& spec_record) {
     const ReleaseState* release = find_current(name, spec_record);
     if (release == nullptr) {
-      // What the changed record says of this job is not known before the next cycle.
+      // A record has changed. Whether it withholds this job is known only when the next cycle has parsed it.
       withhold(limits);
       return;
     }
@@ -52,7 +53,7 @@
                                               const JobSpec& spec, PlacementLimits& limits) const {
   const bool is_withdrawn = release.status == ReleaseStatus::withdrawn;
   if (!release.is_readable) withhold(limits);
-  // A job of an abandoned revision is free only when the operators remove the release.
+  // A publishing job of an abandoned revision stays withheld until the operators remove the release.
   if (release.withheld_jobs.count(spec.ref) != 0 && !is_withdrawn) withhold(limits);
   if (is_withheld_for_next_round(release, spec)) withhold(limits);
   if (release.status == ReleaseStatus::none || is_withdrawn || !release.active_spec) return;
@@ -68,7 +69,7 @@
   const ReleaseSpec& desired = *release.desired_spec;
   if (release.active_spec && desired.revision == release.active_spec->revision) return false;
   if (is_publishing_job(state_.names, desired, spec)) return true;
-  // Render jobs that are not named by id have to be bound to their round before they run.
+  // Render jobs that are matched by class and image must be bound to their round before they run.
   for (const Edition& edition : desired.editions) {
     for (const JobMatcher& matcher : edition.render_jobs) {
       if (matcher.ref.empty() && matches(state_.names, matcher, spec)) return true;
@@ -102,7 +103,7 @@
       const std::set<std::string>* bound = bound_jobs_of(release, required);
       const bool is_required =
           required.matcher.ref == spec.ref || (bound != nullptr && bound->count(spec.ref) != 0);
-      // It may be bound as long as the matcher asks for more jobs; a surplus job is an ordinary one.
+      // While the matcher lacks jobs this one may still be bound, so it is withheld; a surplus job is not.
       const bool is_complete = bound != nullptr && bound->size() >= required.matcher.count;
       if (!is_required && !is_complete && release.status != ReleaseStatus::published) withhold(limits);
       if (!is_required || release.status != ReleaseStatus::rendering) continue;
--- a/src/release_calendar/release_coordinator.cpp
+++ b/src/release_calendar/release_coordinator.cpp
@@ -71,7 +71,8 @@
 void ReleaseCoordinator::write_spec_record(const std::string& name, DecisionRecord next, Clock clock,
                                            Effects& out) {
   next.version = calendar_.version;
-  // Any controller may write it: the newest file decides, not the owner of a partition.
+  // Any controller may write the spec record: the file with the highest version wins, not a partition's
+  // owner.
   decision_log_.change(spec_kind(), name, std::move(next), PartitionIndex{}, clock, out, /*urgent=*/true);
 }
 
--- a/src/release_calendar/release_lifecycle.cpp
+++ b/src/release_calendar/release_lifecycle.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// The publishing jobs of the active revision, as far as they are known: they may not run alone later. (What
-/// a withdrawn release withheld is free, and stays so.)
+/// Adds the known publishing jobs of the active revision, which is being abandoned: none of them may run
+/// alone later. Jobs of a withdrawn release are not added, because they are not withheld any more.
 void add_known_publish_jobs(const ReleaseState& release, std::set<std::string>& refs) {
   for (const Edition& edition : release.active_spec->editions) {
     if (!edition.publish_job.ref.empty()) refs.insert(edition.publish_job.ref);
@@ -20,7 +20,7 @@
   }
 }
 
-/// Whether the desired spec needs an epoch of its own, rather than a change within the active one.
+/// Whether the desired spec needs a new epoch, rather than a change within the active one.
 bool needs_new_epoch(const ReleaseState& release) {
   return release.status == ReleaseStatus::none || !release.active_spec ||
          release.active_spec->revision != release.desired_spec->revision ||
@@ -60,7 +60,7 @@
     }
     return !is_decided;
   }
-  // What is decided is completed first.
+  // A decided round is completed before another one begins.
   if (is_decided) return false;
   const bool is_new_epoch = needs_new_epoch(release);
   const bool is_spec_changed =
@@ -79,7 +79,7 @@
     ++next.epoch;
     next.notes.clear();
   }
-  // Jobs that the new spec names belong to the new round.
+  // Publishing jobs that the new spec names by id belong to the new round.
   for (const Edition& edition : release.desired_spec->editions) withheld.erase(edition.publish_job.ref);
   write_withheld_jobs(next, withheld);
   write_spec(next, *release.desired_spec);
@@ -103,8 +103,8 @@
   DecisionRecord next = current_record(step.name);
   for (const auto& [bound_field, refs] : bound_jobs) write_bound_jobs(next, bound_field, refs);
   next.reason = "jobs written down";
-  // The new job may replace the cancelled one. A decided release keeps its state: its publishing job came
-  // late.
+  // The new job may replace the cancelled one. A decided release stays decided: the job is a publishing job
+  // that was submitted after the decision.
   if (release.status == ReleaseStatus::broken) next.state = stored_name(ReleaseStatus::rendering);
   return write_decision(step, std::move(next), WriteUrgency::urgent);
 }
@@ -116,7 +116,7 @@
     const std::string& ref = job.spec.ref;
     if (!matches(state_.names, required.matcher, job.spec) || bound.count(ref) != 0) return;
     if (release.withheld_jobs.count(ref) != 0) return;
-    // A cancelled job is replaced by a new one.
+    // A new job replaces a cancelled one.
     auto cancelled = std::find_if(bound.begin(), bound.end(), [&](const std::string& bound_ref) {
       return final_phases_.phase_of(bound_ref, now) == JobPhase::cancelled;
     });
@@ -156,7 +156,7 @@
 void ReleaseLifecycle::advance_decided(ReleaseState& release, const Step& step) {
   auto missing = find_missing_requirement(release, JobRole::publish, step.clock.now);
   if (missing) set_pending_reason(release, step.name, "publishing, waiting for " + missing->description);
-  // Users may cancel a publishing job; the other editions do not wait for it.
+  // Users may cancel a publishing job; the release does not wait for a cancelled one.
   if (missing && !missing->cancelled) return;
   DecisionRecord next = current_record(step.name);
   next.state = stored_name(ReleaseStatus::published);
@@ -169,7 +169,7 @@
   std::optional<MissingRequirement> first;
   auto check = [&](const RequiredJobs& required) {
     const std::vector<std::string> refs = known_jobs_of(release, required);
-    // Every phase is looked up, also when a missing job was found: a lookup may ask the state service.
+    // Look up every phase, even after a missing job was found: each lookup may send a query.
     for (const std::string& ref : refs) {
       auto phase = final_phases_.phase_of(ref, now);
       if (phase == JobPhase::done) continue;
--- a/src/release_calendar/release_spec.cpp
+++ b/src/release_calendar/release_spec.cpp
@@ -72,7 +72,7 @@
   return release_spec;
 }
 
-/// Names are parts of record keys and of notes, where these characters separate.
+/// Whether the name may be part of record keys and of notes, in which the excluded characters are separators.
 bool is_usable_name(const std::string& name) {
   constexpr std::size_t max_length = 80;
   return !name.empty() && name.size() <= max_length && name.find_first_of(" /|\t\n") == std::string::npos;
@@ -86,7 +86,7 @@
   return "";
 }
 
-/// What is wrong with one edition, apart from the others.
+/// What is wrong with the edition by itself, as "editions: reason"; empty if it is valid.
 std::string edition_error(const Edition& edition) {
   if (edition.render_jobs.empty()) return "editions: " + edition.name + " renders nothing";
   if (edition.publish_job.count != 1) return "editions: " + edition.name + " has one publishing job";
--- a/src/release_calendar/release_state.cpp
+++ b/src/release_calendar/release_state.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Stored data: these strings may not change.
+// Stored data: these strings must not change.
 constexpr decisions::StateNames<ReleaseStatus, 6> release_status_names = {{{
     {ReleaseStatus::none, ""},
     {ReleaseStatus::rendering, "rendering"},
@@ -22,7 +22,7 @@
     {SpecStatus::active, "stands"},
     {SpecStatus::removed, "removed"},
 }}};
-// Notes of the records; each other note of a decision record is a RequiredJobs::bound_field.
+// Names of notes in the records. All other notes of a decision record are named by RequiredJobs::bound_field.
 const std::string spec_field = "terms";
 const std::string withheld_field = "held";
 
@@ -48,8 +48,7 @@
   SpecStatus status = spec_status_names.parse(decision.record.state, SpecStatus::unknown);
   release.desired_spec =
       status == SpecStatus::active ? from_text(note_of(decision.record, spec_field)) : std::nullopt;
-  // A spec written by a later version is left to the controllers that can read it; this one withholds its
-  // jobs.
+  // Controllers that can read a spec of a later version advance the release; this one withholds all jobs.
   release.is_readable = status == SpecStatus::removed || release.desired_spec;
 }
 
@@ -77,8 +76,8 @@
 
 const decisions::DecisionKind& decision_kind() {
   using Status = ReleaseStatus;
-  // `decided` is left for `published` only: an edition may have been published already, and superseding the
-  // decision would leave the others stale.
+  // `decided` may change to `published` only: an edition may already be published, and if another round
+  // replaced the decision, the other editions would stay at an older revision.
   static const decisions::DecisionKind kind =
       decisions::make_kind<Status>("release", release_status_names,
                                    {{Status::none, Status::rendering},
--- a/src/release_calendar/scheduled_time.cpp
+++ b/src/release_calendar/scheduled_time.cpp
@@ -13,7 +13,7 @@
 constexpr double day_s = 86400;
 constexpr double search_horizon_s = 2 * 366 * day_s;
 constexpr double fortnight_s = 14 * day_s;
-constexpr int tm_year_base = 1900;  // of std::tm
+constexpr int tm_year_base = 1900;  // std::tm counts years from here
 constexpr unsigned last_weekday = 6;
 
 const date::time_zone& find_zone(const std::string& name) {
@@ -36,7 +36,7 @@
 }
 
 double to_instant(const date::time_zone& zone, date::local_days day, unsigned second_of_day) {
-  // `latest`: the second of two equal local times, and the end of the gap for a local time that is skipped.
+  // `latest` selects the later of two equal local times, and the end of the gap for a skipped local time.
   auto instant =
       zone.to_sys(date::local_seconds(day) + std::chrono::seconds(second_of_day), date::choose::latest);
   return static_cast<double>(instant.time_since_epoch().count());
@@ -59,7 +59,7 @@
     if (auto day = parse_date(scheduled.date)) add(*day);
     return instants;
   }
-  // One day more at both ends: local days that can contain instants of the span at any offset from UTC.
+  // One day more at both ends covers the local days of the span at any offset from UTC.
   auto first = date::local_days(date::days(static_cast<int>(std::floor(from / day_s)) - 1));
   auto last = date::local_days(date::days(static_cast<int>(std::floor(to / day_s)) + 1));
   for (auto day = first; day <= last; day += date::days(1)) {
@@ -72,8 +72,8 @@
 
 bool is_open(const ScheduledTime& scheduled, double since, double now) {
   if (now < since) return false;
-  // Without a window any instant since `since` allows the start; with one, only an instant whose window is
-  // open.
+  // Without a window every instant since `since` allows the start; with a window, only an instant whose
+  // window is still open.
   double from =
       scheduled.window_s > 0 ? std::max(since - scheduled.window_s, now - scheduled.window_s) : since;
   for (double instant : occurrences(scheduled, from, now + 1)) {
@@ -83,7 +83,7 @@
 }
 
 std::optional<double> next_occurrence(const ScheduledTime& scheduled, double now) {
-  // The short span is enough for a weekly schedule, unless excluded dates remove both of its instants.
+  // The short span is enough for a weekly schedule unless excluded dates remove all of its instants.
   for (double span_s : {fortnight_s, search_horizon_s}) {
     auto instants = occurrences(scheduled, now, now + span_s);
     if (!instants.empty()) return instants.front();
