--- a/include/oxbowmill/serving/model_autoscaler.h
+++ b/include/oxbowmill/serving/model_autoscaler.h
@@ -1,10 +1,11 @@
-// Models that scale to zero and come back. The controllers agree on each round from cold to cold by one
-// durable decision with an epoch, so that simultaneous calls at several controllers lead to one cold start.
-// docs/model-serving.md.
+// Scales the replicas of models with their calls, down to zero and up again. One decision record with an
+// epoch covers each round from cold to cold, so that simultaneous calls at several controllers lead to one
+// cold start. See docs/model-serving.md.
 //
-// ModelAutoscaler owns the times that its controller has observed of each model; what has to survive a
-// failover is in the decision record. It does no I/O: cluster state and the time come in, changes of records
-// go out, and placement asks it through PlacementConstraints. Used on the controller's loop only.
+// ModelAutoscaler owns the times that its controller has observed of each model; the decision record holds
+// what has to survive a failover. It does no I/O: its inputs are the cluster state and the time, its outputs
+// are changes of records, and placement asks it through PlacementConstraints. Used on the controller's loop
+// only.
 #pragma once
 
 #include "oxbowmill/decisions/decision_log.h"
@@ -21,45 +22,47 @@
   ModelAutoscaler(ClusterState& state, decisions::DecisionLog& decision_log, const Scheduler& scheduler,
                   Settings settings);
 
-  /// One cycle; only with full authority. The owner of the partition of a model's service job decides.
+  /// Runs one cycle, only while this controller has full authority. It decides for the models whose service
+  /// job is in a partition that it owns.
   void run_cycle(Clock clock, Effects& out);
 
-  /// Limits replicas to the number that was decided on, and withholds calls until a replica is ready.
+  /// Limits replicas to the decided number, and withholds calls until a replica is ready.
   void constrain(JobIndex job_index, PlacementLimits& limits) const override;
-  /// The replicas of this partition's service jobs that are more than was decided on.
+  /// Replicas of the partition's service jobs that exceed the decided number.
   [[nodiscard]] std::vector<TaskId> tasks_to_preempt(PartitionIndex partition) const override;
-  /// Why calls of the model wait, for logs and tests; empty if there is nothing to say.
+  /// Last logged status of the model, for logs and tests; empty if there is none.
   [[nodiscard]] const std::string& pending_reason(const std::string& model) const;
 
  private:
-  /// A model, and what this controller knows of it beside its record.
+  /// A model and what this controller has observed of it.
   struct ModelState {
     static constexpr Seconds never = -1;
     ModelSpec spec;
     ClassIndex job_class;  // invalid: any
     ImageIndex image;      // invalid: any
     std::vector<ClassIndex> call_classes;
-    JobIndex service_job;  // the oldest open one that matches; invalid: none
+    JobIndex service_job;  // oldest open service job of the model; invalid: none
     Seconds last_busy_at = never;
-    Seconds cooling_since = never;    // when this controller saw the decision to cool down
-    bool stops_sent = false;          // stops were sent in this cooling, which can no longer be cancelled
+    Seconds cooling_since = never;    // when this controller first saw the state `cooling`
+    bool stops_sent = false;          // stops may have been sent, so that cooling cannot be cancelled
     Seconds surplus_since = never;    // since when fewer replicas would be enough
-    Revision ownership_revision = 0;  // of the ownership under which the times were observed; 0: not owner
+    Revision ownership_revision = 0;  // ownership under which the times were observed; 0: not owner
     std::string pending_reason;
   };
-  /// What one cycle decides a model's next step from.
+  /// Inputs of one cycle for one model, and the record that it writes.
   struct Situation {
     const Job& service_job;
-    DecisionRecord record;  // as it is now; becomes the next one
+    DecisionRecord record;  // the current record, to be changed into the next one
     std::uint32_t calls = 0;
     std::uint32_t wanted_replicas = 0;
-    bool is_wanted = false;  // there are calls, or the spec asks for replicas in any case
+    bool is_wanted = false;  // there are calls, or the spec has a minimum number of replicas
     Clock clock;
     Effects& out;
   };
 
   [[nodiscard]] bool is_service_job(const ModelState& model, const JobSpec& spec) const;
-  /// Every controller finds the same one: the first submitted, then by id.
+  /// The model's open service job that was submitted first, then by id, so that all controllers find the same
+  /// one.
   [[nodiscard]] JobIndex find_service_job(const ModelState& model) const;
   void reconcile(ModelState& model, Clock clock, Effects& out);
   void on_ownership_acquired(ModelState& model, Revision ownership_revision, Seconds now) const;
@@ -73,9 +76,9 @@
                       std::uint32_t replicas, const std::string& reason);
   void set_pending_reason(ModelState& model, const std::string& reason) const;
 
-  /// How many tasks of the job the decision allows on machines.
+  /// Number of tasks of the job that the decision allows on machines at the same time.
   [[nodiscard]] std::uint32_t max_tasks(const Decision* decision, const JobSpec& spec, bool is_replica) const;
-  /// How many of the service job's placed replicas may stay.
+  /// Number of the service job's placed replicas that may stay.
   [[nodiscard]] std::uint32_t replicas_to_keep(const ModelState& model, const DecisionRecord& record,
                                                std::size_t placed) const;
 
--- a/include/oxbowmill/serving/model_spec.h
+++ b/include/oxbowmill/serving/model_spec.h
@@ -1,5 +1,5 @@
-// What operators say of a model: which replicas serve it, and which jobs are its calls.
-// docs/model-serving.md. Plain data.
+// Specification of a model by the operators: the service jobs whose tasks are its replicas, and the jobs that
+// are its calls. Plain data. See docs/model-serving.md.
 #pragma once
 
 #include <string>
@@ -7,24 +7,24 @@
 
 namespace oxbowmill::serving {
 
-/// One model. `job_class`, `image` or both name its service jobs.
+/// One model. Its service jobs are selected by `job_class`, `image` or both.
 struct ModelSpec {
   std::string name;                       ///< unique in the file
   std::string job_class;                  ///< class of its service jobs; empty: any
   std::string image;                      ///< image of its service jobs; empty: any
-  std::uint32_t min_replicas = 0;         ///< 0: it may scale to zero
-  std::uint32_t max_replicas = 1;         ///< at most, whatever the calls
+  std::uint32_t min_replicas = 0;         ///< least number of replicas; 0: the model scales to zero
+  std::uint32_t max_replicas = 1;         ///< greatest number of replicas
   double calls_per_replica = 8;           ///< calls that one replica serves at the same time
-  std::vector<std::string> call_classes;  ///< classes of the jobs that are its calls
+  std::vector<std::string> call_classes;  ///< classes of the jobs that are calls of the model
   double idle_factor = 1.5;               ///< idle timeout, as a multiple of the median cold start
-  double idle_floor_s = 30;               ///< the least idle timeout, in seconds
+  double idle_floor_s = 30;               ///< minimum idle timeout, in seconds
 };
 
-/// The operators' file of models.
+/// Models section of the operators' file.
 struct Settings {
-  std::uint64_t version = 0;      ///< of the file
-  std::vector<ModelSpec> models;  ///< all models that scale to zero
-  /// Whether no model is named.
+  std::uint64_t version = 0;      ///< version of the file
+  std::vector<ModelSpec> models;  ///< all models of the file
+  /// Whether the file has no model.
   [[nodiscard]] bool empty() const { return models.empty(); }
 };
 
--- a/src/serving/call_counter.cpp
+++ b/src/serving/call_counter.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t max_failed_attempts = 5;
-constexpr double long_running_s = 60;  // an attempt that has lasted so long does not count as failing
+constexpr double long_running_s = 60;  // an attempt of this duration does not count as a failure
 
 }  // namespace
 
--- a/src/serving/model_autoscaler.cpp
+++ b/src/serving/model_autoscaler.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double cycle_interval_s = 0.25;
-constexpr double cooling_delay_s = 2;  // between the decision to cool down and the first stop
+constexpr double cooling_delay_s = 2;  // from the decision to cool down to the first stop
 
 bool has_running_replica(const Job& job) {
   return std::any_of(job.placements.begin(), job.placements.end(), [](const auto& entry) {
@@ -111,8 +111,9 @@
 
 void ModelAutoscaler::on_ownership_acquired(ModelState& model, Revision ownership_revision,
                                             Seconds now) const {
-  // The new owner continues from the record. What it cannot know is assumed so that nothing is undone or done
-  // twice: stops may have been sent, and the last call was just now.
+  // The new owner continues from the record. It assumes the safe case of what it cannot know: that stops have
+  // been sent, so that cooling is not cancelled, and that the last call was just now, so that cooling does
+  // not start early.
   model.ownership_revision = ownership_revision;
   model.last_busy_at = now;
   model.cooling_since = ModelState::never;
@@ -121,7 +122,7 @@
 }
 
 void ModelAutoscaler::end_round_of_former_job(const ModelState& model, Situation situation) {
-  // The replicas are stopped like those of any cancelled job; the round ends when they are gone.
+  // The replicas are stopped like those of any cancelled job. The round ends when all of them are gone.
   if (status_of(situation.record) != ModelStatus::cooling)
     return write_decision(model, std::move(situation), ModelStatus::cooling, 0, "its standing job is over");
   const JobIndex former_index = state_.find_job(service_job_of(situation.record).value_or(""));
@@ -148,7 +149,7 @@
     return write_decision(model, std::move(situation), ModelStatus::ready, replicas, "a replica runs");
   }
   set_pending_reason(model, "warming up, calls wait for the first replica");
-  // The calls were cancelled: a cold start is of no use by itself.
+  // The calls were cancelled, so the cold start has no further use.
   if (is_idle(model, situation))
     write_decision(model, std::move(situation), ModelStatus::cooling, 0, "its calls have gone");
 }
@@ -181,7 +182,7 @@
   if (model.cooling_since < 0) model.cooling_since = now;
   const bool may_have_stopped = model.stops_sent || has_stopping_replica(job);
   if (situation.calls > 0 && !may_have_stopped && !job.placements.empty()) {
-    // Cancelled before the first stop: the replicas keep running in the same epoch.
+    // Cooling is cancelled before the first stop: the replicas keep running in the same epoch.
     const std::uint32_t replicas = std::max(1U, situation.wanted_replicas);
     return write_decision(model, std::move(situation), ModelStatus::ready, replicas,
                           "a call came while it cooled");
@@ -240,8 +241,8 @@
     const Decision* decision = decision_log_.find(decision_kind(), model.spec.name);
     const std::uint32_t most = max_tasks(decision, spec, is_replica);
     limits.max_tasks = std::min(limits.max_tasks, most);
-    // The guard refuses a placement, or a late copy of one, by a decision that has changed meanwhile. Calls
-    // need no guard: a call that starts while the last replica stops is served in the next epoch.
+    // The guard rejects a placement, or a delayed duplicate of one, if the decision has changed meanwhile.
+    // Calls need no guard: a call that starts while the last replica stops is served in the next epoch.
     if (is_replica && decision != nullptr && most > 0)
       limits.guards.push_back({DecisionKey{decision_kind().key(model.spec.name)}, decision->revision});
   }
@@ -261,11 +262,11 @@
   for (const ModelState& model : models_) {
     if (!model.service_job.valid() || state_.job(model.service_job).spec.partition != partition) continue;
     const Decision* decision = decision_log_.find(decision_kind(), model.spec.name);
-    // A pending change may cancel the cooling: nothing is stopped before its outcome is known.
+    // A pending change may cancel the cooling, so nothing is stopped before its outcome is known.
     if (decision == nullptr || decision_log_.has_pending_change(decision_kind(), model.spec.name)) continue;
     const Job& job = state_.job(model.service_job);
     const std::uint32_t keep = replicas_to_keep(model, decision->record, job.placements.size());
-    // The last tasks go first: the first replica has served longest.
+    // Stop the tasks with the highest numbers first, because the first replica has served longest.
     std::size_t left = job.placements.size();
     for (auto it = job.placements.rbegin(); it != job.placements.rend() && left > keep; ++it, --left)
       tasks.push_back({model.service_job, it->first});
--- a/src/serving/model_decision.cpp
+++ b/src/serving/model_decision.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t retained_cold_starts = 9;
 constexpr double ms_per_s = 1000;  // cold starts are stored in milliseconds
-// Counts and notes of the records; stored data.
+// Names of counts and notes in the records. Stored data: the names must not change.
 const std::string replicas_field = "replicas";
 const std::string service_job_field = "job";
 
