--- a/include/oxbowmill/release_calendar/release_constraints.h
+++ b/include/oxbowmill/release_calendar/release_constraints.h
@@ -42,7 +42,7 @@
   /// Whether this publishing job is bound in the record or named by id in the spec.
   [[nodiscard]] bool is_known_publishing_job(const ReleaseState& release, const JobSpec& spec) const;
   /// Whether all known render jobs of some other edition are done.
-  [[nodiscard]] bool has_rendered_twin(const ReleaseState& release, const Edition& edition) const;
+  [[nodiscard]] bool has_other_rendered_edition(const ReleaseState& release, const Edition& edition) const;
   [[nodiscard]] bool has_rendered(const ReleaseState& release, const Edition& edition) const;
 
   const ClusterState& state_;
--- a/include/oxbowmill/release_calendar/release_coordinator.h
+++ b/include/oxbowmill/release_calendar/release_coordinator.h
@@ -49,8 +49,8 @@
   [[nodiscard]] const std::string& pending_reason(const std::string& release) const;
 
  private:
-  void publish_specs(Clock clock, Effects& out);
-  void publish_removals(Clock clock, Effects& out);
+  void write_specs(Clock clock, Effects& out);
+  void write_removals(Clock clock, Effects& out);
   void write_spec_record(const std::string& name, DecisionRecord next, Clock clock, Effects& out);
 
   decisions::DecisionLog& decision_log_;
--- a/include/oxbowmill/release_calendar/release_lifecycle.h
+++ b/include/oxbowmill/release_calendar/release_lifecycle.h
@@ -27,7 +27,7 @@
   /// A job that a release waits for.
   struct MissingRequirement {
     std::string description;
-    bool cancelled = false;
+    bool is_cancelled = false;
   };
   /// Arguments of one call of `reconcile`.
   struct Step {
--- a/include/oxbowmill/release_calendar/scheduled_time.h
+++ b/include/oxbowmill/release_calendar/scheduled_time.h
@@ -33,9 +33,9 @@
 /// instant after the gap; one that occurs twice means the later instant, so that nothing starts early. Throws
 /// TimeZoneError.
 std::vector<double> occurrences(const ScheduledTime& scheduled, double from, double to);
-/// Whether something that has been known since `since` may start at `now`, a time of day that is not ahead of
-/// the true one. Throws TimeZoneError.
-bool is_open(const ScheduledTime& scheduled, double since, double now);
+/// Whether something that has been known since `known_since` may start at `now`, a time of day that is not
+/// ahead of the true one. Throws TimeZoneError.
+bool allows_start(const ScheduledTime& scheduled, double known_since, double now);
 /// The first instant at or after `now`; none if there is none within two years. Throws TimeZoneError.
 std::optional<double> next_occurrence(const ScheduledTime& scheduled, double now);
 /// The first invalid field and why, as "field: reason"; empty if the schedule is valid.
--- a/src/release_calendar/release_constraints.cpp
+++ b/src/release_calendar/release_constraints.cpp
@@ -107,13 +107,14 @@
       const bool is_complete = bound != nullptr && bound->size() >= required.matcher.count;
       if (!is_required && !is_complete && release.status != ReleaseStatus::published) withhold(limits);
       if (!is_required || release.status != ReleaseStatus::rendering) continue;
-      if (has_rendered_twin(release, edition))
+      if (has_other_rendered_edition(release, edition))
         limits.priority_boost_s = std::max(limits.priority_boost_s, last_edition_boost_s);
     }
   }
 }
 
-bool ReleaseConstraints::has_rendered_twin(const ReleaseState& release, const Edition& edition) const {
+bool ReleaseConstraints::has_other_rendered_edition(const ReleaseState& release,
+                                                    const Edition& edition) const {
   const std::vector<Edition>& editions = release.active_spec->editions;
   return std::any_of(editions.begin(), editions.end(), [&](const Edition& other) {
     return &other != &edition && has_rendered(release, other);
--- a/src/release_calendar/release_coordinator.cpp
+++ b/src/release_calendar/release_coordinator.cpp
@@ -31,8 +31,8 @@
   next_cycle_at_ = clock.now + cycle_interval_s;
   records_.refresh(decision_log_);
   if (!calendar_.empty()) {
-    publish_specs(clock, out);
-    publish_removals(clock, out);
+    write_specs(clock, out);
+    write_removals(clock, out);
   }
   if (!scheduler_.is_leader()) return;
   for (auto& [name, release] : records_.all()) {
@@ -41,7 +41,7 @@
   }
 }
 
-void ReleaseCoordinator::publish_specs(Clock clock, Effects& out) {
+void ReleaseCoordinator::write_specs(Clock clock, Effects& out) {
   for (const ReleaseSpec& release_spec : calendar_.releases) {
     const Decision* current = decision_log_.find(spec_kind(), release_spec.name);
     if (current != nullptr && current->record.version >= calendar_.version) continue;
@@ -54,7 +54,7 @@
   }
 }
 
-void ReleaseCoordinator::publish_removals(Clock clock, Effects& out) {
+void ReleaseCoordinator::write_removals(Clock clock, Effects& out) {
   for (const auto& [name, release] : records_.all()) {
     const bool is_named = std::any_of(calendar_.releases.begin(), calendar_.releases.end(),
                                       [&name = name](const ReleaseSpec& spec) { return spec.name == name; });
@@ -77,9 +77,9 @@
 }
 
 const std::string& ReleaseCoordinator::pending_reason(const std::string& release) const {
-  static const std::string nothing;
+  static const std::string no_reason;
   const ReleaseState* state = records_.find(release);
-  return state == nullptr ? nothing : state->pending_reason;
+  return state == nullptr ? no_reason : state->pending_reason;
 }
 
 }  // namespace oxbowmill::release_calendar
--- a/src/release_calendar/release_lifecycle.cpp
+++ b/src/release_calendar/release_lifecycle.cpp
@@ -117,11 +117,11 @@
     if (!matches(state_.names, required.matcher, job.spec) || bound.count(ref) != 0) return;
     if (release.withheld_jobs.count(ref) != 0) return;
     // A new job replaces a cancelled one.
-    auto cancelled = std::find_if(bound.begin(), bound.end(), [&](const std::string& bound_ref) {
+    auto cancelled_job = std::find_if(bound.begin(), bound.end(), [&](const std::string& bound_ref) {
       return final_phases_.phase_of(bound_ref, now) == JobPhase::cancelled;
     });
-    if (bound.size() >= required.matcher.count && cancelled == bound.end()) return;
-    if (cancelled != bound.end()) bound.erase(cancelled);
+    if (bound.size() >= required.matcher.count && cancelled_job == bound.end()) return;
+    if (cancelled_job != bound.end()) bound.erase(cancelled_job);
     bound.insert(ref);
     has_new_job = true;
   });
@@ -132,15 +132,15 @@
   DecisionRecord next = current_record(step.name);
   if (auto missing = find_missing_requirement(release, JobRole::render, step.clock.now)) {
     set_pending_reason(release, step.name, "waiting for " + missing->description);
-    if (missing->cancelled != (release.status == ReleaseStatus::broken)) {
-      next.state = stored_name(missing->cancelled ? ReleaseStatus::broken : ReleaseStatus::rendering);
+    if (missing->is_cancelled != (release.status == ReleaseStatus::broken)) {
+      next.state = stored_name(missing->is_cancelled ? ReleaseStatus::broken : ReleaseStatus::rendering);
       next.reason = missing->description;
       write_decision(step, std::move(next), WriteUrgency::deferrable);
     }
     return;
   }
   const std::optional<ScheduledTime>& publish_time = release.active_spec->publish_time;
-  if (publish_time && !is_open(*publish_time, next.changed_at, step.earliest_time))
+  if (publish_time && !allows_start(*publish_time, next.changed_at, step.earliest_time))
     return set_pending_reason(release, step.name, "all editions have rendered, publish time not reached");
   if (release.status == ReleaseStatus::broken) {
     next.state = stored_name(ReleaseStatus::rendering);
@@ -157,7 +157,7 @@
   auto missing = find_missing_requirement(release, JobRole::publish, step.clock.now);
   if (missing) set_pending_reason(release, step.name, "publishing, waiting for " + missing->description);
   // Users may cancel a publishing job; the release does not wait for a cancelled one.
-  if (missing && !missing->cancelled) return;
+  if (missing && !missing->is_cancelled) return;
   DecisionRecord next = current_record(step.name);
   next.state = stored_name(ReleaseStatus::published);
   if (missing) next.reason = missing->description;
@@ -166,7 +166,7 @@
 
 std::optional<ReleaseLifecycle::MissingRequirement> ReleaseLifecycle::find_missing_requirement(
     const ReleaseState& release, JobRole role, Seconds now) {
-  std::optional<MissingRequirement> first;
+  std::optional<MissingRequirement> first_missing;
   auto check = [&](const RequiredJobs& required) {
     const std::vector<std::string> refs = known_jobs_of(release, required);
     // Look up every phase, even after a missing job was found: each lookup may send a query.
@@ -174,13 +174,15 @@
       auto phase = final_phases_.phase_of(ref, now);
       if (phase == JobPhase::done) continue;
       MissingRequirement missing{ref + " of edition " + required.edition.name, phase == JobPhase::cancelled};
-      if (missing.cancelled) missing.description += ", which was cancelled";
-      if (!first || (missing.cancelled && !first->cancelled)) first = std::move(missing);
+      if (missing.is_cancelled) missing.description += ", which was cancelled";
+      if (!first_missing || (missing.is_cancelled && !first_missing->is_cancelled))
+        first_missing = std::move(missing);
     }
-    if (refs.size() < required.matcher.count && !first) {
-      first = MissingRequirement{std::to_string(required.matcher.count - refs.size()) + " more " +
-                                     required.matcher.job_class + " of edition " + required.edition.name,
-                                 false};
+    if (refs.size() < required.matcher.count && !first_missing) {
+      first_missing =
+          MissingRequirement{std::to_string(required.matcher.count - refs.size()) + " more " +
+                                 required.matcher.job_class + " of edition " + required.edition.name,
+                             false};
     }
   };
   for (const Edition& edition : release.active_spec->editions) {
@@ -190,7 +192,7 @@
       for (const RequiredJobs& required : render_jobs_of(edition)) check(required);
     }
   }
-  return first;
+  return first_missing;
 }
 
 DecisionRecord ReleaseLifecycle::current_record(const std::string& name) const {
--- a/src/release_calendar/release_spec.cpp
+++ b/src/release_calendar/release_spec.cpp
@@ -65,13 +65,16 @@
     release_spec.editions.push_back(edition_from_json(edition_json));
   if (auto when_it = json.find("when"); when_it != json.end()) {
     ScheduledTime scheduled = scheduled_time_from_json(*when_it);
-    if (std::string fault = validation_error(scheduled); !fault.empty())
-      throw ReleaseSpecError("when: " + fault);
+    if (std::string error_text = validation_error(scheduled); !error_text.empty())
+      throw ReleaseSpecError("when: " + error_text);
     release_spec.publish_time = std::move(scheduled);
   }
   return release_spec;
 }
 
+// The rule that `is_usable_name` checks, for error messages.
+const std::string name_rule = "must be 1 to 80 characters without spaces, tabs, line breaks, / and |";
+
 /// Whether the name may be part of record keys and of notes, in which the excluded characters are separators.
 bool is_usable_name(const std::string& name) {
   constexpr std::size_t max_length = 80;
@@ -81,18 +84,20 @@
 std::string matcher_error(const Edition& edition, const JobMatcher& matcher) {
   bool by_class_and_image = !matcher.job_class.empty() && !matcher.image.empty();
   if (matcher.ref.empty() == !by_class_and_image)
-    return "editions: " + edition.name + ": a job is named by its id, or by class and image";
+    return "editions: " + edition.name + ": a job must have either an id or both class and image";
   if (matcher.count == 0) return "editions: " + edition.name + ": count: must be at least 1";
   return "";
 }
 
 /// What is wrong with the edition by itself, as "editions: reason"; empty if it is valid.
 std::string edition_error(const Edition& edition) {
-  if (edition.render_jobs.empty()) return "editions: " + edition.name + " renders nothing";
-  if (edition.publish_job.count != 1) return "editions: " + edition.name + " has one publishing job";
-  if (std::string fault = matcher_error(edition, edition.publish_job); !fault.empty()) return fault;
+  if (edition.render_jobs.empty()) return "editions: " + edition.name + " has no render job";
+  if (edition.publish_job.count != 1)
+    return "editions: " + edition.name + " must have exactly one publishing job";
+  if (std::string error_text = matcher_error(edition, edition.publish_job); !error_text.empty())
+    return error_text;
   for (const JobMatcher& matcher : edition.render_jobs) {
-    if (std::string fault = matcher_error(edition, matcher); !fault.empty()) return fault;
+    if (std::string error_text = matcher_error(edition, matcher); !error_text.empty()) return error_text;
   }
   return "";
 }
@@ -110,10 +115,11 @@
 
 ReleaseSpec parse_release_spec(const std::string& text) {
   Json json = Json::parse(text, nullptr, false);
-  if (!json.is_object()) throw ReleaseSpecError("not a JSON object");
+  if (!json.is_object()) throw ReleaseSpecError("the text is not a JSON object");
   try {
     ReleaseSpec release_spec = release_spec_from_json(json);
-    if (std::string fault = validation_error(release_spec); !fault.empty()) throw ReleaseSpecError(fault);
+    if (std::string error_text = validation_error(release_spec); !error_text.empty())
+      throw ReleaseSpecError(error_text);
     return release_spec;
   } catch (const Json::exception& error) {
     throw ReleaseSpecError(error.what());
@@ -129,18 +135,18 @@
 }
 
 std::string validation_error(const ReleaseSpec& release_spec) {
-  if (!is_usable_name(release_spec.name)) return "name: not usable as a release's name";
+  if (!is_usable_name(release_spec.name)) return "name: not usable as a release's name, " + name_rule;
   if (release_spec.revision.empty()) return "revision: missing";
-  if (release_spec.editions.size() < 2) return "editions: a release pairs two or more";
+  if (release_spec.editions.size() < 2) return "editions: a release pairs two or more editions";
   std::set<std::string> names;
   std::set<std::string> publish_jobs;
   for (const Edition& edition : release_spec.editions) {
-    if (!is_usable_name(edition.name)) return "editions: a name is not usable";
+    if (!is_usable_name(edition.name)) return "editions: an edition's name is not usable, " + name_rule;
     if (!names.insert(edition.name).second) return "editions: " + edition.name + " is named twice";
-    if (std::string fault = edition_error(edition); !fault.empty()) return fault;
+    if (std::string error_text = edition_error(edition); !error_text.empty()) return error_text;
     const JobMatcher& publish_job = edition.publish_job;
     if (!publish_jobs.insert(publish_job.ref + " " + publish_job.job_class + " " + publish_job.image).second)
-      return "editions: two publish by the same job";
+      return "editions: two publish by the same job, one of them is " + edition.name;
   }
   return "";
 }
--- a/src/release_calendar/scheduled_time.cpp
+++ b/src/release_calendar/scheduled_time.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double day_s = 86400;
-constexpr double search_horizon_s = 2 * 366 * day_s;
-constexpr double fortnight_s = 14 * day_s;
+constexpr double seconds_per_day = 86400;
+constexpr double search_horizon_s = 2 * 366 * seconds_per_day;
+constexpr double fortnight_s = 14 * seconds_per_day;
 constexpr int tm_year_base = 1900;  // std::tm counts years from here
 constexpr unsigned last_weekday = 6;
 
@@ -50,32 +50,32 @@
 std::vector<double> occurrences(const ScheduledTime& scheduled, double from, double to) {
   std::vector<double> instants;
   const date::time_zone& zone = find_zone(scheduled.zone);
-  auto add = [&](date::local_days day) {
+  auto add_instant = [&](date::local_days day) {
     if (scheduled.excluded_dates.count(date::format("%F", day)) != 0) return;
     double instant = to_instant(zone, day, scheduled.second_of_day);
     if (instant >= from && instant < to) instants.push_back(instant);
   };
   if (scheduled.weekdays.empty()) {
-    if (auto day = parse_date(scheduled.date)) add(*day);
+    if (auto day = parse_date(scheduled.date)) add_instant(*day);
     return instants;
   }
   // One day more at both ends covers the local days of the span at any offset from UTC.
-  auto first = date::local_days(date::days(static_cast<int>(std::floor(from / day_s)) - 1));
-  auto last = date::local_days(date::days(static_cast<int>(std::floor(to / day_s)) + 1));
+  auto first = date::local_days(date::days(static_cast<int>(std::floor(from / seconds_per_day)) - 1));
+  auto last = date::local_days(date::days(static_cast<int>(std::floor(to / seconds_per_day)) + 1));
   for (auto day = first; day <= last; day += date::days(1)) {
     unsigned weekday = date::weekday(day).c_encoding();
     if (std::find(scheduled.weekdays.begin(), scheduled.weekdays.end(), weekday) != scheduled.weekdays.end())
-      add(day);
+      add_instant(day);
   }
   return instants;
 }
 
-bool is_open(const ScheduledTime& scheduled, double since, double now) {
-  if (now < since) return false;
-  // Without a window every instant since `since` allows the start; with a window, only an instant whose
+bool allows_start(const ScheduledTime& scheduled, double known_since, double now) {
+  if (now < known_since) return false;
+  // Without a window every instant since `known_since` allows the start; with a window, only an instant whose
   // window is still open.
-  double from =
-      scheduled.window_s > 0 ? std::max(since - scheduled.window_s, now - scheduled.window_s) : since;
+  double from = scheduled.window_s > 0 ? std::max(known_since - scheduled.window_s, now - scheduled.window_s)
+                                       : known_since;
   for (double instant : occurrences(scheduled, from, now + 1)) {
     if (instant <= now && (scheduled.window_s <= 0 || now < instant + scheduled.window_s)) return true;
   }
@@ -95,17 +95,20 @@
   try {
     find_zone(scheduled.zone);
   } catch (const TimeZoneError&) {
-    return "zone: no such time zone";
+    return "zone: no such time zone '" + scheduled.zone + "'";
   }
-  if (scheduled.weekdays.empty() == scheduled.date.empty()) return "either weekly or date";
+  if (scheduled.weekdays.empty() == scheduled.date.empty())
+    return "exactly one of weekly and date must be given";
   for (unsigned weekday : scheduled.weekdays) {
-    if (weekday > last_weekday) return "weekly: no such day";
+    if (weekday > last_weekday)
+      return "weekly: " + std::to_string(weekday) + " is not a day from 0 (Sunday) to 6";
   }
-  if (!scheduled.date.empty() && !parse_date(scheduled.date)) return "date: not YYYY-MM-DD";
+  if (!scheduled.date.empty() && !parse_date(scheduled.date))
+    return "date: '" + scheduled.date + "' is not a date as YYYY-MM-DD";
   for (const std::string& excluded_date : scheduled.excluded_dates) {
-    if (!parse_date(excluded_date)) return "holidays: not YYYY-MM-DD";
+    if (!parse_date(excluded_date)) return "holidays: '" + excluded_date + "' is not a date as YYYY-MM-DD";
   }
-  if (scheduled.second_of_day >= day_s) return "at: not a time of day";
+  if (scheduled.second_of_day >= seconds_per_day) return "at: not a time of day";
   return "";
 }
 
