--- a/include/oxbowmill/serving/call_counter.h
+++ b/include/oxbowmill/serving/call_counter.h
@@ -27,7 +27,7 @@
     std::uint32_t tasks_done = 0;
     std::uint32_t attempts = 0;
     Attempt last_attempt = 0;
-    Seconds since = 0;  // when the last attempt or the last done task was observed
+    Seconds observed_at = 0;  // when the last attempt or the last done task was observed
   };
   bool fails_repeatedly(JobIndex job_index, const Job& job, Seconds now);
 
--- a/include/oxbowmill/serving/model_autoscaler.h
+++ b/include/oxbowmill/serving/model_autoscaler.h
@@ -42,7 +42,7 @@
     ImageIndex image;      // invalid: any
     std::vector<ClassIndex> call_classes;
     JobIndex service_job;  // oldest open service job of the model; invalid: none
-    Seconds last_busy_at = never;
+    Seconds last_wanted_at = never;
     Seconds cooling_since = never;    // when this controller first saw the state `cooling`
     bool stops_sent = false;          // stops may have been sent, so that cooling cannot be cancelled
     Seconds surplus_since = never;    // since when fewer replicas would be enough
@@ -50,12 +50,12 @@
     std::string pending_reason;
   };
   /// Inputs of one cycle for one model, and the record that it writes.
-  struct Situation {
+  struct CycleContext {
     const Job& service_job;
     DecisionRecord record;  // the current record, to be changed into the next one
     std::uint32_t calls = 0;
     std::uint32_t wanted_replicas = 0;
-    bool is_wanted = false;  // there are calls, or the spec has a minimum number of replicas
+    bool needs_replicas = false;  // there are calls, or the spec has a minimum number of replicas
     Clock clock;
     Effects& out;
   };
@@ -66,13 +66,13 @@
   [[nodiscard]] JobIndex find_service_job(const ModelState& model) const;
   void reconcile(ModelState& model, Clock clock, Effects& out);
   void on_ownership_acquired(ModelState& model, Revision ownership_revision, Seconds now) const;
-  void end_round_of_former_job(const ModelState& model, Situation situation);
-  void advance_cold(ModelState& model, Situation situation);
-  void advance_warming(ModelState& model, Situation situation);
-  void advance_ready(ModelState& model, Situation situation);
-  void advance_cooling(ModelState& model, Situation situation);
-  [[nodiscard]] bool is_idle(const ModelState& model, const Situation& situation) const;
-  void write_decision(const ModelState& model, Situation situation, ModelStatus status,
+  void end_round_of_former_job(const ModelState& model, CycleContext context);
+  void advance_cold(ModelState& model, CycleContext context);
+  void advance_warming(ModelState& model, CycleContext context);
+  void advance_ready(ModelState& model, CycleContext context);
+  void advance_cooling(ModelState& model, CycleContext context);
+  [[nodiscard]] bool is_idle(const ModelState& model, const CycleContext& context) const;
+  void write_decision(const ModelState& model, CycleContext context, ModelStatus status,
                       std::uint32_t replicas, const std::string& reason);
   void set_pending_reason(ModelState& model, const std::string& reason) const;
 
--- a/include/oxbowmill/serving/model_decision.h
+++ b/include/oxbowmill/serving/model_decision.h
@@ -26,7 +26,7 @@
     {ModelStatus::cooling, "cooling"},
 }}};
 /// Stored name of ModelStatus::warming, for code that reads stored records directly.
-inline const std::string warming = model_status_names.stored_name(ModelStatus::warming);
+inline const std::string warming_stored_name = model_status_names.stored_name(ModelStatus::warming);
 
 /// State of the record; `unknown` if this version does not know it.
 ModelStatus status_of(const DecisionRecord& record);
--- a/src/serving/call_counter.cpp
+++ b/src/serving/call_counter.cpp
@@ -27,18 +27,19 @@
 }
 
 bool CallCounter::fails_repeatedly(JobIndex job_index, const Job& job, Seconds now) {
-  CallAttempts& seen = call_attempts_[job_index];
-  if (job.done_count != seen.tasks_done) seen = {job.done_count, 0, seen.last_attempt, now};
-  Attempt latest = 0;
-  for (const auto& [task, placement] : job.placements) latest = std::max(latest, placement.attempt);
-  if (latest > seen.last_attempt) {
-    seen.last_attempt = latest;
-    seen.since = now;
-    ++seen.attempts;
+  CallAttempts& call = call_attempts_[job_index];
+  if (job.done_count != call.tasks_done) call = {job.done_count, 0, call.last_attempt, now};
+  Attempt latest_attempt = 0;
+  for (const auto& [task, placement] : job.placements)
+    latest_attempt = std::max(latest_attempt, placement.attempt);
+  if (latest_attempt > call.last_attempt) {
+    call.last_attempt = latest_attempt;
+    call.observed_at = now;
+    ++call.attempts;
   }
-  if (latest == seen.last_attempt && latest != 0 && now - seen.since > long_running_s)
-    seen.attempts = std::min(seen.attempts, 1U);
-  return seen.attempts > max_failed_attempts;
+  if (latest_attempt == call.last_attempt && latest_attempt != 0 && now - call.observed_at > long_running_s)
+    call.attempts = std::min(call.attempts, 1U);
+  return call.attempts > max_failed_attempts;
 }
 
 void CallCounter::forget_finished() {
--- a/src/serving/model_autoscaler.cpp
+++ b/src/serving/model_autoscaler.cpp
@@ -77,32 +77,35 @@
   if (model.ownership_revision != ownership_revision)
     on_ownership_acquired(model, ownership_revision, clock.now);
   const std::uint32_t calls = call_counter_.count(model.call_classes, clock.now);
-  const bool is_wanted = calls > 0 || model.spec.min_replicas > 0;
-  if (is_wanted) model.last_busy_at = clock.now;
+  const bool needs_replicas = calls > 0 || model.spec.min_replicas > 0;
+  if (needs_replicas) model.last_wanted_at = clock.now;
   if (decision_log_.has_pending_change(decision_kind(), model.spec.name)) return;
   const Decision* decision = decision_log_.find(decision_kind(), model.spec.name);
-  const std::uint32_t most =
+  const std::uint32_t max_replicas =
       std::min(std::max(model.spec.max_replicas, model.spec.min_replicas), job.spec.tasks);
-  Situation situation{job,       decision == nullptr ? DecisionRecord() : decision->record,
-                      calls,     std::min(replicas_for(calls, model.spec), most),
-                      is_wanted, clock,
-                      out};
+  CycleContext context{job,
+                       decision == nullptr ? DecisionRecord() : decision->record,
+                       calls,
+                       std::min(replicas_for(calls, model.spec), max_replicas),
+                       needs_replicas,
+                       clock,
+                       out};
   if (decision == nullptr) {
-    write_service_job(situation.record, job.spec.ref);
-    return write_decision(model, std::move(situation), ModelStatus::cold, 0, "known");
+    write_service_job(context.record, job.spec.ref);
+    return write_decision(model, std::move(context), ModelStatus::cold, 0, "known");
   }
-  const ModelStatus status = status_of(situation.record);
-  if (service_job_of(situation.record) != job.spec.ref && status != ModelStatus::cold)
-    return end_round_of_former_job(model, std::move(situation));
+  const ModelStatus status = status_of(context.record);
+  if (service_job_of(context.record) != job.spec.ref && status != ModelStatus::cold)
+    return end_round_of_former_job(model, std::move(context));
   switch (status) {
     case ModelStatus::cold:
-      return advance_cold(model, std::move(situation));
+      return advance_cold(model, std::move(context));
     case ModelStatus::warming:
-      return advance_warming(model, std::move(situation));
+      return advance_warming(model, std::move(context));
     case ModelStatus::ready:
-      return advance_ready(model, std::move(situation));
+      return advance_ready(model, std::move(context));
     case ModelStatus::cooling:
-      return advance_cooling(model, std::move(situation));
+      return advance_cooling(model, std::move(context));
     case ModelStatus::none:
     case ModelStatus::unknown:
       return;
@@ -115,97 +118,97 @@
   // been sent, so that cooling is not cancelled, and that the last call was just now, so that cooling does
   // not start early.
   model.ownership_revision = ownership_revision;
-  model.last_busy_at = now;
+  model.last_wanted_at = now;
   model.cooling_since = ModelState::never;
   model.surplus_since = ModelState::never;
   model.stops_sent = true;
 }
 
-void ModelAutoscaler::end_round_of_former_job(const ModelState& model, Situation situation) {
+void ModelAutoscaler::end_round_of_former_job(const ModelState& model, CycleContext context) {
   // The replicas are stopped like those of any cancelled job. The round ends when all of them are gone.
-  if (status_of(situation.record) != ModelStatus::cooling)
-    return write_decision(model, std::move(situation), ModelStatus::cooling, 0, "its standing job is over");
-  const JobIndex former_index = state_.find_job(service_job_of(situation.record).value_or(""));
+  if (status_of(context.record) != ModelStatus::cooling)
+    return write_decision(model, std::move(context), ModelStatus::cooling, 0, "its standing job is over");
+  const JobIndex former_index = state_.find_job(service_job_of(context.record).value_or(""));
   const Job* former = former_index.valid() ? state_.known_job(former_index) : nullptr;
   if (former == nullptr || former->placements.empty()) {
-    write_decision(model, std::move(situation), ModelStatus::cold, 0,
+    write_decision(model, std::move(context), ModelStatus::cold, 0,
                    "all replicas of its former standing job are gone");
   }
 }
 
-void ModelAutoscaler::advance_cold(ModelState& model, Situation situation) {
-  if (!situation.is_wanted) return set_pending_reason(model, "cold");
-  ++situation.record.epoch;
-  write_service_job(situation.record, situation.service_job.spec.ref);
-  const std::string reason = situation.calls > 0 ? std::to_string(situation.calls) + " calls wait"
-                                                 : "at least " + std::to_string(model.spec.min_replicas);
-  write_decision(model, std::move(situation), ModelStatus::warming, 1, reason);
+void ModelAutoscaler::advance_cold(ModelState& model, CycleContext context) {
+  if (!context.needs_replicas) return set_pending_reason(model, "cold");
+  ++context.record.epoch;
+  write_service_job(context.record, context.service_job.spec.ref);
+  const std::string reason = context.calls > 0 ? std::to_string(context.calls) + " calls wait"
+                                               : "at least " + std::to_string(model.spec.min_replicas);
+  write_decision(model, std::move(context), ModelStatus::warming, 1, reason);
 }
 
-void ModelAutoscaler::advance_warming(ModelState& model, Situation situation) {
-  if (has_running_replica(situation.service_job)) {
-    record_cold_start(situation.record, situation.clock.wall - situation.record.changed_at);
-    const std::uint32_t replicas = std::max(1U, situation.wanted_replicas);
-    return write_decision(model, std::move(situation), ModelStatus::ready, replicas, "a replica runs");
+void ModelAutoscaler::advance_warming(ModelState& model, CycleContext context) {
+  if (has_running_replica(context.service_job)) {
+    record_cold_start(context.record, context.clock.wall - context.record.changed_at);
+    const std::uint32_t replicas = std::max(1U, context.wanted_replicas);
+    return write_decision(model, std::move(context), ModelStatus::ready, replicas, "a replica runs");
   }
   set_pending_reason(model, "warming up, calls wait for the first replica");
   // The calls were cancelled, so the cold start has no further use.
-  if (is_idle(model, situation))
-    write_decision(model, std::move(situation), ModelStatus::cooling, 0, "its calls have gone");
+  if (is_idle(model, context))
+    write_decision(model, std::move(context), ModelStatus::cooling, 0, "its calls have gone");
 }
 
-void ModelAutoscaler::advance_ready(ModelState& model, Situation situation) {
-  const auto replicas = replicas_of(situation.record).value_or(0);
-  const double idle_s = idle_timeout(cold_starts_of(situation.record), model.spec);
-  const Seconds now = situation.clock.now;
+void ModelAutoscaler::advance_ready(ModelState& model, CycleContext context) {
+  const auto replicas = replicas_of(context.record).value_or(0);
+  const double idle_s = idle_timeout(cold_starts_of(context.record), model.spec);
+  const Seconds now = context.clock.now;
   set_pending_reason(model, "serving");
-  if (is_idle(model, situation)) {
+  if (is_idle(model, context)) {
     model.cooling_since = ModelState::never;
     model.stops_sent = false;
-    return write_decision(model, std::move(situation), ModelStatus::cooling, 0,
+    return write_decision(model, std::move(context), ModelStatus::cooling, 0,
                           "idle for " + std::to_string(static_cast<int>(idle_s)) + " s");
   }
-  const std::uint32_t wanted = std::max(1U, situation.wanted_replicas);
+  const std::uint32_t wanted = std::max(1U, context.wanted_replicas);
   if (wanted >= replicas) model.surplus_since = ModelState::never;
   if (wanted < replicas && model.surplus_since < 0) model.surplus_since = now;
   const bool scales_in = wanted < replicas && now - model.surplus_since > idle_s;
   if (wanted > replicas || scales_in) {
     model.surplus_since = ModelState::never;
-    const std::string reason = std::to_string(situation.calls) + " calls";
-    write_decision(model, std::move(situation), ModelStatus::ready, wanted, reason);
+    const std::string reason = std::to_string(context.calls) + " calls";
+    write_decision(model, std::move(context), ModelStatus::ready, wanted, reason);
   }
 }
 
-void ModelAutoscaler::advance_cooling(ModelState& model, Situation situation) {
-  const Job& job = situation.service_job;
-  const Seconds now = situation.clock.now;
+void ModelAutoscaler::advance_cooling(ModelState& model, CycleContext context) {
+  const Job& job = context.service_job;
+  const Seconds now = context.clock.now;
   if (model.cooling_since < 0) model.cooling_since = now;
   const bool may_have_stopped = model.stops_sent || has_stopping_replica(job);
-  if (situation.calls > 0 && !may_have_stopped && !job.placements.empty()) {
+  if (context.calls > 0 && !may_have_stopped && !job.placements.empty()) {
     // Cooling is cancelled before the first stop: the replicas keep running in the same epoch.
-    const std::uint32_t replicas = std::max(1U, situation.wanted_replicas);
-    return write_decision(model, std::move(situation), ModelStatus::ready, replicas,
+    const std::uint32_t replicas = std::max(1U, context.wanted_replicas);
+    return write_decision(model, std::move(context), ModelStatus::ready, replicas,
                           "a call came while it cooled");
   }
   if (now - model.cooling_since > cooling_delay_s) model.stops_sent = true;
   set_pending_reason(model, "cooling down");
   if (job.placements.empty())
-    write_decision(model, std::move(situation), ModelStatus::cold, 0, "all its replicas are gone");
+    write_decision(model, std::move(context), ModelStatus::cold, 0, "all its replicas are gone");
 }
 
-bool ModelAutoscaler::is_idle(const ModelState& model, const Situation& situation) const {
-  return !situation.is_wanted && situation.clock.now - model.last_busy_at >
-                                     idle_timeout(cold_starts_of(situation.record), model.spec);
+bool ModelAutoscaler::is_idle(const ModelState& model, const CycleContext& context) const {
+  return !context.needs_replicas &&
+         context.clock.now - model.last_wanted_at > idle_timeout(cold_starts_of(context.record), model.spec);
 }
 
-void ModelAutoscaler::write_decision(const ModelState& model, Situation situation, ModelStatus status,
+void ModelAutoscaler::write_decision(const ModelState& model, CycleContext context, ModelStatus status,
                                      std::uint32_t replicas, const std::string& reason) {
-  DecisionRecord& next = situation.record;
+  DecisionRecord& next = context.record;
   next.state = model_status_names.stored_name(status);
   write_replicas(next, replicas);
   next.reason = reason;
-  decision_log_.change(decision_kind(), model.spec.name, std::move(next),
-                       situation.service_job.spec.partition, situation.clock, situation.out, /*urgent=*/true);
+  decision_log_.change(decision_kind(), model.spec.name, std::move(next), context.service_job.spec.partition,
+                       context.clock, context.out, /*urgent=*/true);
 }
 
 void ModelAutoscaler::set_pending_reason(ModelState& model, const std::string& reason) const {
@@ -215,10 +218,10 @@
 }
 
 const std::string& ModelAutoscaler::pending_reason(const std::string& model) const {
-  static const std::string nothing;
+  static const std::string no_reason;
   auto found = std::find_if(models_.begin(), models_.end(),
                             [&](const ModelState& candidate) { return candidate.spec.name == model; });
-  return found == models_.end() ? nothing : found->pending_reason;
+  return found == models_.end() ? no_reason : found->pending_reason;
 }
 
 std::uint32_t ModelAutoscaler::max_tasks(const Decision* decision, const JobSpec& spec,
@@ -239,22 +242,22 @@
     const bool is_replica = is_service_job(model, spec);
     if (!is_replica && !is_call_job(model.call_classes, spec)) continue;
     const Decision* decision = decision_log_.find(decision_kind(), model.spec.name);
-    const std::uint32_t most = max_tasks(decision, spec, is_replica);
-    limits.max_tasks = std::min(limits.max_tasks, most);
+    const std::uint32_t allowed_tasks = max_tasks(decision, spec, is_replica);
+    limits.max_tasks = std::min(limits.max_tasks, allowed_tasks);
     // The guard rejects a placement, or a delayed duplicate of one, if the decision has changed meanwhile.
     // Calls need no guard: a call that starts while the last replica stops is served in the next epoch.
-    if (is_replica && decision != nullptr && most > 0)
+    if (is_replica && decision != nullptr && allowed_tasks > 0)
       limits.guards.push_back({DecisionKey{decision_kind().key(model.spec.name)}, decision->revision});
   }
 }
 
 std::uint32_t ModelAutoscaler::replicas_to_keep(const ModelState& model, const DecisionRecord& record,
                                                 std::size_t placed) const {
-  const auto all = static_cast<std::uint32_t>(placed);
+  const auto placed_count = static_cast<std::uint32_t>(placed);
   const ModelStatus status = status_of(record);
   if (status == ModelStatus::cooling && model.stops_sent) return 0;
-  if (status == ModelStatus::ready) return std::min(all, replicas_of(record).value_or(all));
-  return all;
+  if (status == ModelStatus::ready) return std::min(placed_count, replicas_of(record).value_or(placed_count));
+  return placed_count;
 }
 
 std::vector<TaskId> ModelAutoscaler::tasks_to_preempt(PartitionIndex partition) const {
@@ -265,10 +268,11 @@
     // A pending change may cancel the cooling, so nothing is stopped before its outcome is known.
     if (decision == nullptr || decision_log_.has_pending_change(decision_kind(), model.spec.name)) continue;
     const Job& job = state_.job(model.service_job);
-    const std::uint32_t keep = replicas_to_keep(model, decision->record, job.placements.size());
+    const std::uint32_t keep_count = replicas_to_keep(model, decision->record, job.placements.size());
     // Stop the tasks with the highest numbers first, because the first replica has served longest.
-    std::size_t left = job.placements.size();
-    for (auto it = job.placements.rbegin(); it != job.placements.rend() && left > keep; ++it, --left)
+    std::size_t remaining = job.placements.size();
+    for (auto it = job.placements.rbegin(); it != job.placements.rend() && remaining > keep_count;
+         ++it, --remaining)
       tasks.push_back({model.service_job, it->first});
   }
   return tasks;
--- a/src/simulation/decision_simulation.cpp
+++ b/src/simulation/decision_simulation.cpp
@@ -165,7 +165,7 @@
     std::uint64_t current_epoch = record->second.value.value("e", std::uint64_t{0});
     wrong_epochs_ += current_epoch > epoch_ + 1 ? 1 : 0;
     epoch_ = current_epoch;
-    bool is_warming = record->second.value.at("s") == serving::warming;
+    bool is_warming = record->second.value.at("s") == serving::warming_stored_name;
     for (const std::string& name : simulation_.machine_names) {
       for (const auto& [id, task] : simulation_.cluster.worker(name).tasks()) {
         if (task.job != service_job || task.phase == TaskPhase::ended) continue;
--- a/tests/serving_test.cpp
+++ b/tests/serving_test.cpp
@@ -1,5 +1,5 @@
-// Models that scale to zero and back (docs/model-serving.md): one cold start per epoch, also when controllers
-// fail.
+// Models that scale to zero and back (docs/model-serving.md): there is one cold start per epoch, even if
+// controllers fail.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -13,34 +13,36 @@
 using simulation::SimulatedCluster;
 using simulation::test_job;
 
-serving::Settings chat_settings(double floor_s = 10, std::uint32_t least = 0) {
-  serving::ModelSpec terms;
-  terms.name = "chat";
-  terms.job_class = "serve";
-  terms.call_classes = {"call"};
-  terms.min_replicas = least;
-  terms.max_replicas = 3;
-  terms.calls_per_replica = 2;
-  terms.idle_floor_s = floor_s;
-  return {1, {terms}};
+serving::Settings chat_settings(double idle_floor_s = 10, std::uint32_t min_replicas = 0) {
+  serving::ModelSpec model_spec;
+  model_spec.name = "chat";
+  model_spec.job_class = "serve";
+  model_spec.call_classes = {"call"};
+  model_spec.min_replicas = min_replicas;
+  model_spec.max_replicas = 3;
+  model_spec.calls_per_replica = 2;
+  model_spec.idle_floor_s = idle_floor_s;
+  return {1, {model_spec}};
 }
 
-TEST(ModelAutoscaler, IdleTimeoutIsFlooredMedianOfStarts) {
+TEST(ModelAutoscaler, IdleTimeoutIsMultipleOfMedianColdStartWithFloor) {
   struct Case {
     const char* description;
-    std::vector<double> starts_at_s;
-    double idle_s;
+    std::vector<double> cold_starts_s;
+    double idle_timeout_s;
   };
-  serving::ModelSpec terms = chat_settings().models[0];
-  terms.idle_floor_s = 30;
-  const Case cases[] = {{"nothing seen", {}, 30},
-                        {"floored", {10, 12}, 30},
+  serving::ModelSpec model_spec = chat_settings().models[0];
+  model_spec.idle_floor_s = 30;
+  const Case cases[] = {{"no cold start yet: the floor", {}, 30},
+                        {"median below the floor: the floor", {10, 12}, 30},
                         {"median of an odd count", {100, 40, 60}, 90},
                         {"median of an even count", {100, 40, 60, 80}, 105}};
-  for (const Case& k : cases)
-    EXPECT_DOUBLE_EQ(serving::idle_timeout(k.starts_at_s, terms), k.idle_s) << k.description;
+  for (const Case& test_case : cases)
+    EXPECT_DOUBLE_EQ(serving::idle_timeout(test_case.cold_starts_s, model_spec), test_case.idle_timeout_s)
+        << test_case.description;
 }
 
+/// Three simulated controllers that manage the model `chat`, and machines of two teams, red and blue.
 struct ModelServingFixture {
   explicit ModelServingFixture(const serving::Settings& settings = chat_settings()) : cluster(3) {
     for (std::size_t i = 0; i < 3; ++i) {
@@ -49,15 +51,15 @@
       cluster.controller(i).cluster_state.settings.operator_settings.idle_retention_s = 1e6;
       cluster.controller(i).enable_decisions({}, settings);
     }
-    for (const char* m : {"m1", "m2", "m3", "m4"}) cluster.add_machine(m, "a", "red");
-    for (const char* m : {"m5", "m6"}) cluster.add_machine(m, "a", "blue");
+    for (const char* machine : {"m1", "m2", "m3", "m4"}) cluster.add_machine(machine, "a", "red");
+    for (const char* machine : {"m5", "m6"}) cluster.add_machine(machine, "a", "blue");
     run(3);
   }
-  void submit(const std::string& ref, const char* job_class, std::uint32_t tasks = 1, bool blue = false) {
+  void submit(const std::string& ref, const char* job_class, std::uint32_t tasks = 1, bool is_blue = false) {
     JobSpec job_spec = test_job(ref, tasks, job_class == std::string("serve") ? 4 : 1);
-    Names& n = cluster.controller(0).cluster_state.names;
-    job_spec.job_class = n.classes.intern(job_class);
-    job_spec.partition = PartitionIndex{blue ? 2U : 1U};
+    Names& names = cluster.controller(0).cluster_state.names;
+    job_spec.job_class = names.classes.intern(job_class);
+    job_spec.partition = PartitionIndex{is_blue ? 2U : 1U};
     if (job_class == std::string("serve")) {
       job_spec.shape = JobShape::service;
       job_spec.priority = Priority::production;
@@ -72,39 +74,43 @@
       check_invariants();
     }
   }
+  /// Kills the owner; another controller acquires all its partitions.
   void change_owner() {
     cluster.fail_over(owner, (owner + 1) % 3, 4);
     owner = (owner + 1) % 3;
   }
   std::vector<std::string> machines() const { return {"m1", "m2", "m3", "m4", "m5", "m6"}; }
+  /// Number of replicas on the machines.
   std::uint32_t replicas() {
-    std::uint32_t n = 0;
-    for (const std::string& m : machines()) {
-      for (const auto& [id, t] : cluster.worker(m).tasks())
-        n += static_cast<unsigned int>(t.job == "run-model" && t.phase != TaskPhase::ended);
+    std::uint32_t count = 0;
+    for (const std::string& machine : machines()) {
+      for (const auto& [id, task] : cluster.worker(machine).tasks())
+        count += static_cast<unsigned int>(task.job == "run-model" && task.phase != TaskPhase::ended);
     }
-    return n;
+    return count;
   }
+  /// Ends the task if it runs on a machine; returns whether it did.
   bool finish(const std::string& task, EndCause cause = EndCause::done) {
-    for (const std::string& m : machines()) {
-      if (!cluster.worker(m).has(task) || cluster.worker(m).phase(task) == TaskPhase::ended) continue;
-      cluster.worker(m).finish(task, cause);
+    for (const std::string& machine : machines()) {
+      if (!cluster.worker(machine).has(task) || cluster.worker(machine).phase(task) == TaskPhase::ended)
+        continue;
+      cluster.worker(machine).finish(task, cause);
       return true;
     }
     return false;
   }
   const simulation::Json* record() const {
-    auto it = cluster.store.keys().find("o/d/model/chat");
-    return it == cluster.store.keys().end() ? nullptr : &it->second.value;
+    auto record = cluster.store.keys().find("o/d/model/chat");
+    return record == cluster.store.keys().end() ? nullptr : &record->second.value;
   }
   std::string state() const { return record() == nullptr ? "" : record()->at("s").get<std::string>(); }
   std::uint64_t epoch() const { return record() == nullptr ? 0 : record()->value("e", std::uint64_t{0}); }
-  /// Checked from outside: in a warming epoch at most one replica is placed, when cold none; and a new epoch
-  /// only follows cold.
+  /// Checks with the state service that at most one replica is placed while the model is warming and none
+  /// while it is cold, and that a new epoch begins only from cold.
   void check_invariants() {
     EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
     std::size_t placed = 0;
-    for (TaskNumber t = 0; t < 3; ++t) placed += cluster.machines_of_task("run-model", t).size();
+    for (TaskNumber task = 0; task < 3; ++task) placed += cluster.machines_of_task("run-model", task).size();
     if (state() == "warming") {
       EXPECT_LE(placed, 1U);
     }
@@ -114,9 +120,9 @@
     for (; checked_events < cluster.store.events().size(); ++checked_events) {
       const auto& event = cluster.store.events()[checked_events];
       if (event.key != "o/d/model/chat") continue;
-      std::uint64_t n = event.value->value("e", std::uint64_t{0});
-      EXPECT_TRUE(n == last_epoch || (n == last_epoch + 1 && last_state == "cold"));
-      last_epoch = n;
+      std::uint64_t epoch = event.value->value("e", std::uint64_t{0});
+      EXPECT_TRUE(epoch == last_epoch || (epoch == last_epoch + 1 && last_state == "cold"));
+      last_epoch = epoch;
       last_state = event.value->at("s").get<std::string>();
     }
   }
@@ -134,16 +140,17 @@
   EXPECT_EQ(fixture.state(), "cold");
   EXPECT_EQ(fixture.cluster.phase("run-model"),
             "queued" == fixture.cluster.phase("run-model") ? "queued" : "open");
-  for (const char* m : {"m1", "m2", "m3", "m4"}) fixture.cluster.worker(m).first_phase = TaskPhase::fetching;
+  for (const char* machine : {"m1", "m2", "m3", "m4"})
+    fixture.cluster.worker(machine).first_phase = TaskPhase::fetching;
   for (int i = 0; i < 5; ++i) fixture.submit("run-call" + std::to_string(i), "call", 1, i % 2 == 1);
   fixture.run(6);
   EXPECT_EQ(fixture.state(), "warming");
-  EXPECT_EQ(fixture.replicas(), 1U);  // and not one for each of the callers
+  EXPECT_EQ(fixture.replicas(), 1U);  // one replica, not one per call
   EXPECT_EQ(fixture.cluster.run_log.starts["run-call0/0"] + fixture.cluster.run_log.starts["run-call1/0"], 0);
-  for (const char* m : {"m1", "m2", "m3", "m4"}) {
-    fixture.cluster.worker(m).first_phase = TaskPhase::running;
-    if (fixture.cluster.worker(m).has("run-model/0"))
-      fixture.cluster.worker(m).set_phase("run-model/0", TaskPhase::running);
+  for (const char* machine : {"m1", "m2", "m3", "m4"}) {
+    fixture.cluster.worker(machine).first_phase = TaskPhase::running;
+    if (fixture.cluster.worker(machine).has("run-model/0"))
+      fixture.cluster.worker(machine).set_phase("run-model/0", TaskPhase::running);
   }
   fixture.run(4);
   EXPECT_EQ(fixture.state(), "serving");
@@ -155,7 +162,7 @@
   EXPECT_EQ(fixture.state(), "cold");
   EXPECT_EQ(fixture.replicas(), 0U);
   EXPECT_EQ(fixture.epoch(), 1U);
-  EXPECT_EQ(fixture.cluster.phase("run-model"), "open");  // scaled down, not done
+  EXPECT_EQ(fixture.cluster.phase("run-model"), "open");  // scaled to zero, but not done
 }
 
 TEST(ModelAutoscaler, StateTransitionsUnderFaults) {
@@ -165,16 +172,16 @@
     const char* state;
     std::uint64_t epoch;
   };
-  auto warm = [](ModelServingFixture& fixture) {
+  auto start_model = [](ModelServingFixture& fixture) {
     fixture.submit("run-call", "call");
     fixture.run(5);
     ASSERT_EQ(fixture.state(), "serving");
   };
   const Case cases[] = {
-      {"the owner ends while it warms",
+      {"two owners fail while the model warms: one cold start",
        [](ModelServingFixture& fixture) {
-         for (const std::string& m : fixture.machines())
-           fixture.cluster.worker(m).first_phase = TaskPhase::fetching;
+         for (const std::string& machine : fixture.machines())
+           fixture.cluster.worker(machine).first_phase = TaskPhase::fetching;
          fixture.submit("run-call", "call");
          fixture.run(3);
          ASSERT_EQ(fixture.state(), "warming");
@@ -185,18 +192,19 @@
          fixture.run(2);
        },
        "warming", 1},
-      {"the owner ends while it cools",
+      {"the owner fails while the model cools: it becomes cold",
        [&](ModelServingFixture& fixture) {
-         warm(fixture);
+         start_model(fixture);
          fixture.finish("run-call/0");
          while (fixture.state() != "cooling") fixture.run(0.5);
          fixture.change_owner();
          fixture.run(20);
        },
        "cold", 1},
-      {"the owner ends while it cools, and a call comes to the next: it cannot know that no stop was sent",
+      {"the owner fails while the model cools, then a call arrives: the next owner assumes that stops were "
+       "sent",
        [&](ModelServingFixture& fixture) {
-         warm(fixture);
+         start_model(fixture);
          fixture.finish("run-call/0");
          while (fixture.state() != "cooling") fixture.run(0.5);
          fixture.change_owner();
@@ -204,9 +212,9 @@
          fixture.run(14);
        },
        "serving", 2},
-      {"a call while it cools, before any stop: taken back",
+      {"a call arrives while the model cools, before any stop: cooling is cancelled",
        [&](ModelServingFixture& fixture) {
-         warm(fixture);
+         start_model(fixture);
          fixture.finish("run-call/0");
          while (fixture.state() != "cooling") fixture.run(0.5);
          fixture.submit("run-call2", "call");
@@ -214,9 +222,9 @@
          EXPECT_EQ(fixture.cluster.run_log.starts["run-model/0"], 1);
        },
        "serving", 1},
-      {"a call while it cools, after the stop: the next epoch, once all is off",
+      {"a call arrives while the model cools, after a stop: the next epoch begins once all replicas are gone",
        [&](ModelServingFixture& fixture) {
-         warm(fixture);
+         start_model(fixture);
          fixture.finish("run-call/0");
          while (fixture.state() != "cooling") fixture.run(0.5);
          fixture.run(4);
@@ -224,30 +232,30 @@
          fixture.run(12);
        },
        "serving", 2},
-      {"a replica is lost: replaced in the same epoch",
+      {"a replica fails: it is replaced in the same epoch",
        [&](ModelServingFixture& fixture) {
-         warm(fixture);
+         start_model(fixture);
          fixture.finish("run-model/0", EndCause::error);
          fixture.run(8);
          EXPECT_EQ(fixture.replicas(), 1U);
        },
        "serving", 1},
-      {"withdrawn while it warms",
+      {"the service job is cancelled while the model warms: the call waits",
        [](ModelServingFixture& fixture) {
-         for (const std::string& m : fixture.machines())
-           fixture.cluster.worker(m).first_phase = TaskPhase::fetching;
+         for (const std::string& machine : fixture.machines())
+           fixture.cluster.worker(machine).first_phase = TaskPhase::fetching;
          fixture.submit("run-call", "call");
          fixture.run(3);
          fixture.cluster.withdraw("run-model");
          fixture.run(10);
          EXPECT_EQ(fixture.replicas(), 0U);
-         EXPECT_EQ(fixture.cluster.run_log.starts["run-call/0"], 0);  // it waits, and the job is known
+         EXPECT_EQ(fixture.cluster.run_log.starts["run-call/0"], 0);  // the call waits and is still known
          EXPECT_EQ(fixture.cluster.phase("run-call"), "open");
        },
        "warming", 1},
-      {"withdrawn and submitted anew: from cold, under the next epoch",
+      {"the service job is cancelled and another submitted: the next epoch begins from cold",
        [&](ModelServingFixture& fixture) {
-         warm(fixture);
+         start_model(fixture);
          fixture.cluster.withdraw("run-model");
          fixture.run(8);
          fixture.submit("run-model2", "serve", 3);
@@ -255,9 +263,9 @@
          EXPECT_GE(fixture.cluster.run_log.starts["run-model2/0"], 1);
        },
        "serving", 2},
-      {"a call that fails for ever does not keep it warm",
+      {"a call that fails repeatedly does not keep the model running",
        [&](ModelServingFixture& fixture) {
-         warm(fixture);
+         start_model(fixture);
          for (int i = 0; i < 200 && fixture.state() != "cooling" && fixture.state() != "cold"; ++i) {
            fixture.finish("run-call/0", EndCause::error);
            fixture.run(1);
@@ -265,7 +273,7 @@
          fixture.run(10);
        },
        "cold", 1},
-      {"the state service is out as calls come",
+      {"the state service has an outage when a call arrives: the model starts afterwards",
        [](ModelServingFixture& fixture) {
          fixture.submit("run-call", "call");
          fixture.cluster.store.set_outage(true, fixture.cluster.now);
@@ -274,19 +282,19 @@
          fixture.run(6);
        },
        "serving", 1},
-      {"all down while it warms",
+      {"no controller runs for a while as the model warms: one cold start",
        [](ModelServingFixture& fixture) {
-         for (const std::string& m : fixture.machines())
-           fixture.cluster.worker(m).first_phase = TaskPhase::fetching;
+         for (const std::string& machine : fixture.machines())
+           fixture.cluster.worker(machine).first_phase = TaskPhase::fetching;
          fixture.submit("run-call", "call");
          fixture.run(3);
          fixture.cluster.kill_controller(fixture.owner);
          fixture.cluster.now += 8;
          fixture.change_owner();
-         for (const std::string& m : fixture.machines()) {
-           fixture.cluster.worker(m).first_phase = TaskPhase::running;
-           if (fixture.cluster.worker(m).has("run-model/0"))
-             fixture.cluster.worker(m).set_phase("run-model/0", TaskPhase::running);
+         for (const std::string& machine : fixture.machines()) {
+           fixture.cluster.worker(machine).first_phase = TaskPhase::running;
+           if (fixture.cluster.worker(machine).has("run-model/0"))
+             fixture.cluster.worker(machine).set_phase("run-model/0", TaskPhase::running);
          }
          fixture.run(45);
        },
@@ -313,18 +321,17 @@
   EXPECT_GE(fixture.cluster.run_log.starts["run-other/0"], 1);
 }
 
-/// Random histories: calls come and go through all controllers, owners end, responses are lost, machines are
-/// lost, late copies arrive. `OXBOW_HISTORIES` sets how many.
+/// Random histories: calls arrive and finish, owners fail, responses are lost, the state service has outages,
+/// replicas fail, and delayed duplicates of transactions arrive. The environment variable `OXBOW_HISTORIES`
+/// sets the number of histories.
 TEST(ModelAutoscaler, RandomFaultHistories) {
-  const char* wanted = std::getenv("OXBOW_HISTORIES");
-  int histories = wanted == nullptr ? 120 : std::atoi(wanted);
+  const char* history_count = std::getenv("OXBOW_HISTORIES");
+  int histories = history_count == nullptr ? 120 : std::atoi(history_count);
   std::uint64_t epochs = 0;
   for (int seed = 1; seed <= histories && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
-    auto pick = [&random](int position) {
-      return std::uniform_int_distribution<int>(0, position - 1)(random);
-    };
+    auto pick = [&random](int count) { return std::uniform_int_distribution<int>(0, count - 1)(random); };
     ModelServingFixture fixture(chat_settings(4));
     fixture.submit_service_job();
     int calls = 0;
@@ -357,13 +364,13 @@
       }
       fixture.run(0.5 * (1 + pick(12)));
     }
-    // All faults are over: every call is served, and then the model is cold again.
+    // After the faults every call is served, and then the model becomes cold.
     for (int i = 0; i < 60; ++i) {
       fixture.run(2);
-      for (int k = 0; k < calls; ++k) fixture.finish("run-call" + std::to_string(k) + "/0");
+      for (int call = 0; call < calls; ++call) fixture.finish("run-call" + std::to_string(call) + "/0");
     }
-    for (int k = 0; k < calls; ++k)
-      EXPECT_EQ(fixture.cluster.phase("run-call" + std::to_string(k)), "done") << k;
+    for (int call = 0; call < calls; ++call)
+      EXPECT_EQ(fixture.cluster.phase("run-call" + std::to_string(call)), "done") << "call " << call;
     fixture.run(30);
     EXPECT_EQ(fixture.state(), "cold")
         << fixture.cluster.controller(fixture.owner).model_autoscaler->pending_reason("chat");
