--- a/include/oxbowmill/autoscaling/autoscaler.h
+++ b/include/oxbowmill/autoscaling/autoscaler.h
@@ -1,7 +1,8 @@
-// The leader's autoscaler: which machines each partition gets, scale-out requests and returns. A façade: each
-// concern has a class of its own that owns its state (see the headers included here); this one owns those
-// classes, connects them and fixes the order of a cycle. Events and the time go in, effects come out. Not
-// thread-safe and not re-entrant: called from the controller's event loop only.
+// Façade of the leader's autoscaler, which assigns machines to partitions, requests machines from the cloud
+// and returns those that are not needed. Each concern is a class that owns its own state; the façade owns
+// these classes, connects them and fixes the order of the steps of a cycle. It performs no I/O: it takes
+// events and the current time, and produces effects. Not thread-safe and not re-entrant; called from the
+// controller's event loop only.
 #pragma once
 
 #include "oxbowmill/autoscaling/cloud_inventory.h"
@@ -9,35 +10,36 @@
 
 namespace oxbowmill {
 
-/// Assigns machines to partitions; acts only while this controller is the leader.
+/// Decides which machines each partition gets. Acts only while this controller is the leader.
 class Autoscaler {
  public:
-  /// Registers itself with the scheduler for machines without a record. Both arguments outlive it.
+  /// Sets the scheduler's `on_unregistered` callback, which adopts machines that report without having a
+  /// record. Both arguments must outlive this object.
   Autoscaler(ClusterState& state, Scheduler& scheduler);
   Autoscaler(const Autoscaler&) = delete;
   Autoscaler& operator=(const Autoscaler&) = delete;
 
-  /// One cycle, at most every `demand_interval_s`.
+  /// Runs a cycle, unless the last one was less than `demand_interval_s` ago.
   void run_cycle(Clock clock, Effects& out);
-  /// Takes the cloud's answer to a scale-out request. `answered`: it was definite; an empty list then is a
-  /// refusal.
+  /// Handles the result of a scale-out request. `answered`: the cloud gave a definite answer, in which case
+  /// an empty list of machines is a refusal.
   void on_scale_out_result(const std::string& request, bool answered,
                            const std::vector<std::string>& machines, Seconds now);
-  /// Takes the answer to deletions or to releases to a market; unconfirmed ones are sent again.
+  /// Handles the result of deletions, or of releases to a market. Unconfirmed ones are sent again.
   void on_deleted(const std::vector<MachineIndex>& machines, bool confirmed);
-  /// Takes the cloud's complete list of machines.
+  /// Handles the complete list of machines from the cloud.
   void on_listed(const std::vector<ListedMachine>& machines, Seconds now);
-  /// The list that was asked for did not arrive.
+  /// Handles the failure of a request for the list of machines.
   void on_list_failed() { inventory_.on_list_failed(); }
-  /// From now on unmet demand goes to the source first, and the cloud gets what it leaves.
+  /// Sets the source that unmet demand is offered to first; the cloud gets only what the source leaves.
   void set_source(MachineSource* source) { environment_.source = source; }
-  /// From now on scale-outs and returns need its admission.
+  /// Sets the admission control for scale-outs and returns.
   void set_recovery_admission(RecoveryAdmission* recovery_admission) {
     environment_.recovery_admission = recovery_admission;
   }
-  /// Queues a machine that a market delivered for its record.
+  /// Queues a machine that a market delivered for adoption, which writes its record.
   void adopt(const std::string& name, const std::string& address, const MachineRecord& record);
-  /// From now on no partition gets these machines; they are returned once their work has ended.
+  /// Excludes these machines from assignment to partitions; they are returned once their work has ended.
   void drain(const std::vector<MachineIndex>& machines) { returns_.drain(machines); }
 
  private:
--- a/include/oxbowmill/autoscaling/candidate_finder.h
+++ b/include/oxbowmill/autoscaling/candidate_finder.h
@@ -1,5 +1,6 @@
-// Which machines could serve waiting work: those of a partition, idle ones of the pool, others' by
-// preemption. Reads the cluster state and the autoscaler's other parts; owns nothing. Not thread-safe.
+// Finds the machines that could serve waiting work: the partition's own, idle ones of the pool, and those of
+// other partitions whose tasks may be preempted. Reads the cluster state and the autoscaler's other parts;
+// has no state of its own. Not thread-safe.
 #pragma once
 
 #include <vector>
@@ -12,7 +13,7 @@
 /// Lists candidate machines with their free capacity and the time until it is available.
 class CandidateFinder {
  public:
-  /// All outlive this object.
+  /// All arguments must outlive this object.
   CandidateFinder(const Environment& environment, const MachineAdoption& adoption,
                   const ScaleOutRequests& requests, const MachineMoves& moves, const MachineReturns& returns)
       : environment_(environment),
@@ -21,12 +22,13 @@
         moves_(moves),
         returns_(returns) {}
 
-  /// Machines of the idle pool that can be assigned to a partition at once.
+  /// Machines of the idle pool that can be assigned to a partition at once, including booted ones that are
+  /// queued for adoption.
   std::vector<CandidateMachine> idle_candidates(Seconds now) const;
-  /// What the partition has or will get: its machines, those to be handed over to it, adoptions, purchases
-  /// and unanswered scale-outs.
+  /// Machines that the partition has or will get: recorded ones, those to be handed over to it, queued
+  /// adoptions, purchases from markets and unanswered scale-out requests.
   std::vector<CandidateMachine> partition_candidates(PartitionIndex partition, Seconds now) const;
-  /// Machines of other partitions that may be drained for this job.
+  /// Machines of other partitions that may be drained for this job. `guaranteed`: within its guarantee.
   std::vector<CandidateMachine> preemption_candidates(const Job& job, bool guaranteed, Clock clock) const;
 
  private:
@@ -34,14 +36,15 @@
   bool serves_partition(MachineIndex machine_index, PartitionIndex current, PartitionIndex partition,
                         Seconds now) const;
   bool may_be_drained(MachineIndex machine_index) const;
-  /// All tasks on the machine may be preempted for the job. `beyond_guarantee`: their team uses more than its
-  /// own guarantee.
+  /// Whether the machine has tasks and all of them may be preempted for the job. `beyond_guarantee`: their
+  /// team uses more than its own guarantee.
   bool may_preempt_all(const Machine& machine, const Job& job, bool guaranteed, bool beyond_guarantee,
                        Clock clock) const;
-  void add_recorded(PartitionIndex partition, Seconds now, std::vector<CandidateMachine>& candidates) const;
-  /// A machine that nothing runs on yet.
+  void add_recorded_machines(PartitionIndex partition, Seconds now,
+                             std::vector<CandidateMachine>& candidates) const;
+  /// A candidate of this kind with its whole capacity free.
   CandidateMachine empty_candidate(const MachineKind& kind, Seconds available_in_s) const;
-  Seconds boot_wait(TypeIndex type, bool has_booted, Seconds age) const;
+  Seconds remaining_boot_time(TypeIndex type, bool has_booted, Seconds age_s) const;
 
   const Environment& environment_;
   const MachineAdoption& adoption_;
--- a/include/oxbowmill/autoscaling/cloud_inventory.h
+++ b/include/oxbowmill/autoscaling/cloud_inventory.h
@@ -1,5 +1,5 @@
-// The cloud's list of machines, compared with the records. Owns when the list is due, whether one is under
-// way and since when machines without a record have been listed. Not thread-safe.
+// Compares the cloud's list of machines with the machine records. Owns the schedule of the list requests, the
+// state of the one in flight, and since when each machine without a record has been listed. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -17,35 +17,35 @@
   std::string address;  ///< where its agent can be reached; may be empty
   std::string type;     ///< name of its machine type
   std::string zone;     ///< name of its zone
-  bool spot = false;    ///< a spot machine
+  bool spot = false;    ///< whether it is a spot machine
   /// Life cycle as the cloud reports it.
   enum class Phase : std::uint8_t {
     starting,  ///< booting
     running,   ///< up
-    failed,    ///< broken: it never comes back
+    failed,    ///< broken for good
   };
-  Phase phase = Phase::running;  ///< as of the list, which may lag
-  double age_s = 0;              ///< since its creation
+  Phase phase = Phase::running;  ///< as of the list, which may lag behind
+  double age_s = 0;              ///< seconds since its creation
 };
 
 }  // namespace oxbowmill
 
 namespace oxbowmill::autoscaling {
 
-/// Asks for the list at intervals; adopts listed machines without a record, and marks recorded machines as
-/// failed that are listed so or are missing for longer than any list lags.
+/// Requests the list periodically, adopts listed machines that have no record, and marks recorded machines as
+/// failed if they are listed as failed, or are not listed although their records are older than its lag.
 class CloudInventory {
  public:
-  /// All outlive this object.
+  /// All arguments must outlive this object.
   CloudInventory(const Environment& environment, const DeletionTracker& deletions, MachineAdoption& adoption)
       : environment_(environment), deletions_(deletions), adoption_(adoption) {}
 
-  /// Asks for a list when one is due and none is under way.
+  /// Requests a list if one is due and no request is in flight or the one in flight has timed out.
   void request_list(Seconds now, Effects& out);
   /// Compares a complete list with the records.
   void on_listed(const std::vector<ListedMachine>& machines, Seconds now);
-  /// The list under way failed; the next is asked for at its usual time.
-  void on_list_failed() { listing_ = false; }
+  /// Handles the failure of the request in flight. The next one follows at its regular time.
+  void on_list_failed() { is_list_in_flight_ = false; }
 
  private:
   void update_recorded(MachineIndex machine_index, const ListedMachine& listed_machine);
@@ -55,9 +55,9 @@
   const Environment& environment_;
   const DeletionTracker& deletions_;
   MachineAdoption& adoption_;
-  std::map<std::string, Seconds> unrecorded_since_;  // first listed without a record, by name
-  Seconds next_list_at_ = 0, listing_since_ = 0;
-  bool listing_ = false;
+  std::map<std::string, Seconds> unrecorded_since_;  // by machine name; first listed without a record at
+  Seconds next_list_at_ = 0, list_requested_at_ = 0;
+  bool is_list_in_flight_ = false;
 };
 
 }  // namespace oxbowmill::autoscaling
--- a/include/oxbowmill/autoscaling/deletion_tracker.h
+++ b/include/oxbowmill/autoscaling/deletion_tracker.h
@@ -1,5 +1,5 @@
-// Deletions of machines at the cloud and returns to markets. Owns the sets of machines whose deletion is
-// under way and of those whose deletion was confirmed. Not thread-safe.
+// Tracks deletions of machines at the cloud and releases to markets. Owns the set of machines whose deletion
+// is in flight and the set of those whose deletion was confirmed. Not thread-safe.
 #pragma once
 
 #include <set>
@@ -8,23 +8,23 @@
 
 namespace oxbowmill::autoscaling {
 
-/// Remembers how far the deletion of each machine has come.
+/// Remembers which deletions are in flight and which are confirmed.
 class DeletionTracker {
  public:
-  /// A deletion was sent and not yet answered.
-  bool is_under_way(MachineIndex machine_index) const { return under_way_.count(machine_index) != 0; }
-  /// The machine is gone, whatever a late list or report says.
+  /// Whether a deletion was sent and has not been answered.
+  bool is_in_flight(MachineIndex machine_index) const { return in_flight_.count(machine_index) != 0; }
+  /// Whether the deletion was confirmed: the machine is gone, even if a late list or report still names it.
   bool is_confirmed(MachineIndex machine_index) const { return confirmed_.count(machine_index) != 0; }
-  /// Notes that a deletion is being sent.
-  void start(MachineIndex machine_index) { under_way_.insert(machine_index); }
-  /// Notes an answer; without confirmation the deletion is sent again.
+  /// Records that a deletion is being sent.
+  void start(MachineIndex machine_index) { in_flight_.insert(machine_index); }
+  /// Records the end of the call; an unconfirmed deletion may be started again.
   void finish(MachineIndex machine_index, bool confirmed) {
-    under_way_.erase(machine_index);
+    in_flight_.erase(machine_index);
     if (confirmed) confirmed_.insert(machine_index);
   }
 
  private:
-  std::set<MachineIndex> under_way_, confirmed_;
+  std::set<MachineIndex> in_flight_, confirmed_;
 };
 
 }  // namespace oxbowmill::autoscaling
--- a/include/oxbowmill/autoscaling/demand_order.h
+++ b/include/oxbowmill/autoscaling/demand_order.h
@@ -1,4 +1,4 @@
-// The order in which waiting jobs of all partitions are served. Pure, without state.
+// Determines the order in which the waiting jobs of all partitions are served. Stateless.
 #pragma once
 
 #include <set>
@@ -8,17 +8,17 @@
 
 namespace oxbowmill::autoscaling {
 
-/// Capacity where a team has no guarantee to fill or no quota to keep: more than any cluster has.
+/// Amount of a resource that stands for "no limit": more than any cluster has.
 constexpr double unlimited_capacity = 1e12;
 
-/// The waiting jobs of all partitions.
+/// The waiting jobs of all partitions in the order in which they are served.
 struct DemandOrder {
-  std::vector<WaitingJob> jobs;   ///< first to be served first
+  std::vector<WaitingJob> jobs;   ///< in serving order
   std::set<JobIndex> guaranteed;  ///< open jobs within their teams' guarantees
 };
 
-/// Jobs within guarantees first, then those with a critical start deadline, then by priority; otherwise in
-/// the order of their partitions and queues.
+/// Orders jobs within their teams' guarantees first, then those with a critical start deadline, then by
+/// priority. Equals stay in the order of their partitions, and within a partition in the order of its queue.
 DemandOrder demand_order(const ClusterState& state, Clock clock);
 
 }  // namespace oxbowmill::autoscaling
--- a/include/oxbowmill/autoscaling/machine_adoption.h
+++ b/include/oxbowmill/autoscaling/machine_adoption.h
@@ -1,5 +1,5 @@
-// Adoption of machines that have no record yet: delivered by a scale-out or a market, found in the cloud's
-// list, or reporting by themselves. Owns the adoptions that are not durable. Not thread-safe.
+// Adopts machines that have no record yet: those delivered by a scale-out or a market, found in the cloud's
+// list, or reporting to a controller. Owns the adoptions that are not yet durable. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -11,31 +11,31 @@
 
 namespace oxbowmill::autoscaling {
 
-/// A machine that is to get a record.
+/// A machine whose record is to be written.
 struct Adoption {
   MachineRecord record;           ///< the record to be written
-  std::uint64_t agent_epoch = 0;  ///< epoch of the agent that reported; 0: none has reported
+  std::uint64_t agent_epoch = 0;  ///< epoch of the agent that reported; 0 if none has
 };
 
 /// Queues machines without a record and writes their records.
 class MachineAdoption {
  public:
-  /// Both outlive this object.
+  /// Both arguments must outlive this object.
   MachineAdoption(const Environment& environment, const DeletionTracker& deletions)
       : environment_(environment), deletions_(deletions) {}
 
-  /// Queues a machine for its record, unless it has one or is known to be deleted. An entry that is queued
-  /// already keeps its partition; a nonzero `agent_epoch` marks it as booted.
+  /// Queues a machine for adoption, unless it has a record or its deletion is confirmed. A machine that is
+  /// already queued keeps its record. A nonzero `agent_epoch` marks the machine as booted.
   void queue(const std::string& name, const MachineRecord& record, std::uint64_t agent_epoch = 0);
-  /// Queues a machine that reported without having a record; ignored where its type or zone is unknown.
+  /// Queues a machine that reported without having a record. Ignores it if its type or zone is unknown.
   void on_unregistered(const WorkerReport& report);
-  /// Changes the partition that a queued machine is to get; it must be queued.
+  /// Sets the partition of a queued machine. Throws std::out_of_range if the machine is not queued.
   void assign(MachineIndex machine_index, PartitionIndex partition);
-  /// Writes as many records as transactions take in one cycle, booted machines first.
+  /// Writes records in at most one transaction for booted machines and one for booting machines.
   void write(Effects& out);
-  /// Forgets everything queued: this controller is not the leader.
+  /// Discards the queue; called when this controller is not the leader.
   void clear() { queued_.clear(); }
-  /// Machines without a durable record, by name.
+  /// Machines without a durable record, by machine name.
   const std::map<std::string, Adoption>& queued() const { return queued_; }
 
  private:
--- a/include/oxbowmill/autoscaling/machine_kind.h
+++ b/include/oxbowmill/autoscaling/machine_kind.h
@@ -1,4 +1,4 @@
-// The kind (type, zone, spot or on-demand) of what the autoscaler handles. Pure, without state.
+// Derives the kind (type, zone, and spot or on-demand) of machines, requests and candidates. Stateless.
 #pragma once
 
 #include "oxbowmill/scheduling/scheduler.h"
--- a/include/oxbowmill/autoscaling/machine_moves.h
+++ b/include/oxbowmill/autoscaling/machine_moves.h
@@ -1,5 +1,5 @@
-// Moves of machines between partitions. Owns the moves that were decided in the cycle under way; they become
-// durable together at its end. Not thread-safe.
+// Moves machines between partitions. Owns the moves decided in the current cycle, which are written together
+// at its end. Not thread-safe.
 #pragma once
 
 #include <vector>
@@ -10,29 +10,29 @@
 
 /// How a machine changes its partition.
 enum class MoveMode : std::uint8_t {
-  assign,            ///< at once: it is in the idle pool
-  request_handover,  ///< its owner is asked to drain it and to hand it over
+  assign,            ///< at once, from the idle pool
+  request_handover,  ///< its owner is asked to drain it and hand it over
 };
 
-/// Collects a cycle's moves and writes them.
+/// Collects the moves of a cycle and writes them.
 class MachineMoves {
  public:
-  /// Both outlive this object.
+  /// Both arguments must outlive this object.
   MachineMoves(const Environment& environment, MachineAdoption& adoption)
       : environment_(environment), adoption_(adoption) {}
 
-  /// Decides that the machine goes to the target partition. A machine without a record is only assigned: its
-  /// adoption then names the target.
+  /// Adds a move of the machine to the target partition. For a machine without a record, which must be queued
+  /// for adoption, the mode is ignored and its adoption gets the target partition.
   void add(MachineIndex machine_index, PartitionIndex target, MoveMode mode);
-  /// This cycle has already decided a move of the recorded machine.
+  /// Whether this cycle has already added a move of this recorded machine.
   bool contains(MachineIndex machine_index) const;
-  /// Writes this cycle's moves and forgets them.
+  /// Writes the moves of this cycle and clears them.
   void write(Effects& out);
 
  private:
   struct Move {
     MachineIndex machine;
-    MachineRecord record;  // as it is to become
+    MachineRecord record;  // after the move
   };
   void write_batch(std::size_t begin, std::size_t end, Effects& out);
 
--- a/include/oxbowmill/autoscaling/machine_returns.h
+++ b/include/oxbowmill/autoscaling/machine_returns.h
@@ -1,5 +1,6 @@
-// Returns of machines that are no longer needed or usable: mark, delete (or release to their market), remove
-// the record. Owns the set of machines that are being drained. Not thread-safe.
+// Returns machines that are no longer needed or usable in three steps: mark the record, delete the machine at
+// the cloud (or release it to its market), remove the record. Owns the set of machines that are being
+// drained. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -12,38 +13,38 @@
 
 namespace oxbowmill::autoscaling {
 
-/// Decides which machines go, and carries the deletion through.
+/// Decides which machines to return, and takes each through the steps of its deletion.
 class MachineReturns {
  public:
-  /// All outlive this object.
+  /// All arguments must outlive this object.
   MachineReturns(const Environment& environment, DeletionTracker& deletions,
                  const WarmMachines& warm_machines)
       : environment_(environment), deletions_(deletions), warm_machines_(warm_machines) {}
 
-  /// From now on no partition gets these machines; they are returned once their work has ended.
+  /// Excludes these machines from assignment to partitions; they are returned once their work has ended.
   void drain(const std::vector<MachineIndex>& machines) {
     draining_.insert(machines.begin(), machines.end());
   }
-  /// The machine is being drained.
+  /// Whether the machine is being drained.
   bool is_draining(MachineIndex machine_index) const { return draining_.count(machine_index) != 0; }
-  /// Forgets what is being drained: this controller is not the leader.
+  /// Clears the set of machines being drained; called when this controller is not the leader.
   void clear_draining() { draining_.clear(); }
-  /// Asks the owners of machines being drained to stop the work there and to hand them over.
+  /// Asks the owners of machines being drained to stop the tasks there and to hand the machines over.
   void request_handovers(MachineMoves& moves) const;
-  /// One cycle of marks, deletions, releases and removals.
+  /// Runs a cycle of marks, deletions, releases and removals.
   void run_cycle(Seconds now, Effects& out);
 
  private:
-  /// A cycle's decisions.
+  /// Decisions of a cycle.
   struct Plan {
-    std::vector<MachineIndex> to_mark;               // as to be deleted
+    std::vector<MachineIndex> to_mark;               // for deletion
     std::vector<MachineIndex> to_delete;             // at the cloud
     std::vector<MachineIndex> to_release;            // to their market
     std::vector<MachineIndex> to_remove;             // their records
     std::map<MachineKind, double> retained_by_kind;  // idle machines counted against the warm target
   };
   Plan plan_cycle(Seconds now) const;
-  /// The next step for a machine that is marked.
+  /// Plans the next step for a machine that is marked for deletion.
   void plan_marked(MachineIndex machine_index, const Machine& machine, Plan& plan) const;
   bool should_mark(MachineIndex machine_index, const Machine& machine, Plan& plan, Seconds now) const;
   bool is_unusable(MachineIndex machine_index, const Machine& machine, Seconds now) const;
--- a/include/oxbowmill/autoscaling/machine_source.h
+++ b/include/oxbowmill/autoscaling/machine_source.h
@@ -1,5 +1,5 @@
-// Machines from elsewhere than the platform's cloud, as the autoscaler sees them: the interface that markets
-// implement, and what is exchanged over it. Owns no state.
+// Interface through which the autoscaler gets machines from sources other than the platform's cloud. Markets
+// implement it. Also defines the types of its arguments and results. Stateless.
 #pragma once
 
 #include <limits>
@@ -11,34 +11,34 @@
 
 struct Effects;
 
-/// Capacity that a job lacks beyond all machines that are there, booting or requested.
+/// Demand of a job that existing, booting and requested machines cannot serve.
 struct UnmetDemand {
-  JobIndex job;                          ///< the job that waits
+  JobIndex job;                          ///< the waiting job
   PartitionIndex partition;              ///< its partition
   Priority priority = Priority::normal;  ///< its priority
-  bool guaranteed = false;               ///< within its team's guarantee
-  bool spot = false;                     ///< spot machines are allowed
+  bool guaranteed = false;               ///< whether the job is within its team's guarantee
+  bool spot = false;                     ///< whether spot machines are allowed
   std::uint32_t tasks = 0;               ///< tasks without a machine
-  /// By type: how many tasks a machine holds, 0 where the type is not allowed.
+  /// By machine type: how many tasks a machine can run; 0 if the job does not allow the type.
   std::vector<std::uint32_t> tasks_per_machine;
-  ZoneIndex zone;               ///< the only allowed one; invalid: any
+  ZoneIndex zone;               ///< the only allowed zone; any zone if invalid
   Seconds estimated_run_s = 0;  ///< the user's estimate of a task's run time
-  /// Until a machine must be up for the job to meet its deadline; infinite without one.
+  /// Time until a machine must be up for the job to meet its deadline; infinite without a deadline.
   Seconds slack_s = std::numeric_limits<double>::infinity();
-  Seconds waited_s = 0;  ///< since this controller first saw the job
+  Seconds waited_s = 0;  ///< time since this controller first saw the job
 };
 
-/// What the platform's cloud offers at its posted price.
+/// Machines of one kind that the platform's cloud offers at its posted price.
 struct CloudOffer {
   TypeIndex type;                  ///< machine type
   ZoneIndex zone;                  ///< where it boots
-  bool spot = false;               ///< a spot machine
-  double price = 0;                ///< per hour
-  Seconds ready_s = 0;             ///< until a machine is up
+  bool spot = false;               ///< whether it is a spot machine
+  double price = 0;                ///< per machine and hour
+  Seconds ready_s = 0;             ///< time until a machine is up
   std::uint32_t max_machines = 0;  ///< that one request may ask for
 };
 
-/// A source of machines besides the cloud. Called by the leader's autoscaler only.
+/// A source of machines other than the cloud. Called by the leader's autoscaler only.
 class MachineSource {
  public:
   virtual ~MachineSource() = default;
@@ -46,17 +46,18 @@
   struct ExpectedMachines {
     TypeIndex type;              ///< machine type
     ZoneIndex zone;              ///< where they will be
-    bool spot = false;           ///< spot machines
+    bool spot = false;           ///< whether they are spot machines
     std::uint32_t machines = 0;  ///< how many
-    Seconds wait_s = 0;          ///< until they are up
+    Seconds wait_s = 0;          ///< time until they are up
   };
-  /// Machines for this partition that have been bid for and can still be counted on.
+  /// Machines for this partition that have been bid for and can still be relied on.
   virtual std::vector<ExpectedMachines> expected(PartitionIndex partition, Seconds now) const = 0;
-  /// Buys for these demands. Returns, for each of them, for how many tasks the cloud is to be asked.
-  virtual std::vector<std::uint32_t> plan(const std::vector<UnmetDemand>& needs,
-                                          const std::vector<CloudOffer>& cloud, Clock clock,
+  /// Buys machines for these demands. Returns, for each demand, the number of tasks to request machines for
+  /// from the cloud.
+  virtual std::vector<std::uint32_t> plan(const std::vector<UnmetDemand>& demands,
+                                          const std::vector<CloudOffer>& cloud_offers, Clock clock,
                                           Effects& out) = 0;
-  /// Returns machines that are marked for deletion and have nothing on them to their markets.
+  /// Returns machines that are marked for deletion to their markets. Tasks may still be on suspected ones.
   virtual void release(const std::vector<MachineIndex>& machines, Seconds now) = 0;
 };
 
--- a/include/oxbowmill/autoscaling/scale_out_planner.h
+++ b/include/oxbowmill/autoscaling/scale_out_planner.h
@@ -1,5 +1,5 @@
-// Which kind of machine is requested from the cloud for what. Owns nothing: requests are collected in
-// `ScaleOutRequests`. Not thread-safe.
+// Chooses the kind of machine that is requested from the cloud for a demand. Has no state of its own;
+// requests are collected in `ScaleOutRequests`. Not thread-safe.
 #pragma once
 
 #include <vector>
@@ -9,30 +9,30 @@
 
 namespace oxbowmill::autoscaling {
 
-/// Chooses kinds by price, spread over zones and past refusals.
+/// Chooses kinds by price, then by how few candidates their zone has, without those that were lately refused.
 class ScaleOutPlanner {
  public:
-  /// All outlive this object.
+  /// All arguments must outlive this object.
   ScaleOutPlanner(const Environment& environment, ScaleOutRequests& requests, WarmMachines& warm_machines)
       : environment_(environment), requests_(requests), warm_machines_(warm_machines) {}
 
-  /// Requests machines for `tasks` tasks of the job, of the kind that is cheapest per task, and adds them to
-  /// the candidates with the capacity that the tasks leave.
+  /// Requests machines of the kind that is cheapest per task for `tasks` tasks of the job, and adds them to
+  /// the candidates with the capacity that the tasks leave free.
   void request_machines(const Job& job, std::uint32_t tasks, Seconds now,
                         std::vector<CandidateMachine>& candidates);
-  /// Requests machines for the work of suspected ones, beyond the machines that are idle.
+  /// Requests replacements for suspected machines, as far as the idle machines do not suffice.
   void replace_suspected(std::size_t idle_machines, Seconds now);
-  /// What the cloud can be asked for now, for the comparison with markets.
+  /// Kinds of machines that the cloud can be asked for now, to be compared with the offers of markets.
   std::vector<CloudOffer> cloud_offers(Seconds now) const;
-  /// The job shares machines with others' tasks, may use spot machines, and the cloud has not refused them
-  /// lately.
+  /// Whether the job can share machines with other jobs' tasks, may use spot machines, and the cloud has not
+  /// lately refused all kinds of them that the job could use.
   bool is_spot_available_for(const JobSpec& spec, Seconds now) const;
 
  private:
-  /// A kind that could serve a job.
+  /// A kind of machine that could serve a job.
   struct Offer {
-    double price = 0;                  // per hour and task
-    std::size_t machines_in_zone = 0;  // candidates in the zone already, to spread the risk
+    double price = 0;                  // per hour and task of the job
+    std::size_t machines_in_zone = 0;  // candidates already in the zone, to spread over zones
     MachineKind kind;
     int tasks_per_machine = 0;
   };
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -29,11 +29,13 @@
   next_cycle_at_ = clock.now + demand_interval_s;
   requests_.resend_unconfirmed(clock.now, out);
   inventory_.request_list(clock.now, out);
-  // Demand comes before the records, so that a new machine goes straight to the partition that waits for it.
-  std::vector<CandidateMachine> idle = demand_.reconcile(clock, out);
+  // Demand is reconciled before records are written, so that a new machine is recorded in the partition that
+  // waits for it.
+  std::vector<CandidateMachine> idle_machines = demand_.reconcile(clock, out);
   returns_.request_handovers(moves_);
-  if (environment_.may_scale_out(idle_pool, {}, false, clock.now)) warm_machines_.replenish(idle, clock.now);
-  if (environment_.recovery_admission != nullptr) planner_.replace_suspected(idle.size(), clock.now);
+  if (environment_.may_scale_out(idle_pool, {}, false, clock.now))
+    warm_machines_.replenish(idle_machines, clock.now);
+  if (environment_.recovery_admission != nullptr) planner_.replace_suspected(idle_machines.size(), clock.now);
   requests_.submit(out);
   adoption_.write(out);
   moves_.write(out);
@@ -65,8 +67,8 @@
   for (MachineIndex machine_index : machines) {
     deletions_.finish(machine_index, confirmed);
     if (!confirmed) continue;
-    // The freed capacity can be requested again, so an earlier refusal says nothing any more. A cluster at
-    // the cloud's limit that loses many machines would otherwise wait out the back-off without them.
+    // Ends the kind's back-off, because the freed capacity can be requested again. Otherwise a cluster at the
+    // cloud's limit that loses many machines could not replace them before the back-off ends.
     const MachineRecord& record = environment_.state.machine(machine_index).record;
     if (record.mark == MachineMark::deleting && record.type.valid())
       requests_.clear_refusal(autoscaling::kind_of(record));
--- a/src/autoscaling/cloud_inventory.cpp
+++ b/src/autoscaling/cloud_inventory.cpp
@@ -3,23 +3,23 @@
 namespace oxbowmill::autoscaling {
 
 namespace {
-constexpr Seconds list_timeout_s = 30;  // a list that has not arrived by then is asked for again
-// In lags of the cloud's list:
-constexpr double adopt_after_lags = 3;    // until a listed machine without a record is adopted
-constexpr double missing_after_lags = 6;  // until a recorded machine that is not listed counts as failed
+constexpr Seconds list_timeout_s = 30;  // after which an unanswered list request is repeated
+// In multiples of the lag of the cloud's list.
+constexpr double adopt_after_lags = 3;    // time until a listed machine without a record is adopted
+constexpr double missing_after_lags = 6;  // age of a record from which an unlisted machine counts as failed
 }  // namespace
 
 void CloudInventory::request_list(Seconds now, Effects& out) {
-  if (now < next_list_at_ || (listing_ && now - listing_since_ <= list_timeout_s)) return;
+  if (now < next_list_at_ || (is_list_in_flight_ && now - list_requested_at_ <= list_timeout_s)) return;
   next_list_at_ = now + environment_.state.settings.operator_settings.cloud_list_interval_s;
-  listing_ = true;
-  listing_since_ = now;
+  is_list_in_flight_ = true;
+  list_requested_at_ = now;
   out.list_machines = true;
 }
 
 void CloudInventory::on_listed(const std::vector<ListedMachine>& machines, Seconds now) {
   ClusterState& state = environment_.state;
-  listing_ = false;
+  is_list_in_flight_ = false;
   std::map<std::string, Seconds> unrecorded;
   std::set<MachineIndex> listed;
   for (const ListedMachine& listed_machine : machines) {
@@ -30,10 +30,10 @@
       continue;
     }
     if (deletions_.is_confirmed(machine_index)) continue;
-    // Without a record: delivered by a scale-out whose answer was lost, or there from the start. It may also
-    // be a machine that an earlier leader deleted and a late list still shows: wait until that is excluded.
-    auto seen = unrecorded_since_.find(listed_machine.name);
-    Seconds since = seen == unrecorded_since_.end() ? now : seen->second;
+    // The machine was delivered by a scale-out whose answer was lost, existed before the controllers did, or
+    // was deleted by an earlier leader and is still on a late list. The wait excludes the last case.
+    auto previous = unrecorded_since_.find(listed_machine.name);
+    Seconds since = previous == unrecorded_since_.end() ? now : previous->second;
     unrecorded[listed_machine.name] = since;
     if (now - since >= adopt_after_lags * state.settings.cloud_list_lag_s) adopt_unrecorded(listed_machine);
   }
@@ -61,8 +61,8 @@
 
 void CloudInventory::mark_missing_as_failed(const std::set<MachineIndex>& listed, Seconds now) {
   ClusterState& state = environment_.state;
-  // The cloud may have taken the machine. Its list does not prove that: the machine is deleted, and the
-  // answer to the deletion is the proof.
+  // A missing machine may have been taken back by the cloud, but the list does not prove that it is gone. It
+  // is marked as failed and therefore deleted, and the answer to the deletion is the proof.
   for (std::uint32_t i = 0; i < state.machine_count(); ++i) {
     MachineIndex machine_index{i};
     const Machine& machine = state.machine(machine_index);
--- a/src/autoscaling/demand_order.cpp
+++ b/src/autoscaling/demand_order.cpp
@@ -18,19 +18,19 @@
   return jobs;
 }
 
-/// A job is within its team's guarantee when it fits into it together with the team's earlier unfinished
-/// jobs.
+/// Adds the partition's jobs that are within the team's guarantee: those that fit into it together with all
+/// the team's unfinished jobs submitted before them.
 void add_guaranteed_jobs(const ClusterState& state, PartitionIndex partition, std::set<JobIndex>& jobs) {
-  Resources left = state.settings.teams[partition.value].guaranteed;
-  if (left.cpus <= 0 && left.gpus <= 0) return;
-  if (left.cpus <= 0) left.cpus = unlimited_capacity;
-  if (left.gpus <= 0) left.gpus = unlimited_capacity;
-  left.memory_gb = unlimited_capacity;
+  Resources remaining_guarantee = state.settings.teams[partition.value].guaranteed;
+  if (remaining_guarantee.cpus <= 0 && remaining_guarantee.gpus <= 0) return;
+  if (remaining_guarantee.cpus <= 0) remaining_guarantee.cpus = unlimited_capacity;
+  if (remaining_guarantee.gpus <= 0) remaining_guarantee.gpus = unlimited_capacity;
+  remaining_guarantee.memory_gb = unlimited_capacity;
   for (JobIndex job_index : open_jobs_by_age(state, partition)) {
     const JobSpec& spec = state.job(job_index).spec;
     Resources needed = static_cast<double>(spec.tasks) * spec.task_resources;
-    if (!fits(needed, left)) break;
-    left -= needed;
+    if (!fits(needed, remaining_guarantee)) break;
+    remaining_guarantee -= needed;
     jobs.insert(job_index);
   }
 }
--- a/src/autoscaling/demand_reconciler.cpp
+++ b/src/autoscaling/demand_reconciler.cpp
@@ -8,9 +8,9 @@
 namespace oxbowmill::autoscaling {
 
 namespace {
-constexpr Seconds placement_delay_s = 1;  // from a job's acceptance until its owner's first placement shows
-constexpr Seconds freed_window_s = 30;    // over which the rate of freed capacity is averaged
-constexpr std::size_t max_tasks_per_job = 2000;  // that one cycle serves
+constexpr Seconds placement_delay_s = 1;  // from a job's acceptance until its first placement is visible here
+constexpr Seconds freed_rate_window_s = 30;      // time constant of the average rate of freed capacity
+constexpr std::size_t max_tasks_per_job = 2000;  // that a cycle serves
 }  // namespace
 
 std::vector<CandidateMachine> DemandReconciler::reconcile(Clock clock, Effects& out) {
@@ -21,19 +21,21 @@
     if (!demand) continue;
     assign_machines(*demand, cycle);
     if (demand->tasks.empty()) continue;
-    // Capacity that tasks free soon is cheaper than a machine that has yet to boot.
-    cycle.freed_soon -= static_cast<double>(demand->tasks.size()) * demand->job->machine_fraction;
+    // Waiting for capacity that tasks will free soon is cheaper than booting a machine.
+    cycle.expected_freed_machines -=
+        static_cast<double>(demand->tasks.size()) * demand->job->machine_fraction;
     if (should_scale_out(*demand, cycle)) scale_out(*demand, cycle);
   }
   if (environment_.source != nullptr) serve_unmet_demand(cycle, out);
-  return std::move(cycle.idle);
+  return std::move(cycle.idle_machines);
 }
 
 void DemandReconciler::update_freed_rate() {
-  double keep = std::exp(-demand_interval_s / freed_window_s);
-  double freed = environment_.state.freed_machines();
-  freed_rate_ = keep * freed_rate_ + (1 - keep) * (freed - freed_observed_) / demand_interval_s;
-  freed_observed_ = freed;
+  double decay = std::exp(-demand_interval_s / freed_rate_window_s);
+  double freed_machines = environment_.state.freed_machines();
+  freed_machines_per_s_ = decay * freed_machines_per_s_ +
+                          (1 - decay) * (freed_machines - last_freed_machines_) / demand_interval_s;
+  last_freed_machines_ = freed_machines;
 }
 
 DemandReconciler::Cycle DemandReconciler::begin_cycle(Clock clock) {
@@ -41,8 +43,8 @@
   update_freed_rate();
   Cycle cycle;
   cycle.clock = clock;
-  cycle.freed_soon = freed_rate_ * state.settings.operator_settings.scale_out_delay_s;
-  cycle.idle = candidates_.idle_candidates(clock.now);
+  cycle.expected_freed_machines = freed_machines_per_s_ * state.settings.operator_settings.scale_out_delay_s;
+  cycle.idle_machines = candidates_.idle_candidates(clock.now);
   cycle.partitions.resize(state.partition_count());
   for (std::uint32_t i = 1; i < state.partition_count(); ++i) {
     PartitionIndex index{i};
@@ -50,9 +52,9 @@
     partition.candidates = candidates_.partition_candidates(index, clock.now);
     const Resources& limit = state.settings.teams[i].limit;
     const Resources& usage = state.team_usage(index);
-    partition.quota_left = {limit.cpus > 0 ? limit.cpus - usage.cpus : unlimited_capacity,
-                            limit.gpus > 0 ? limit.gpus - usage.gpus : unlimited_capacity,
-                            unlimited_capacity};
+    partition.remaining_quota = {limit.cpus > 0 ? limit.cpus - usage.cpus : unlimited_capacity,
+                                 limit.gpus > 0 ? limit.gpus - usage.gpus : unlimited_capacity,
+                                 unlimited_capacity};
     partition.has_whole_machine_gangs = environment_.scheduler.needs_whole_machines(index);
   }
   return cycle;
@@ -64,21 +66,21 @@
   const OperatorSettings& settings = state.settings.operator_settings;
   Job& job = state.job(waiting.job);
   PartitionDemand& partition = cycle.partitions[job.spec.partition.value];
-  auto most = std::min<std::size_t>(
+  auto max_tasks = std::min<std::size_t>(
       {state.placeable_tasks(waiting.job),
-       static_cast<std::size_t>(how_many_fit(job.spec.task_resources, partition.quota_left)),
+       static_cast<std::size_t>(how_many_fit(job.spec.task_resources, partition.remaining_quota)),
        max_tasks_per_job});
-  if (job.spec.shape == JobShape::gang && most < job.pending_count()) return std::nullopt;
+  if (job.spec.shape == JobShape::gang && max_tasks < job.pending_count()) return std::nullopt;
   JobDemand demand;
-  demand.tasks = state.pending_tasks(job, most);
+  demand.tasks = state.pending_tasks(job, max_tasks);
   if (demand.tasks.empty()) return std::nullopt;
-  partition.quota_left -= static_cast<double>(demand.tasks.size()) * job.spec.task_resources;
+  partition.remaining_quota -= static_cast<double>(demand.tasks.size()) * job.spec.task_resources;
   demand.index = waiting.job;
   demand.job = &job;
   demand.guaranteed = guaranteed;
-  demand.deadline_pressing = waiting.start_deadline != StartDeadline::relaxed;
+  demand.is_start_deadline_near = waiting.start_deadline != StartDeadline::relaxed;
   demand.may_preempt = settings.preempt && (job.spec.priority >= Priority::high || guaranteed);
-  demand.avoid_whole_machines = !demand.deadline_pressing && partition.has_whole_machine_gangs &&
+  demand.avoid_whole_machines = !demand.is_start_deadline_near && partition.has_whole_machine_gangs &&
                                 planner_.is_spot_available_for(job.spec, cycle.clock.now);
   demand.tasks_by_zone = tasks_by_zone(state, job);
   return demand;
@@ -87,16 +89,16 @@
 void DemandReconciler::assign_machines(JobDemand& demand, Cycle& cycle) {
   PartitionDemand& partition = cycle.partitions[demand.job->spec.partition.value];
   std::size_t wanted = demand.tasks.size();
-  // Another job has asked for as much or less in vain in this very cycle.
-  if (!demand.guaranteed &&
-      partition.failed.covers(*demand.job, wanted, demand.avoid_whole_machines, demand.may_preempt))
+  // In this cycle, another job with the same or smaller demand has found no capacity.
+  if (!demand.guaranteed && partition.failed_selections.covers(
+                                *demand.job, wanted, demand.avoid_whole_machines, demand.may_preempt))
     return;
-  // Machines that are up come before those that still boot. That includes idle ones of the pool, which would
-  // otherwise be returned while the job waits.
-  std::vector<CandidateMachine> up, booting;
+  // Machines that are available now are used before those that still boot. This includes idle machines of the
+  // pool, which would otherwise be returned while the job waits.
+  std::vector<CandidateMachine> available, booting;
   for (const CandidateMachine& candidate : partition.candidates)
-    (candidate.available_in_s > 0 ? booting : up).push_back(candidate);
-  partition.candidates = std::move(up);
+    (candidate.available_in_s > 0 ? booting : available).push_back(candidate);
+  partition.candidates = std::move(available);
   select_with_moves(demand,
                     demand.may_preempt
                         ? candidates_.preemption_candidates(*demand.job, demand.guaranteed, cycle.clock)
@@ -106,7 +108,7 @@
   if (!demand.tasks.empty()) select(demand, partition.candidates);
   if (!demand.tasks.empty()) select_with_moves(demand, {}, cycle);
   if (!demand.guaranteed && demand.tasks.size() == wanted)
-    partition.failed.add(*demand.job, wanted, demand.avoid_whole_machines, demand.may_preempt);
+    partition.failed_selections.add(*demand.job, wanted, demand.avoid_whole_machines, demand.may_preempt);
 }
 
 std::vector<TaskAssignment> DemandReconciler::select(JobDemand& demand,
@@ -132,55 +134,59 @@
                                          Cycle& cycle) {
   PartitionIndex partition_index = demand.job->spec.partition;
   PartitionDemand& partition = cycle.partitions[partition_index.value];
-  // All together, because a gang has to fit as a whole: own machines, then idle ones, then preemptible ones.
+  // Combines own, idle and preemptible machines, in this order, because a gang has to fit as a whole.
   std::size_t first_idle = partition.candidates.size();
-  std::size_t first_preemptible = first_idle + cycle.idle.size();
-  std::vector<CandidateMachine> all = partition.candidates;
-  all.insert(all.end(), cycle.idle.begin(), cycle.idle.end());
-  all.insert(all.end(), preemptible.begin(), preemptible.end());
+  std::size_t first_preemptible = first_idle + cycle.idle_machines.size();
+  std::vector<CandidateMachine> all_candidates = partition.candidates;
+  all_candidates.insert(all_candidates.end(), cycle.idle_machines.begin(), cycle.idle_machines.end());
+  all_candidates.insert(all_candidates.end(), preemptible.begin(), preemptible.end());
   std::set<std::size_t> moved;
-  for (const TaskAssignment& assignment : select(demand, all)) {
+  for (const TaskAssignment& assignment : select(demand, all_candidates)) {
     if (assignment.candidate >= first_idle) moved.insert(assignment.candidate);
   }
   std::vector<CandidateMachine> still_idle;
-  partition.candidates.assign(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(first_idle));
-  for (std::size_t i = first_idle; i < all.size(); ++i) {
+  partition.candidates.assign(all_candidates.begin(),
+                              all_candidates.begin() + static_cast<std::ptrdiff_t>(first_idle));
+  for (std::size_t i = first_idle; i < all_candidates.size(); ++i) {
     bool was_idle = i < first_preemptible;
     if (moved.count(i) != 0) {
-      all[i].acquisition_cost = 0;
-      partition.candidates.push_back(all[i]);
-      moves_.add(all[i].machine, partition_index, was_idle ? MoveMode::assign : MoveMode::request_handover);
-      if (was_idle) warm_machines_.note_turnover(*demand.job, all[i], 1, cycle.clock.now);
+      all_candidates[i].acquisition_cost = 0;
+      partition.candidates.push_back(all_candidates[i]);
+      moves_.add(all_candidates[i].machine, partition_index,
+                 was_idle ? MoveMode::assign : MoveMode::request_handover);
+      if (was_idle)
+        warm_machines_.record_gang_acquisition(*demand.job, all_candidates[i], 1, cycle.clock.now);
     } else if (was_idle) {
-      still_idle.push_back(all[i]);
+      still_idle.push_back(all_candidates[i]);
     }
   }
-  cycle.idle = std::move(still_idle);
-  // What the job leaves of these machines is capacity for others.
-  if (!moved.empty()) partition.failed = {};
+  cycle.idle_machines = std::move(still_idle);
+  // Other jobs can use the capacity that this job leaves on the moved machines, so they are tried again.
+  if (!moved.empty()) partition.failed_selections = {};
 }
 
 bool DemandReconciler::should_scale_out(const JobDemand& demand, const Cycle& cycle) const {
   const Job& job = *demand.job;
   Seconds now = cycle.clock.now;
   Seconds waited_s = now - job.first_seen;
-  // Its owner may be placing it at this moment, and a placement that is being written does not show yet.
+  // The job's owner may be placing it now, and a placement that is being written is not visible yet.
   if (job.writing || waited_s < placement_delay_s) return false;
-  bool waited_enough = waited_s >= environment_.state.settings.operator_settings.scale_out_delay_s;
-  if (!waited_enough && cycle.freed_soon >= 0 && !demand.avoid_whole_machines && !demand.deadline_pressing)
+  bool has_waited_enough = waited_s >= environment_.state.settings.operator_settings.scale_out_delay_s;
+  if (!has_waited_enough && cycle.expected_freed_machines >= 0 && !demand.avoid_whole_machines &&
+      !demand.is_start_deadline_near)
     return false;
   return environment_.may_scale_out(job.spec.partition, demand.index, demand.guaranteed, now);
 }
 
 void DemandReconciler::scale_out(const JobDemand& demand, Cycle& cycle) {
   if (environment_.source != nullptr) {
-    cycle.unmet.push_back(unmet_demand(demand, cycle.clock));
+    cycle.unmet_demands.push_back(unmet_demand(demand, cycle.clock));
     return;
   }
   PartitionDemand& partition = cycle.partitions[demand.job->spec.partition.value];
   planner_.request_machines(*demand.job, static_cast<std::uint32_t>(demand.tasks.size()), cycle.clock.now,
                             partition.candidates);
-  partition.failed = {};
+  partition.failed_selections = {};
 }
 
 UnmetDemand DemandReconciler::unmet_demand(const JobDemand& demand, Clock clock) const {
@@ -197,8 +203,8 @@
   unmet.estimated_run_s = spec.estimate_s;
   unmet.waited_s = clock.now - demand.job->first_seen;
   if (spec.deadline_s >= 0) {
-    double fetch = state.catalog.empty() ? 0 : fetch_time(spec, state.catalog.front());
-    unmet.slack_s = spec.submitted_at + spec.deadline_s - spec.estimate_s - fetch - clock.wall;
+    double fetch_s = state.catalog.empty() ? 0 : fetch_time(spec, state.catalog.front());
+    unmet.slack_s = spec.submitted_at + spec.deadline_s - spec.estimate_s - fetch_s - clock.wall;
   }
   for (std::uint32_t i = 0; i < state.catalog.size(); ++i) {
     unmet.tasks_per_machine.push_back(
@@ -210,12 +216,13 @@
 }
 
 void DemandReconciler::serve_unmet_demand(Cycle& cycle, Effects& out) {
-  std::vector<std::uint32_t> tasks_for_cloud =
-      environment_.source->plan(cycle.unmet, planner_.cloud_offers(cycle.clock.now), cycle.clock, out);
-  for (std::size_t i = 0; i < cycle.unmet.size(); ++i) {
+  std::vector<std::uint32_t> tasks_for_cloud = environment_.source->plan(
+      cycle.unmet_demands, planner_.cloud_offers(cycle.clock.now), cycle.clock, out);
+  for (std::size_t i = 0; i < cycle.unmet_demands.size(); ++i) {
     if (tasks_for_cloud[i] > 0)
-      planner_.request_machines(environment_.state.job(cycle.unmet[i].job), tasks_for_cloud[i],
-                                cycle.clock.now, cycle.partitions[cycle.unmet[i].partition.value].candidates);
+      planner_.request_machines(environment_.state.job(cycle.unmet_demands[i].job), tasks_for_cloud[i],
+                                cycle.clock.now,
+                                cycle.partitions[cycle.unmet_demands[i].partition.value].candidates);
   }
 }
 
--- a/src/autoscaling/machine_adoption.cpp
+++ b/src/autoscaling/machine_adoption.cpp
@@ -6,7 +6,7 @@
 
 void MachineAdoption::queue(const std::string& name, const MachineRecord& record, std::uint64_t agent_epoch) {
   MachineIndex machine_index = environment_.state.intern_machine(name);
-  // A late list or report may still name a machine that is gone.
+  // A late list or report may still name a deleted machine.
   if (deletions_.is_confirmed(machine_index) || environment_.state.machine(machine_index).revision != 0)
     return;
   Adoption& adoption = queued_.try_emplace(name, Adoption{record, 0}).first->second;
@@ -23,8 +23,8 @@
   record.zone = state.names.zones.find(report.zone);
   record.spot = report.spot;
   record.has_booted = true;
-  // Machines of a market are named "market.machine". Also one that was delivered without a known bid gets a
-  // record: it is used, or released to its market.
+  // Machines of a market are named "market.machine". One that was delivered without a known bid gets a record
+  // too, so that it is used or released to its market.
   if (std::size_t dot = report.machine.find('.'); dot != std::string::npos)
     record.market = state.names.markets.find(report.machine.substr(0, dot));
   if (!record.type.valid() || !record.zone.valid()) return;
@@ -37,7 +37,7 @@
 }
 
 void MachineAdoption::write(Effects& out) {
-  // Booted machines can take work at once; records of those that still boot are not urgent.
+  // Booted machines can run tasks at once; the records of those that still boot are not urgent.
   write(BootState::booted, out);
   write(BootState::booting, out);
 }
--- a/src/autoscaling/machine_returns.cpp
+++ b/src/autoscaling/machine_returns.cpp
@@ -8,7 +8,7 @@
 namespace oxbowmill::autoscaling {
 
 namespace {
-constexpr std::size_t max_deletions_per_request = 100;  // the cloud's limit
+constexpr std::size_t max_deletions_per_request = 100;  // limit of the cloud
 }  // namespace
 
 void MachineReturns::request_handovers(MachineMoves& moves) const {
@@ -53,15 +53,16 @@
 }
 
 void MachineReturns::plan_marked(MachineIndex machine_index, const Machine& machine, Plan& plan) const {
-  bool of_market = machine.record.market.valid();
+  bool is_market_machine = machine.record.market.valid();
   if (deletions_.is_confirmed(machine_index)) {
-    // A market's confirmation proves nothing about what runs there. Removing the record would free the tasks'
-    // placements, so it stays until reports, a later agent epoch or the lease have proved the machine empty.
-    if (!of_market || machine.placed_tasks.empty()) plan.to_remove.push_back(machine_index);
-  } else if (of_market) {
-    if (environment_.source != nullptr && !deletions_.is_under_way(machine_index))
+    // A market's confirmation does not prove that the machine's tasks have ended, and removing the record
+    // would free their placements. The record therefore stays until reports, a later agent epoch or the
+    // expiry of the lease has proved the machine empty.
+    if (!is_market_machine || machine.placed_tasks.empty()) plan.to_remove.push_back(machine_index);
+  } else if (is_market_machine) {
+    if (environment_.source != nullptr && !deletions_.is_in_flight(machine_index))
       plan.to_release.push_back(machine_index);
-  } else if (!deletions_.is_under_way(machine_index) && plan.to_delete.size() < max_deletions_per_request) {
+  } else if (!deletions_.is_in_flight(machine_index) && plan.to_delete.size() < max_deletions_per_request) {
     plan.to_delete.push_back(machine_index);
   }
 }
@@ -69,15 +70,15 @@
 bool MachineReturns::should_mark(MachineIndex machine_index, const Machine& machine, Plan& plan,
                                  Seconds now) const {
   if (machine.record.partition != idle_pool || !machine.placed_tasks.empty()) return machine.reported_failed;
-  bool surplus = is_past_retention(machine, now);
-  // Every machine past its retention counts against the warm target, also one that goes for another reason.
-  if (surplus) {
+  bool is_surplus = is_past_retention(machine, now);
+  // Every machine past its retention counts towards the warm target, even if returned for another reason.
+  if (is_surplus) {
     MachineKind kind = kind_of(machine.record);
-    surplus = plan.retained_by_kind[kind]++ >= warm_machines_.target(kind);
+    is_surplus = plan.retained_by_kind[kind]++ >= warm_machines_.target(kind);
   }
   if (machine.reported_failed || is_unusable(machine_index, machine, now)) return true;
-  if (!surplus || plan.to_mark.size() >= environment_.state.settings.max_transaction_ops) return false;
-  // Asked last: reconciliation takes every machine that it admits from its budget.
+  if (!is_surplus || plan.to_mark.size() >= environment_.state.settings.max_transaction_ops) return false;
+  // This check comes last, because reconciliation charges every machine that it admits to its budget.
   RecoveryAdmission* recovery_admission = environment_.recovery_admission;
   return recovery_admission == nullptr || recovery_admission->may_return(machine_index, now);
 }
@@ -102,7 +103,7 @@
 }
 
 void MachineReturns::write_marks(const std::vector<MachineIndex>& machines, Effects& out) {
-  // The mark is durable before the deletion is sent, so that no later owner uses the machine.
+  // Deletions are sent only for durable marks, so that no later owner uses a machine that is being deleted.
   MachineTransaction transaction;
   transaction.guard_leadership(environment_.scheduler);
   for (MachineIndex machine_index : machines) {
--- a/src/autoscaling/scale_out_planner.cpp
+++ b/src/autoscaling/scale_out_planner.cpp
@@ -77,7 +77,7 @@
   std::vector<Offer> offers = offers_for(spec, tasks, now, candidates);
   if (offers.empty()) return;
   const Offer& offer = offers.front();
-  // A more expensive kind is not taken only because a request for the cheapest is under way.
+  // While a request for the cheapest kind is unanswered, no more expensive kind is requested in its place.
   if (requests_.is_requested(offer.kind)) return;
   auto tasks_per_machine = static_cast<std::uint32_t>(offer.tasks_per_machine);
   std::uint32_t count =
@@ -90,22 +90,22 @@
     candidates.push_back(
         {MachineIndex{}, offer.kind.type, offer.kind.zone, offer.kind.spot, type.boot_s, free_capacity});
   }
-  if (count > 0) warm_machines_.note_turnover(job, candidates.back(), count, now);
+  if (count > 0) warm_machines_.record_gang_acquisition(job, candidates.back(), count, now);
 }
 
 void ScaleOutPlanner::replace_suspected(std::size_t idle_machines, Seconds now) {
   RecoveryAdmission& recovery_admission = *environment_.recovery_admission;
   for (const Replacement& replacement : recovery_admission.replacements(now)) {
-    if (idle_machines > 0) {  // an idle machine can take over
+    if (idle_machines > 0) {  // an idle machine can replace this one
       --idle_machines;
       continue;
     }
-    // Of the suspect's kind where the cloud has it, else of its type in another zone: losses in one zone must
-    // not leave its work without machines because that zone has none left.
-    const MachineKind& lost = replacement.kind;
-    std::vector<MachineKind> kinds = {lost};
-    for (ZoneIndex zone : environment_.state.catalog.at(lost.type.value).zones)
-      kinds.push_back({lost.type, zone, lost.spot});
+    // Prefers the wanted kind and falls back to the same type in another zone, because the zone that lost
+    // machines may have no capacity left to replace them.
+    const MachineKind& wanted_kind = replacement.kind;
+    std::vector<MachineKind> kinds = {wanted_kind};
+    for (ZoneIndex zone : environment_.state.catalog.at(wanted_kind.type.value).zones)
+      kinds.push_back({wanted_kind.type, zone, wanted_kind.spot});
     auto kind = std::find_if(kinds.begin(), kinds.end(), [&](const MachineKind& candidate) {
       return !requests_.is_refused(candidate, now) && !requests_.is_requested(candidate) &&
              !environment_.scheduler.is_unreachable(candidate.zone, now) &&
--- a/src/autoscaling/scale_out_requests.cpp
+++ b/src/autoscaling/scale_out_requests.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 constexpr Seconds retry_unconfirmed_after_s = 3;
-constexpr int max_consecutive_refusals = 3;  // each doubles the back-off; further ones do not
+constexpr int max_consecutive_refusals = 3;  // further ones no longer double the back-off
 }  // namespace
 
 bool ScaleOutRequests::is_refused(const MachineKind& kind, Seconds now) const {
@@ -24,15 +24,18 @@
 }
 
 std::uint32_t ScaleOutRequests::remaining_in_request(const MachineKind& kind) const {
-  auto same = std::find_if(new_requests_.begin(), new_requests_.end(),
-                           [&kind](const ScaleOutRequest& request) { return kind_of(request) == kind; });
-  return same == new_requests_.end() ? max_machines_per_request : max_machines_per_request - same->count;
+  auto matching_request =
+      std::find_if(new_requests_.begin(), new_requests_.end(),
+                   [&kind](const ScaleOutRequest& request) { return kind_of(request) == kind; });
+  return matching_request == new_requests_.end() ? max_machines_per_request
+                                                 : max_machines_per_request - matching_request->count;
 }
 
 ScaleOutRequest& ScaleOutRequests::new_request_for(const MachineKind& kind) {
-  auto same = std::find_if(new_requests_.begin(), new_requests_.end(),
-                           [&kind](const ScaleOutRequest& request) { return kind_of(request) == kind; });
-  if (same != new_requests_.end()) return *same;
+  auto matching_request =
+      std::find_if(new_requests_.begin(), new_requests_.end(),
+                   [&kind](const ScaleOutRequest& request) { return kind_of(request) == kind; });
+  if (matching_request != new_requests_.end()) return *matching_request;
   new_requests_.push_back({"", kind.type, kind.zone, kind.spot, 0, {}});
   return new_requests_.back();
 }
@@ -48,7 +51,7 @@
 void ScaleOutRequests::submit(Effects& out) {
   const ClusterState& state = environment_.state;
   for (ScaleOutRequest& request : new_requests_) {
-    // The revision of the leader's ownership keeps names of successive leaders apart.
+    // The revision of the leader's ownership makes the IDs of successive leaders different.
     request.request_id = state.settings.controller_name + "-" +
                          std::to_string(state.ownership(idle_pool).revision) + "-" +
                          std::to_string(++request_count_);
@@ -73,14 +76,14 @@
   if (it == pending_.end()) return std::nullopt;
   PendingRequest& pending = it->second;
   if (!answered) {
-    // In doubt: sent again under the same name until it is answered, it is fulfilled at most once.
+    // The request may have been fulfilled. Sent again under the same ID, it is fulfilled at most once.
     pending.state = ScaleOutState::unconfirmed;
     pending.retry_at = now + retry_unconfirmed_after_s;
     return std::nullopt;
   }
   Refusal& refusal = refusals_[kind_of(pending.request)];
   if (granted < pending.request.count) {
-    // A cloud without capacity that is asked again and again would use up the calls for everything else.
+    // Without a back-off, repeated requests for missing capacity would use up the limit on calls.
     refusal.consecutive = granted == 0 ? std::min(refusal.consecutive + 1, max_consecutive_refusals) : 1;
     refusal.until = now + environment_.state.settings.operator_settings.refusal_backoff_s *
                               (1 << (refusal.consecutive - 1));
