--- a/include/oxbowmill/service/admission.h
+++ b/include/oxbowmill/service/admission.h
@@ -1,5 +1,5 @@
-// Whether a submission is admissible by itself, and the transactions by which a job is accepted and
-// withdrawn. Pure, except for FirstAttempts, which owns when users first submitted their jobs.
+// Checks whether a submission is admissible, and builds the transactions that accept and withdraw jobs. The
+// functions are stateless; FirstAttempts owns the times at which users first submitted their jobs.
 #pragma once
 
 #include <deque>
@@ -9,41 +9,43 @@
 
 namespace oxbowmill::service {
 
-/// The outcome of judging a submission.
+/// The result of checking a submission.
 struct Admission {
-  JobSpec spec;                              ///< as far as it could be read
-  wire::Json record;                         ///< the job's record as it is to be stored; null if rejected
-  std::optional<wire::Rejection> rejection;  ///< nothing: admissible
-  /// The body alone is at fault, on any controller and at any time. Any other rejection rests on what this
-  /// controller knows now (the catalog, the time of day in the record), so that a repeat of an accepted job
-  /// may get one.
+  JobSpec spec;                              ///< the fields that could be read
+  wire::Json record;                         ///< the job's record to be stored; valid if not rejected
+  std::optional<wire::Rejection> rejection;  ///< why it is not admissible; empty if it is
+  /// Whether every controller rejects this body at any time, because the body itself is invalid. Any other
+  /// rejection depends on what this controller knows now (the catalog, the time of day in the record), so a
+  /// repeated submission of an accepted job may get one.
   bool is_permanent = false;
 };
 
-/// When users first tried to submit jobs that nobody could accept yet: waiting time and deadline count from
-/// there. (Counted from the acceptance, after an outage of a minute, a job seemed a minute younger than it
-/// was.) All times are times of day in seconds.
+/// Remembers when users first tried to submit jobs, because waiting times and deadlines count from the first
+/// attempt. Counted from the acceptance, a job submitted during an outage of a minute would seem a minute
+/// younger than it is. All times are wall-clock times in seconds.
 class FirstAttempts {
  public:
-  /// Notes an attempt at this time; returns when the first one for the job came here. A body without a valid
-  /// id counts as a first attempt.
-  double record_attempt(const wire::Json& body, double wall);
+  /// Records an attempt and returns the time of the first one for the job on this controller. A body without
+  /// a valid job ID always counts as a first attempt.
+  double record_attempt(const wire::Json& body, double wall_time_s);
 
  private:
-  void expire(double wall);
+  void expire(double wall_time_s);
   std::unordered_map<std::string, double> first_attempt_times_;
   std::deque<std::string> order_;
 };
 
-/// Judges a submission. `body`: a map; `submitted_at`: time of day in seconds. Unknown names are added to
-/// `names`.
+/// Checks a submission. `body` must be a map; `submitted_at` is a wall-clock time in seconds. Adds unknown
+/// names to `names`.
 Admission admit(const wire::Json& body, Names& names, const Settings& settings,
                 const std::vector<MachineType>& catalog, double submitted_at);
 
-/// Accepts a job. Guarded by both keys under which it may be known: it is accepted once and never again.
+/// The transaction that accepts a job. Its guards require that neither the job's own key nor its final key
+/// exists, so that a job is accepted at most once.
 wire::Json submission_txn(const std::string& ref, const wire::Json& record);
-/// Marks a job as cancelled. `record` and `revision`: as the job's own key was read. Only one guarded write
-/// of the phase can succeed, which decides between done and cancelled.
+/// The transaction that marks a job as cancelled. `record` and `revision` are the value and revision read
+/// from the job's own key. The guard on the revision lets only one change of the phase succeed, which decides
+/// between done and cancelled.
 wire::Json withdrawal_txn(const std::string& ref, const wire::Json& record, Revision revision);
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/catalog_updater.h
+++ b/include/oxbowmill/service/catalog_updater.h
@@ -1,5 +1,5 @@
-// Keeps the catalog of machine types in the cluster state: from the cloud, and until that has answered from
-// the copy in the state service. For the event loop's thread.
+// Keeps the catalog of machine types in the cluster state up to date. The catalog comes from the cloud, or
+// from the copy in the state service until the cloud has answered. Event loop thread only.
 #pragma once
 
 #include <functional>
@@ -10,16 +10,16 @@
 
 namespace oxbowmill::service {
 
-/// Owns when the catalog is read again, and whether a copy is stored.
+/// Reads the catalog periodically. Owns the time of the next read and whether a copy is stored.
 class CatalogUpdater {
  public:
-  /// `clock`: steady time in seconds. The referenced objects must outlive the updater, and the store must not
-  /// call back once it is gone.
+  /// `clock` returns the steady time in seconds. The referenced objects must outlive the updater, and the
+  /// store must not call it back after its destruction.
   CatalogUpdater(CloudClient& cloud_client, state::Store& store, ClusterState& state,
                  const Scheduler& scheduler, std::function<double()> clock);
-  /// Reads the cloud's catalog if that is due; called every cycle.
+  /// Reads the cloud's catalog if a read is due; called every cycle.
   void run_cycle();
-  /// The copy in the state service was read.
+  /// Handles the copy of the catalog that was read from the state service.
   void on_stored_catalog(const wire::Json& body);
 
  private:
--- a/include/oxbowmill/service/cloud_client.h
+++ b/include/oxbowmill/service/cloud_client.h
@@ -1,6 +1,5 @@
-// Calls of the platform's cloud over HTTP, within its request limit: scale out, deletion, listing and the
-// catalog of machine types. What was asked and what follows from the answer is the autoscaler's. For the
-// event loop's thread.
+// HTTP client of the platform's cloud, which keeps to the cloud's request limit. Sends scale-out, deletion,
+// list and catalog requests; the autoscaler decides on them and handles the results. Event loop thread only.
 #pragma once
 
 #include <deque>
@@ -15,22 +14,22 @@
 
 namespace oxbowmill::service {
 
-/// Queues calls until the rate limit allows them and hands the results to the autoscaler. It must not be
-/// destroyed while the event loop can still deliver responses to the objects it refers to.
+/// Queues calls until the rate limit allows them, and passes the results to the autoscaler. Must not be
+/// destroyed while the event loop can still deliver responses, which are passed to the objects it refers to.
 class CloudClient {
  public:
-  /// `clock`: steady time in seconds.
+  /// `clock` returns the steady time in seconds.
   CloudClient(event_base* base, const net::Address& address, const ClusterState& state,
               Autoscaler& autoscaler, MalformedMessageLog& malformed_messages, std::function<double()> clock);
   /// Requests machines.
   void scale_out(const ScaleOutRequest& request);
-  /// Has these machines deleted.
+  /// Requests the deletion of machines.
   void delete_machines(const std::vector<MachineIndex>& machines);
-  /// Lists all machines that the cloud has for this cluster.
+  /// Requests the list of all machines that the cloud has for this cluster.
   void list_machines();
-  /// Reads the catalog of machine types; `on_catalog` is not called when there is no readable response.
+  /// Requests the catalog of machine types. `on_catalog` is not called if there is no readable response.
   void fetch_catalog(std::function<void(const wire::Json&)> on_catalog);
-  /// Sends what the rate limit has become sufficient for; called every cycle.
+  /// Sends the queued calls that the rate limit allows now; called every cycle.
   void dispatch();
 
  private:
@@ -40,7 +39,8 @@
   void send_scale_out(const ScaleOutRequest& request);
   void on_scale_out_response(const std::string& request_id, const net::Response& http_response);
   void send_delete(const std::vector<MachineIndex>& machines);
-  /// The page after the machine `last_name`; empty: the first one. `machines`: those of the pages before.
+  /// Requests the page after the machine `last_name`, or the first page if that is empty. `machines` has the
+  /// machines of the pages before.
   void request_page(const std::string& last_name, const MachineList& machines);
   void on_page(const net::Response& http_response, const MachineList& machines);
 
@@ -51,7 +51,7 @@
   net::HttpClient http_client_;
   TokenBucket rate_limit_;
   std::deque<std::function<void()>> urgent_calls_, background_calls_;
-  unsigned contended_dispatches_ = 0;  // while both queues had calls
+  unsigned contended_dispatches_ = 0;  // calls sent while both queues had some
 };
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/controller.h
+++ b/include/oxbowmill/service/controller.h
@@ -1,6 +1,5 @@
-// One controller process: composes the parts of the service with the scheduler, the autoscaler and the
-// sockets, and runs the cycle. Everything runs in the thread of one event loop, and each part calls the
-// others only from there.
+// A controller process. Connects the scheduler and the autoscaler with the state service, the cloud, markets,
+// peers and clients, and runs the scheduling cycle. All parts run in the thread of one event loop.
 #pragma once
 
 #include "oxbowmill/config/config.h"
@@ -15,14 +14,12 @@
 
 namespace oxbowmill::service {
 
-/// Owns the cluster state and all parts of the process. It must be destroyed only when its event loop no
-/// longer runs.
+/// Owns the cluster state and all parts of the process. Must not be destroyed while its event loop runs.
 class Controller {
  public:
-  /// Binds its ports and starts reading the state service once the loop runs. Throws if a port cannot be
-  /// bound.
+  /// Binds its ports, and reads the state service once the event loop runs. Throws if a port cannot be bound.
   Controller(event_base* base, config::Config config);
-  /// Replaces the release calendar, unless it is older than the present one.
+  /// Replaces the release calendar, unless the new one is older than the current one.
   void load_calendar(release_calendar::ReleaseCalendar calendar) {
     decision_service_.load(std::move(calendar));
   }
@@ -31,16 +28,16 @@
   void connect_parts();
   void tick();
   void run_cycle();
-  /// The work of a cycle that only a controller with full authority may do after the scheduler's.
+  /// The steps of a cycle that follow the scheduler's and require full authority.
   void run_authoritative_cycle(Effects& effects);
-  /// Whether users' requests should come here.
+  /// Whether this controller should receive users' requests.
   bool is_ready() const;
   void on_committed(Revision revision);
   static double now();
   static double wall_time();
   static Clock clock() { return {now(), wall_time()}; }
 
-  // Members refer to those above them.
+  // Declaration order matters: members hold references to members declared above them.
   config::Config config_;
   ClusterState state_;
   ControllerLease lease_;
@@ -49,9 +46,9 @@
   state::Store store_;
   StateReplica replica_;
   SubmissionService submission_service_;
-  std::unique_ptr<reconciliation::Reconciler> reconciler_;  // null unless switched on
+  std::unique_ptr<reconciliation::Reconciler> reconciler_;  // null if reconciliation is off
   DecisionService decision_service_;
-  std::unique_ptr<MarketService> market_service_;  // null without markets
+  std::unique_ptr<MarketService> market_service_;  // null if no markets are configured
   MalformedMessageLog malformed_messages_;
   CloudClient cloud_client_;
   CatalogUpdater catalog_updater_;
--- a/include/oxbowmill/service/decision_service.h
+++ b/include/oxbowmill/service/decision_service.h
@@ -1,5 +1,5 @@
-// The durable decisions of one controller process: composes the decision log with the release calendar and
-// the model autoscaler, and answers their questions from the state service. For the event loop's thread.
+// Makes the durable decisions of a controller process. Connects the decision log with the release coordinator
+// and the model autoscaler, and reads records for them from the state service. Event loop thread only.
 #pragma once
 
 #include "oxbowmill/config/config.h"
@@ -9,18 +9,18 @@
 
 namespace oxbowmill::service {
 
-/// Owns the placement constraints that the cluster state refers to.
+/// Makes durable decisions, and owns the placement constraints that the cluster state refers to.
 class DecisionService {
  public:
-  /// Registers its constraints with the cluster state until it is destroyed. `clock`: steady time in seconds.
-  /// The store must not call back once the service is gone.
+  /// Registers its constraints with the cluster state until its destruction. `clock` returns the steady time
+  /// in seconds. The store must not call the service back after its destruction.
   DecisionService(ClusterState& state, Scheduler& scheduler, state::Store& store,
                   const config::Config& config, const std::function<double()>& clock);
   ~DecisionService();
-  /// Makes the decisions that are due. Before the scheduler's cycle, so that it knows them; only under full
-  /// authority.
+  /// Makes the decisions that are due. Must be called before the scheduler's cycle, which takes them into
+  /// account, and only under full authority.
   void run_cycle(Clock clock, Effects& out);
-  /// Replaces the release calendar; one that is older than the present one is rejected and logged.
+  /// Replaces the release calendar. Logs an error and keeps the current one if the new one is older.
   void load(release_calendar::ReleaseCalendar calendar);
 
  private:
--- a/include/oxbowmill/service/effect_sender.h
+++ b/include/oxbowmill/service/effect_sender.h
@@ -1,5 +1,5 @@
-// Sends what a cycle has decided: transactions to the state service, commands to agents, calls to the cloud.
-// For the event loop's thread.
+// Sends the effects of a cycle: transactions to the state service, commands to agents, calls to the cloud.
+// Event loop thread only.
 #pragma once
 
 #include "oxbowmill/service/cloud_client.h"
@@ -8,17 +8,17 @@
 
 namespace oxbowmill::service {
 
-/// Owns the transactions that have no final outcome yet, and reports outcomes to the scheduler.
+/// Owns the transactions without a final outcome, and reports their outcomes to the scheduler.
 class EffectSender {
  public:
-  /// `clock`: steady time in seconds. The referenced objects must outlive the sender, and the store must not
-  /// call back once it is gone.
+  /// `clock` returns the steady time in seconds. The referenced objects must outlive the sender, and the
+  /// store must not call it back after its destruction.
   EffectSender(event_base* base, state::Store& store, StateReplica& replica, ClusterState& state,
                Scheduler& scheduler, SubmissionService& submission_service, CloudClient& cloud_client,
                std::function<double()> clock);
-  /// Sends all effects of one cycle: writes first, then commands, then calls to the cloud.
+  /// Sends all effects of a cycle: first writes, then commands, then calls to the cloud.
   void send(const Effects& effects);
-  /// An own transaction was committed at this revision and is in the replica.
+  /// Called after an own transaction was committed at this revision and applied to the replica.
   std::function<void(Revision)> on_committed;
 
  private:
--- a/include/oxbowmill/service/lease_keeper.h
+++ b/include/oxbowmill/service/lease_keeper.h
@@ -1,6 +1,5 @@
-// Acquires and renews this process's controller lease, and revokes the leases of the process before it. It
-// decides when to call the state service; what the lease permits is ControllerLease's. For the event loop's
-// thread.
+// Acquires and renews the lease of this controller process, and revokes those of the previous one. Decides
+// when to call the state service; ControllerLease decides what the lease permits. Event loop thread only.
 #pragma once
 
 #include <functional>
@@ -11,19 +10,19 @@
 
 namespace oxbowmill::service {
 
-/// Keeps one ControllerLease alive.
+/// Acquires a ControllerLease and keeps it renewed.
 class LeaseKeeper {
  public:
-  /// `clock`: steady time in seconds. The referenced objects must outlive the keeper, and the store must not
-  /// call back once the keeper is gone.
+  /// `clock` returns the steady time in seconds. The referenced objects must outlive the keeper, and the
+  /// store must not call it back after its destruction.
   LeaseKeeper(state::Store& store, ControllerLease& lease, const ClusterState& state,
               std::function<double()> clock);
-  /// Acquires or renews when that is due; called every cycle.
+  /// Acquires or renews the lease if that is due; called every cycle.
   void maintain();
-  /// Once, when the replica is complete: revokes leases that an earlier process of this controller left
-  /// behind. Returns the partitions it owned under them; empty from the second call on.
+  /// Revokes the leases that an earlier process of this controller left behind, and returns the partitions
+  /// that it owned under them. Call it when the replica is complete; further calls do nothing.
   std::set<std::uint32_t> revoke_previous_leases();
-  /// Called when a new lease is requested: what was registered under the last one is gone.
+  /// Called when a new lease is requested. The records written under the previous one are gone.
   std::function<void()> on_acquiring;
 
  private:
@@ -37,8 +36,8 @@
   const ClusterState& state_;
   std::function<double()> clock_;
   double next_attempt_at_ = 0;  // of an acquisition or a renewal
-  bool renewing_ = false;
-  bool previous_leases_revoked_ = false;
+  bool is_renewal_in_flight_ = false;
+  bool has_revoked_previous_leases_ = false;
 };
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/malformed_message_log.h
+++ b/include/oxbowmill/service/malformed_message_log.h
@@ -1,5 +1,4 @@
-// Logs messages that could not be read, without letting a faulty sender flood the log. For the event loop's
-// thread.
+// Logs unreadable messages without letting a faulty sender flood the log. Event loop thread only.
 #pragma once
 
 #include <set>
@@ -7,10 +6,11 @@
 
 namespace oxbowmill::service {
 
-/// Remembers what it has logged: one line for each kind of message and sender.
+/// Logs at most one line for each kind of message and sender.
 class MalformedMessageLog {
  public:
-  /// Logs the message, unless one of this kind from this sender was logged before.
+  /// Logs that a message of this kind from this sender was malformed, unless that has been logged before.
+  /// Stops logging after a fixed number of lines.
   void record(const std::string& kind, const std::string& sender);
 
  private:
--- a/include/oxbowmill/service/market_service.h
+++ b/include/oxbowmill/service/market_service.h
@@ -1,5 +1,4 @@
-// The leader's calls of markets over HTTP: sends what the bidding service asks for and hands it the answers.
-// For the event loop's thread.
+// Sends the bidding service's calls to markets over HTTP and returns the answers. Event loop thread only.
 #pragma once
 
 #include <memory>
@@ -10,16 +9,16 @@
 
 namespace oxbowmill::service {
 
-/// Owns the bidding service and the calls under way. Every call gets exactly one answer: the market's, or
-/// none once its time is over.
+/// Owns the bidding service and its calls in flight. Every call gets exactly one answer, which is an empty
+/// response if the market does not answer before the call's deadline.
 class MarketService {
  public:
-  /// Registers itself as the autoscaler's source of machines. `clock`: steady time, `wall_clock`: time of
-  /// day, both in seconds. It must outlive the autoscaler's use of it, and be destroyed only when the event
-  /// loop no longer runs.
+  /// Registers the bidding service as the autoscaler's source of machines. `clock` returns the steady time
+  /// and `wall_clock` the time of day, both in seconds. Must outlive the autoscaler's use of it, and must not
+  /// be destroyed while the event loop runs.
   MarketService(event_base* base, ClusterState& state, Scheduler& scheduler, Autoscaler& autoscaler,
                 market::Settings settings, std::function<double()> clock, std::function<double()> wall_clock);
-  /// Ends calls that are late, runs the bidding service and sends its calls.
+  /// Times out calls that are past their deadline, runs the bidding service and sends its calls.
   void run_cycle(Effects& out);
 
  private:
@@ -28,7 +27,7 @@
     double deadline = 0;
   };
   void send(const market::Call& call);
-  /// Does nothing for a call that has its answer already.
+  /// Does nothing if the call has already been answered or has timed out.
   void on_response(std::uint64_t call_id, const net::Response& http_response);
   void time_out_calls();
   Clock clock() const { return {clock_(), wall_clock_()}; }
@@ -37,7 +36,7 @@
   market::Settings settings_;
   market::BiddingService bidding_service_;
   std::function<double()> clock_, wall_clock_;
-  std::vector<std::unique_ptr<net::HttpClient>> clients_;  // by market
+  std::vector<std::unique_ptr<net::HttpClient>> clients_;  // by market index
   std::map<std::uint64_t, PendingCall> pending_calls_;
 };
 
--- a/include/oxbowmill/service/partition_claimer.h
+++ b/include/oxbowmill/service/partition_claimer.h
@@ -1,5 +1,4 @@
-// Registers this controller in the state service and acquires the partitions that nobody owns. For the event
-// loop's thread.
+// Registers this controller in the state service and acquires unowned partitions. Event loop thread only.
 #pragma once
 
 #include <functional>
@@ -10,22 +9,22 @@
 
 namespace oxbowmill::service {
 
-/// Competes with the other controllers for partitions without an owner. The state service decides; staggered
-/// attempts only spread the partitions and avoid refused writes.
+/// Competes with the other controllers for partitions without an owner. The state service lets only one
+/// controller acquire a partition; staggered attempts spread the partitions and avoid refused writes.
 class PartitionClaimer {
  public:
-  /// `clock`: steady time in seconds. The referenced objects must outlive the claimer, and the store must not
-  /// call back once it is gone.
+  /// `clock` returns the steady time in seconds. The referenced objects must outlive the claimer, and the
+  /// store must not call it back after its destruction.
   PartitionClaimer(state::Store& store, StateReplica& replica, ClusterState& state,
                    const ControllerLease& lease, std::function<double()> clock);
-  /// The process is about to serve: the startup period counts from here.
+  /// Starts the startup period, during which it is not known which other controllers are live.
   void start() { started_at_ = clock_(); }
-  /// Registration and acquisition attempts that are due; called every cycle while the replica is live.
+  /// Makes due registration and acquisition attempts; called every cycle while the replica is live.
   void run_cycle();
-  /// A new lease is requested, so that this controller has to be registered again without delay.
+  /// Has this controller registered again without delay; called when a new lease is requested.
   void reset_registration() { next_registration_at_ = 0; }
-  /// These partitions were owned by the earlier process of this controller: they are acquired without
-  /// stagger.
+  /// Adds partitions that the earlier process of this controller owned. The first attempt to acquire them is
+  /// not delayed by the staggering.
   void add_previously_owned(const std::set<std::uint32_t>& partitions) {
     previously_owned_.insert(partitions.begin(), partitions.end());
   }
@@ -34,9 +33,10 @@
   using CommitHandler = std::function<void(const state::StoreResponse&)>;
   void register_controller(double now);
   void try_acquire(PartitionIndex partition, const std::vector<std::string>& live, double now);
+  /// The number of controllers that should try to acquire the partition before this one.
   std::size_t turn_of(PartitionIndex partition, const std::vector<std::string>& live, double now);
   std::vector<std::string> live_controllers() const;
-  /// Writes the ownership record under the controller's lease.
+  /// Writes the registration or ownership record at the key, attached to the controller's lease.
   void put_own_record(const Key& key, const CommitHandler& on_response);
 
   state::Store& store_;
@@ -44,8 +44,8 @@
   ClusterState& state_;
   const ControllerLease& lease_;
   std::function<double()> clock_;
-  std::unordered_map<std::uint32_t, double> attempt_at_;  // by unowned partition: when to try next
-  std::set<std::uint32_t> previously_owned_;              // not yet tried by this process
+  std::unordered_map<std::uint32_t, double> next_attempt_at_;  // by partition without an owner
+  std::set<std::uint32_t> previously_owned_;                   // without an attempt by this process yet
   double next_registration_at_ = 0;
   double started_at_ = 0;
 };
--- a/include/oxbowmill/service/peer_status_exchange.h
+++ b/include/oxbowmill/service/peer_status_exchange.h
@@ -1,5 +1,5 @@
-// What this controller publishes about itself to its peers, and what it does with their updates. Transport is
-// Peers'. For the event loop's thread.
+// Builds the status updates that this controller publishes to its peers, and applies the updates that it
+// receives. Peers transports them. Event loop thread only.
 #pragma once
 
 #include "oxbowmill/reconciliation/reconciler.h"
@@ -8,20 +8,20 @@
 
 namespace oxbowmill::service {
 
-/// Builds this controller's updates and applies those of its peers. Owns the highest revision of its own
-/// commits.
+/// Builds this controller's updates and applies those of its peers. Owns the highest revision that this
+/// controller has committed.
 class PeerStatusExchange {
  public:
-  /// `reconciler`: null if reconciliation is switched off. `clock`: steady time in seconds.
+  /// `reconciler` is null if reconciliation is off. `clock` returns the steady time in seconds.
   PeerStatusExchange(const ClusterState& state, Scheduler& scheduler, const state::Store& store,
                      reconciliation::Reconciler* reconciler, std::function<double()> clock);
-  /// An own transaction was committed at this revision.
+  /// Handles the commit of one of this controller's transactions at this revision.
   void on_committed(Revision revision) { last_committed_ = std::max(last_committed_, revision); }
-  /// This controller's status now.
+  /// Builds an update with this controller's current status.
   PeerUpdate make_update() const;
-  /// A peer's status: its reconciliations and suspected machines; nothing if reconciliation is switched off.
+  /// Passes a peer's reconciliations and suspected machines to reconciliation. Does nothing if that is off.
   void on_update(const PeerUpdate& update);
-  /// A peer cannot reach the machines of this zone.
+  /// Handles a peer's report that it cannot reach the machines of this zone.
   void on_unreachable_zone(const std::string& zone);
 
  private:
--- a/include/oxbowmill/service/peers.h
+++ b/include/oxbowmill/service/peers.h
@@ -1,5 +1,5 @@
-// Messages between controllers: MessagePack over HTTP. They only make controllers faster: the watch makes up
-// for whatever is lost. For the event loop's thread.
+// Messages between controllers, in MessagePack over HTTP. They only speed controllers up: a controller learns
+// from its watch of the state service what a lost message would have told it. Event loop thread only.
 #pragma once
 
 #include <map>
@@ -11,66 +11,68 @@
 
 namespace oxbowmill::service {
 
-/// How far the reconciliation of a partition has come, under the ownership of this revision.
+/// Progress of the reconciliation of a partition.
 struct ReconciliationStatus {
-  std::string partition;                 ///< name
-  std::uint64_t ownership_revision = 0;  ///< a newer ownership starts over
-  std::uint32_t phase = 0;               ///< a reconciliation::PartitionPhase; newer versions may have more
-  std::uint32_t expected = 0;            ///< machines that are to report
-  std::uint32_t reported = 0;            ///< machines that have
-  /// The order on the wire.
+  std::string partition;                 ///< partition name
+  std::uint64_t ownership_revision = 0;  ///< of the owner's record; a newer ownership restarts it
+  std::uint32_t phase = 0;               ///< a reconciliation::PartitionPhase; newer versions may send others
+  std::uint32_t expected = 0;            ///< number of machines that are to report
+  std::uint32_t reported = 0;            ///< number of those that have reported
+  /// Encodes the fields as an array, in this order.
   MSGPACK_DEFINE_ARRAY(partition, ownership_revision, phase, expected, reported)
 };
 
-/// A controller's status, as it publishes it.
+/// The status that a controller publishes to its peers.
 struct PeerUpdate {
-  std::string controller;                      ///< its name
-  std::uint64_t revision = 0;                  ///< newest that it knows of
-  bool state_service_ok = false;               ///< the state service responds to it
-  std::vector<std::string> unreachable_zones;  ///< zones whose machines do not reach it
-  /// Of the partitions it owns. Older versions neither send nor read it.
+  std::string controller;                      ///< name of the sender
+  std::uint64_t revision = 0;                  ///< newest revision that the sender knows of
+  bool state_service_ok = false;               ///< whether the state service responds to the sender
+  std::vector<std::string> unreachable_zones;  ///< names of zones whose machines do not reach the sender
+  /// Reconciliations of the sender's partitions. Older versions neither send nor read this field.
   std::vector<ReconciliationStatus> reconciliations;
-  /// Machines of its partitions that may be gone. Older versions neither send nor read it.
+  /// Names of the sender's machines that may be gone. Older versions neither send nor read this field.
   std::vector<std::string> suspected_machines;
 };
-/// The message's body.
+/// Encodes the update as a message body.
 std::string encode(const PeerUpdate& update);
-/// Nothing if the body is not an update; what an older version does not send, or cannot be read, is empty.
+/// Decodes an update; empty if the body is not one. Fields that older versions do not send are empty if they
+/// are missing or cannot be read.
 std::optional<PeerUpdate> decode_peer_update(const std::string& body);
 
-/// Whether a controller should accept users' connections, by the seconds since the state service responded.
-/// In an outage that all controllers have, all accept: a refusal with the time to retry is the better answer.
-/// A controller that alone is cut off from the state service does not.
-bool should_serve(double since_state_answer, bool peer_has_state);
+/// Whether a controller should accept users' requests, given the seconds since the state service last
+/// responded to it and whether a peer reaches the state service. A controller that alone is cut off soon
+/// stops accepting, so that users go to its peers. In an outage for all controllers, all go on for longer,
+/// because a refusal with a retry time is better for users than no answer.
+bool should_serve(double since_state_response_s, bool peer_reaches_state_service);
 
-/// Connections to the other controllers, and what each last published. Requests of the clients it owns are
-/// dropped with it; the event loop must not run its timers any more then.
+/// Owns the connections to the other controllers and the status that each last published. Its destruction
+/// drops its open requests; the event loop must not run its timers afterwards.
 class Peers {
  public:
-  /// `now`: steady time in seconds; `make_update`: this controller's present status. Throws if the port for
-  /// controllers cannot be bound.
+  /// `now` returns the steady time in seconds, and `make_update` this controller's current status. Throws if
+  /// the port for controllers cannot be bound.
   Peers(event_base* base, const config::Config& config, std::function<double()> now,
         std::function<PeerUpdate()> make_update);
-  /// Publishes this controller's status within milliseconds, once for all calls until then.
+  /// Publishes this controller's status within milliseconds. Calls until then have no further effect.
   void publish_soon();
-  /// A peer has lately published that the state service responds to it.
+  /// Whether a peer has recently published that the state service responds to it.
   bool any_reaches_state_service() const;
-  /// Where it listens for other controllers.
+  /// The address on which this controller listens for its peers.
   const net::Address& address() const { return server_->address(); }
-  /// Relays an agent's report to the controller that owns its machine. Status 0 at once when that one has not
-  /// published for a while.
+  /// Relays an agent's report to the controller that owns its machine. Calls `on_response` with status 0 at
+  /// once if that controller is unknown or has not published recently.
   void relay(const std::string& controller, const std::string& report, net::ResponseHandler on_response);
-  /// A peer that the state service responds to knows of this revision.
+  /// Called with the newest revision that a peer knows of, if the state service responds to that peer.
   std::function<void(std::uint64_t revision)> on_revision;
-  /// A peer cannot reach the machines of this zone.
+  /// Called for each zone whose machines a peer cannot reach.
   std::function<void(const std::string& zone)> on_unreachable_zone;
-  /// A peer has published, after the two above.
+  /// Called with each update, after the two callbacks above.
   std::function<void(const PeerUpdate&)> on_update;
-  /// A peer relays an agent's report.
+  /// Called with each report of an agent that a peer relays.
   std::function<void(const net::Request&)> on_relayed;
 
  private:
-  static constexpr double never = -1e9;
+  static constexpr double never = -1e9;  // seconds, long before any time of the steady clock
   struct PeerStatus {
     double received_at = never;
     bool state_service_ok = false;
@@ -85,7 +87,7 @@
   std::map<std::string, PeerStatus> peer_status_;
   std::vector<std::unique_ptr<net::HttpClient>> update_clients_;
   std::map<std::string, std::unique_ptr<net::HttpClient>> relay_clients_;
-  std::vector<bool> has_update_in_flight_;  // by update client
+  std::vector<bool> has_update_in_flight_;  // by index of the update client
   net::Timer periodic_timer_, publish_timer_;
   std::unique_ptr<net::HttpServer> server_;
 };
--- a/include/oxbowmill/service/replica_readers.h
+++ b/include/oxbowmill/service/replica_readers.h
@@ -1,5 +1,5 @@
-// Readers that wait until the replica is as current as their request: many share one watch that is opened
-// after they came. Owns the waiting readers and the rate at which they come. For the event loop's thread.
+// Lets readers wait until the replica is as current as their request. Readers share the next watch that is
+// sent after their requests. Owns the waiting readers and the rate of reads. Event loop thread only.
 #pragma once
 
 #include <deque>
@@ -10,38 +10,40 @@
 
 namespace oxbowmill::service {
 
-/// Called with true once the replica holds what the state service held when the reader came, and with false
-/// if that did not become known in time.
-using CurrencyHandler = std::function<void(bool is_current)>;
+/// Called with true when the replica holds everything that the state service held at the time of the read
+/// request, and with false if that did not become known in time.
+using FreshnessHandler = std::function<void(bool is_current)>;
 
-/// Every handler is called exactly once. Handlers may add readers.
+/// Queues of readers. Calls every handler exactly once, except those that it returns to the caller. Handlers
+/// may add readers.
 class ReplicaReaders {
  public:
-  /// `clock`: steady time in seconds.
+  /// `clock` returns the steady time in seconds.
   ReplicaReaders(event_base* base, std::function<double()> clock);
-  /// Counts a reader, whether or not it is going to wait.
+  /// Counts a read, whether or not the reader is going to wait.
   void record_read(double now);
-  /// Reads are so frequent that watches should return at once and serve them.
+  /// Whether reads are so frequent that watches should return at once to serve them.
   bool is_read_often() const;
-  /// Readers wait on a watch that was sent at this time and is unlikely to return before they time out.
+  /// Whether readers wait on the open watch, sent at `watch_sent_at`, for so long that it is unlikely to
+  /// return before they time out.
   bool is_watch_late(double watch_sent_at, double now) const;
-  /// Waits for the next watch to be sent.
-  void wait_for_next_watch(CurrencyHandler on_done, double now);
-  /// All that wait do so on this watch from now on.
+  /// Adds a reader that waits for the next watch to be sent.
+  void wait_for_next_watch(FreshnessHandler on_done, double now);
+  /// Assigns all readers that wait for the next watch to the watch that was sent.
   void on_watch_sent();
-  /// The readers that wait on the open watch; they wait no longer.
-  std::vector<CurrencyHandler> take_watching();
+  /// Removes and returns the readers that wait on the open watch.
+  std::vector<FreshnessHandler> take_open_watch_readers();
 
  private:
   struct Reader {
-    CurrencyHandler on_done;
+    FreshnessHandler on_done;
     double since = 0;
   };
   void time_out();
 
   std::function<double()> clock_;
-  std::deque<Reader> waiting_;              // for the next watch to be sent
-  std::deque<Reader> watching_;             // on the open watch
+  std::deque<Reader> next_watch_readers_;   // for the next watch to be sent
+  std::deque<Reader> open_watch_readers_;   // on the open watch
   double read_count_ = 0, counted_at_ = 0;  // recent reads, decaying exponentially
   net::Timer timeout_timer_;
 };
--- a/include/oxbowmill/service/report_handler.h
+++ b/include/oxbowmill/service/report_handler.h
@@ -1,5 +1,5 @@
-// Answers agents' reports: reads them, hands them to reconciliation and the scheduler, and turns the
-// scheduler's answer into HTTP. For the event loop's thread.
+// Answers agents' reports: decodes them, passes them to reconciliation and the scheduler, and turns the
+// scheduler's answer into an HTTP response. Event loop thread only.
 #pragma once
 
 #include "oxbowmill/reconciliation/reconciler.h"
@@ -9,20 +9,20 @@
 
 namespace oxbowmill::service {
 
-/// Who sent a report.
+/// The sender of a report.
 enum class ReportOrigin : std::uint8_t {
   agent,
-  peer,  // relayed by another controller, because the agent cannot reach this one
+  peer,  // another controller, which relays it because the agent cannot reach this one
 };
 
-/// Holds no state of its own.
+/// Handles reports. Has no state of its own.
 class ReportHandler {
  public:
-  /// `reconciler`: null if reconciliation is switched off. The referenced objects must outlive the handler.
+  /// `reconciler` is null if reconciliation is off. The referenced objects must outlive the handler.
   ReportHandler(const StateReplica& replica, const ControllerLease& lease, Scheduler& scheduler,
                 reconciliation::Reconciler* reconciler, ReportRelay& relay,
                 MalformedMessageLog& malformed_messages, std::function<Clock()> clock);
-  /// Answers the request, at once or once the owner has answered the relayed report.
+  /// Answers the request, either at once or when the owner has answered the relayed report.
   void on_report(const net::Request& request, ReportOrigin origin);
 
  private:
--- a/include/oxbowmill/service/request_router.h
+++ b/include/oxbowmill/service/request_router.h
@@ -1,4 +1,4 @@
-// Maps the HTTP requests of users, agents and the platform to the objects that answer them.
+// Routes HTTP requests of users, agents and the platform to the objects that answer them.
 #pragma once
 
 #include "oxbowmill/service/report_handler.h"
@@ -6,17 +6,17 @@
 
 namespace oxbowmill::service {
 
-/// Holds no state of its own. The referenced objects must outlive it.
+/// Routes requests. Has no state of its own. The referenced objects must outlive it.
 class RequestRouter {
  public:
-  /// `is_ready`: whether this controller should get users' requests.
+  /// `is_ready` returns whether this controller should receive users' requests.
   RequestRouter(SubmissionService& submission_service, ReportHandler& report_handler,
                 std::function<bool()> is_ready);
-  /// Answers the request, at once or later: 404 for a path it does not know, 405 for a wrong method.
+  /// Has the request answered, at once or later. Answers 404 for an unknown path and 405 for a wrong method.
   void on_request(const net::Request& request);
 
  private:
-  /// `job_path`: what follows "/submissions/".
+  /// `job_path` is the part of the path after "/submissions/".
   void on_job_request(const net::Request& request, const std::string& job_path);
 
   SubmissionService& submission_service_;
--- a/include/oxbowmill/service/state_replica.h
+++ b/include/oxbowmill/service/state_replica.h
@@ -1,5 +1,5 @@
-// Keeps the cluster state equal to the live keys of the state service: lists them once, then follows the
-// watch. Owns which revision of each key has been applied. For the event loop's thread.
+// Keeps the cluster state in sync with the live keys of the state service: lists them once, then follows the
+// watch. Owns the revision of each key that has been applied. Event loop thread only.
 #pragma once
 
 #include <set>
@@ -12,28 +12,29 @@
 
 namespace oxbowmill::service {
 
-/// The only writer of the state service's keys into the cluster state. Each key's changes are applied in the
-/// order of their revisions, whether they come from a listing, a watch or an own transaction.
+/// The only class that applies records of the state service to the cluster state. The changes of each key are
+/// applied in the order of their revisions, whether from a listing, a watch or an own transaction.
 class StateReplica {
  public:
-  /// `clock`: steady time in seconds. The store must not call back once the replica is gone.
+  /// `clock` returns the steady time in seconds. The store must not call back after destruction.
   StateReplica(event_base* base, state::Store& store, ClusterState& state, Scheduler& scheduler,
                ControllerLease& lease, std::function<double()> clock);
-  /// Lists all keys, and follows the watch from there.
+  /// Starts to list all keys, and follows the watch from the revision of the listing.
   void start();
-  /// All keys have been listed, and the watch is being followed.
+  /// Whether all keys have been listed and the watch is being followed.
   bool is_live() const { return freshness_.is_live(); }
-  /// Applies an own transaction that was committed at this revision, ahead of the watch.
+  /// Applies a transaction that this controller committed at this revision, ahead of the watch.
   void apply_own_write(const std::vector<std::pair<std::string, Change>>& changes, Revision revision);
-  /// The state service has this revision: if it is a newer one, the next watch is sent without delay.
+  /// Takes the hint that the state service has reached this revision. If it is newer than the replica and
+  /// this controller owns a partition, the next watch is sent earlier.
   void on_revision_hint(Revision revision);
-  /// Calls back with true once the replica holds everything that the state service held at this moment, and
-  /// with false (perhaps at once) where waiting for that would take longer than the caller's own read, or the
-  /// watch failed.
-  void when_current(CurrencyHandler on_done);
-  /// The catalog's copy was read.
+  /// Calls `on_done` with true when the replica holds everything that the state service holds at the time of
+  /// this call. Calls it with false, possibly at once, if waiting would take longer than a read by the
+  /// caller, or if the watch fails.
+  void when_current(FreshnessHandler on_done);
+  /// Called with the copy of the catalog when it was read.
   std::function<void(const wire::Json&)> on_catalog;
-  /// The watch brought changes.
+  /// Called after a watch has returned changes and they have been applied.
   std::function<void()> on_change;
 
  private:
@@ -42,15 +43,16 @@
   void on_listing_finished();
   void watch();
   void on_watch_response(const state::StoreResponse& response);
-  /// Applies the changes; whether there were any.
+  /// Applies the changes of a watch response. Returns whether there were any.
   bool apply_events(const wire::Json& body);
   void apply_event(const wire::Json& event);
   void publish_freshness();
   void forget_confirmed_removals();
   void schedule_watch();
-  /// Whether a change of this revision is news for the key; notes it if so.
+  /// Returns whether a change of this revision is newer than what has been applied to the key, and if so
+  /// records it as applied.
   bool accept_revision(const std::string& key, Revision revision, bool is_removal);
-  /// `value` null: the key was removed.
+  /// Applies a change of the key. `value` is null if the key was removed.
   void apply_key(const std::string& key, const wire::Json* value, Revision revision);
 
   state::Store& store_;
@@ -61,11 +63,11 @@
   net::Timer retry_timer_;
   ReplicaFreshness freshness_;
   ReplicaReaders readers_;
-  std::set<std::string> listed_keys_;                               // of the listing under way
-  std::unordered_map<std::string, Revision> revisions_;             // applied, by existing key
-  std::unordered_map<std::string, Revision> unconfirmed_removals_;  // applied before the watch showed them
+  std::set<std::string> listed_keys_;                               // of the listing in progress
+  std::unordered_map<std::string, Revision> revisions_;             // by existing key; the applied revision
+  std::unordered_map<std::string, Revision> unconfirmed_removals_;  // by key; not yet seen on the watch
   double last_watch_at_ = 0;
-  bool long_polling_ = false;  // the open watch may be held open until something changes
+  bool is_long_polling_ = false;  // the state service may hold the open watch until something changes
 };
 
 }  // namespace oxbowmill::service
--- a/include/oxbowmill/service/status_query.h
+++ b/include/oxbowmill/service/status_query.h
@@ -1,5 +1,5 @@
-// How the status of a job is looked up for a user, as a state machine: the caller reads and reports the
-// results. Pure. Safety: docs/design.md, point 13.
+// State machine that looks up the status of a job for a user. Performs no I/O: the caller executes each step
+// and reports its result. The safety argument is in docs/design.md, point 13.
 #pragma once
 
 #include <cstdint>
@@ -9,53 +9,55 @@
 
 namespace oxbowmill::service {
 
-/// What has been learnt so far.
+/// What the query has found out so far.
 enum class QueryState : std::uint8_t {
-  begun,           ///< nothing
-  not_in_replica,  ///< the replica, known to be current, has no such live job
+  initial,         ///< nothing
+  not_in_replica,  ///< the replica, which is known to be current, has no such live job
   not_live,        ///< the job's own key does not exist
   answered,        ///< the phase is known
 };
 
-/// What the caller does next.
+/// The next step, which the caller executes.
 enum class QueryStep : std::uint8_t {
-  wait_for_replica,  ///< until it is known to be as current as the query
-  read_live,         ///< the job's own key
-  read_final,        ///< the key of its final phase
-  answer,            ///< with `phase()`
-  absent,            ///< the job was never accepted
-  refuse,            ///< nothing can be known now: the user is to retry
+  wait_for_replica,  ///< wait until the replica is known to be as current as the query
+  read_live,         ///< read the job's own key
+  read_final,        ///< read the key of the job's final phase
+  answer,            ///< answer with `phase()`
+  absent,            ///< answer that there is no such job: it was never accepted
+  refuse,            ///< answer that the user should retry, because the status cannot be determined now
 };
 
-/// Result of reading a key.
+/// Result of a read of one of the job's keys.
 struct KeyReadResult {
-  /// What the read showed; `unknown`: no usable response came.
+  /// Whether the key exists; `unknown` if there was no usable response.
   enum class Kind : std::uint8_t { found, absent, unknown };
-  Kind kind = Kind::unknown;        ///< what the read showed
-  JobPhase phase = JobPhase::open;  ///< where found
+  Kind kind = Kind::unknown;        ///< whether the key exists
+  JobPhase phase = JobPhase::open;  ///< valid if found
 };
 
-/// One query. Begins with `poll` or `look_up`, and goes on with the method for the step that was returned.
+/// A query. It starts with `poll` or `look_up`; each further call is the method that reports the result of
+/// the step returned last.
 class StatusQuery {
  public:
-  /// Begins a query that the replica may answer. `remembered`: a final phase that this controller knows.
-  QueryStep poll(std::optional<JobPhase> remembered);
-  /// `is_current`: the replica holds everything that existed when the query came; `live`: the phase it has
-  /// for the job.
-  QueryStep on_replica_current(bool is_current, std::optional<JobPhase> live);
-  /// Begins a query that reads the state service without asking the replica.
+  /// Starts a query that the replica may answer. `known_final_phase` is empty if this controller knows none.
+  QueryStep poll(std::optional<JobPhase> known_final_phase);
+  /// Reports the end of the wait for the replica. `is_current`: whether the replica holds everything that the
+  /// state service held when the query started. `live_phase`: the phase of the job in the replica, empty if
+  /// it has none.
+  QueryStep on_replica_current(bool is_current, std::optional<JobPhase> live_phase);
+  /// Starts a query that reads the state service and not the replica.
   QueryStep look_up();
-  /// The job's own key has been read.
+  /// Reports the read of the job's own key.
   QueryStep on_live_key_read(const KeyReadResult& result);
-  /// The key of its final phase has been read.
+  /// Reports the read of the key of the job's final phase.
   QueryStep on_final_key_read(const KeyReadResult& result);
-  /// The answer, after the step `answer`.
+  /// The phase of the job; valid after the step `answer`.
   JobPhase phase() const { return phase_; }
 
  private:
   QueryStep finish(JobPhase phase);
   void set_state(QueryState state) { state_ = state; }
-  QueryState state_ = QueryState::begun;
+  QueryState state_ = QueryState::initial;
   JobPhase phase_ = JobPhase::open;
 };
 
--- a/include/oxbowmill/service/submission_service.h
+++ b/include/oxbowmill/service/submission_service.h
@@ -1,5 +1,5 @@
-// The users' interface: submissions, polls and withdrawals, on any controller. Any of them is answered only
-// from what the state service is known to hold. For the event loop's thread.
+// Answers users' submissions, polls and withdrawals, on any controller. Every answer is based on what the
+// state service is known to hold. Event loop thread only.
 #pragma once
 
 #include <unordered_map>
@@ -10,12 +10,12 @@
 
 namespace oxbowmill::service {
 
-/// Final phases of recent jobs. They never change, so that polls of them need no read.
+/// Cache of the final phases of recent jobs. Final phases never change, so polls of these jobs need no read.
 class FinalPhaseCache {
  public:
-  /// Remembers the phase; the oldest entries are dropped beyond a fixed number.
+  /// Adds the phase. Beyond a fixed number of entries, drops the oldest.
   void remember(const std::string& ref, JobPhase phase);
-  /// Nothing where the job is not among the remembered ones.
+  /// The final phase of the job; empty if it is not in the cache.
   std::optional<JobPhase> find(const std::string& ref) const;
 
  private:
@@ -23,46 +23,46 @@
   std::deque<std::string> order_;
 };
 
-/// Answers users' requests. Owns recent final phases and the times of first attempts.
+/// Answers users' requests. Owns the cache of final phases and the times of first submission attempts.
 class SubmissionService {
  public:
-  /// `wall_clock`: time of day in seconds. The store must not call back once the service is gone.
+  /// `wall_clock` returns the time of day in seconds. The store must not call back after destruction.
   SubmissionService(state::Store& store, ClusterState& state, std::function<double()> wall_clock)
       : store_(store), state_(state), wall_clock_(std::move(wall_clock)) {}
 
-  /// Admits a job and commits it, or says why it is rejected.
+  /// Accepts the submitted job, or answers why it is rejected.
   void submit(const net::Request& request);
-  /// Answers the job's phase and progress.
+  /// Answers with the job's phase and progress.
   void poll(const std::string& ref, const net::ResponderPtr& responder);
-  /// Cancels the job unless it is in a final phase; `attempt` counts commits that were refused because its
-  /// record had changed.
+  /// Cancels the job unless it is in a final phase. `attempt` counts earlier commits that were refused
+  /// because the job's record had changed.
   void withdraw(const std::string& ref, const net::ResponderPtr& responder, int attempt = 0);
-  /// A transaction of this controller has written the job's final phase.
+  /// Caches the job's final phase, which was read or written by a transaction of this controller.
   void remember_final_phase(const std::string& ref, JobPhase phase) { final_phases_.remember(ref, phase); }
-  /// StateReplica::when_current.
-  std::function<void(CurrencyHandler)> when_replica_current;
-  /// The replica is complete and the state service responds.
-  std::function<bool()> ready;
-  /// A job was accepted or withdrawn at this revision: its owner should learn of it soon.
+  /// Must be set to StateReplica::when_current.
+  std::function<void(FreshnessHandler)> when_replica_current;
+  /// Must be set. Returns whether the replica is complete and the state service responds.
+  std::function<bool()> is_ready;
+  /// Must be set. Called after a job was accepted or withdrawn at this revision, to notify its owner.
   std::function<void(Revision)> on_write;
 
  private:
   struct PendingQuery {
     std::string ref;
     StatusQuery query;
-    Revision revision = 0;                   // of the job's own key, where that was found
-    wire::Json value;                        // likewise
+    Revision revision = 0;                   // of the job's own key; 0 if it was not found
+    wire::Json value;                        // of the job's own key; null if it was not found
     std::function<void(QueryStep)> on_done;  // gets `answer`, `absent` or `refuse`
   };
   using PendingQueryPtr = std::shared_ptr<PendingQuery>;
   using QueryHandler = std::function<void(const PendingQuery&, QueryStep)>;
-  /// Takes the query's next step, and calls `on_done` when there is none.
+  /// Executes the query's next step, or calls `on_done` if it is a final one.
   void advance(const PendingQueryPtr& pending, QueryStep step);
   void wait_for_replica(const PendingQueryPtr& pending);
   void read_key(const PendingQueryPtr& pending, QueryStep step);
-  /// Looks the job up in the state service without asking the replica.
+  /// Looks the job up in the state service, not in the replica.
   void query_keys(const std::string& ref, QueryHandler on_done);
-  /// A query that keeps itself alive until `on_done` has been called.
+  /// Creates a query, which the callbacks of its steps keep alive until `on_done` has been called.
   static PendingQueryPtr make_query(const std::string& ref, QueryHandler on_done);
   void commit_submission(const std::string& ref, const wire::Json& record,
                          const net::ResponderPtr& responder);
--- a/include/oxbowmill/service/transaction_body.h
+++ b/include/oxbowmill/service/transaction_body.h
@@ -1,4 +1,4 @@
-// The JSON form of the state service's guarded transactions, built in one place. Pure.
+// Builds the JSON form of transactions of the state service. Performs no I/O.
 #pragma once
 
 #include <string>
@@ -7,18 +7,18 @@
 
 namespace oxbowmill::service {
 
-/// A transaction that is applied as a whole if every guard holds, and not at all otherwise.
+/// Builder of a transaction, which is applied as a whole if every guard holds, and not at all otherwise.
 class TransactionBody {
  public:
-  /// Guard: `key` has this revision; 0: it does not exist.
+  /// Adds the guard that `key` has this revision, or does not exist if the revision is 0.
   TransactionBody& require(const std::string& key, Revision revision);
-  /// Writes a value under `key`.
+  /// Adds a write of a value under `key`.
   TransactionBody& put(const std::string& key, wire::Json value);
-  /// Writes a value that the state service deletes when the lease ends.
+  /// Adds a write of a value under `key`, which the state service deletes when the lease ends.
   TransactionBody& put_with_lease(const std::string& key, wire::Json value, std::uint64_t lease_id);
-  /// Deletes `key`.
+  /// Adds the deletion of `key`.
   TransactionBody& remove(const std::string& key);
-  /// The body to be committed.
+  /// The body of the request that commits the transaction.
   const wire::Json& json() const { return body_; }
 
  private:
@@ -27,7 +27,7 @@
   wire::Json body_ = {{"guards", wire::Json::array()}, {"apply", wire::Json::array()}};
 };
 
-/// The revision that the state service gave to a committed transaction; 0 where its response names none.
+/// The revision of the state service in a response, such as that of a committed transaction; 0 if missing.
 Revision committed_revision(const wire::Json& response_body);
 
 }  // namespace oxbowmill::service
--- a/src/service/admission.cpp
+++ b/src/service/admission.cpp
@@ -8,24 +8,24 @@
 namespace {
 constexpr int bad_request_status = 400;
 constexpr double bytes_per_kb = 1024;
-constexpr double retry_window_s = 60;  // users repeat a submission for this long (PROTOCOL)
+constexpr double retry_window_s = 60;  // for which users repeat a submission, by the protocol
 constexpr std::size_t max_remembered_attempts = 5000;
 }  // namespace
 
-double FirstAttempts::record_attempt(const wire::Json& body, double wall) {
+double FirstAttempts::record_attempt(const wire::Json& body, double wall_time_s) {
   auto ref = body.find("ref");
   if (ref == body.end() || !ref->is_string() || !wire::valid_id(ref->get_ref<const std::string&>()))
-    return wall;
-  expire(wall);
-  auto [it, is_new] = first_attempt_times_.try_emplace(ref->get<std::string>(), wall);
+    return wall_time_s;
+  expire(wall_time_s);
+  auto [it, is_new] = first_attempt_times_.try_emplace(ref->get<std::string>(), wall_time_s);
   if (is_new) order_.push_back(it->first);
-  return std::min(wall, it->second);
+  return std::min(wall_time_s, it->second);
 }
 
-void FirstAttempts::expire(double wall) {
-  // In the order of arrival; if the clock was set back, some stay longer.
+void FirstAttempts::expire(double wall_time_s) {
+  // Entries are in the order of arrival, so some stay longer if the wall clock was set back.
   while (!order_.empty() && (order_.size() >= max_remembered_attempts ||
-                             first_attempt_times_.at(order_.front()) < wall - retry_window_s)) {
+                             first_attempt_times_.at(order_.front()) < wall_time_s - retry_window_s)) {
     first_attempt_times_.erase(order_.front());
     order_.pop_front();
   }
--- a/src/service/catalog_updater.cpp
+++ b/src/service/catalog_updater.cpp
@@ -27,7 +27,7 @@
 
 void CatalogUpdater::run_cycle() {
   if (clock_() < next_fetch_at_) return;
-  // Prices change: the leader keeps them current, the other controllers only need the types.
+  // Only the leader needs current prices; the other controllers need only the machine types.
   bool is_needed = !state_.catalog_known() || scheduler_.is_leader();
   next_fetch_at_ = clock_() + (state_.catalog_known() ? fetch_interval_s : first_fetch_interval_s);
   if (is_needed) cloud_client_.fetch_catalog([this](const Json& body) { on_cloud_catalog(body); });
@@ -44,7 +44,7 @@
   is_stored_ = true;
   auto entries = wire::read_catalog(body);
   if (!entries) return log_unreadable("state_service");
-  // The copy may be old: it does not replace a catalog that came from the cloud.
+  // The copy may be out of date, so it does not replace a catalog that came from the cloud.
   if (!state_.catalog_known()) apply(*entries);
 }
 
@@ -62,7 +62,7 @@
 }
 
 void CatalogUpdater::store_copy(const std::vector<wire::CatalogEntry>& entries) {
-  // Controllers that start during an outage of the cloud can judge submissions by the copy.
+  // With the copy, controllers that start during an outage of the cloud can check submissions.
   is_stored_ = true;
   TransactionBody body;
   body.put(state::catalog_key, wire::write_catalog(entries));
--- a/src/service/cloud_client.cpp
+++ b/src/service/cloud_client.cpp
@@ -5,14 +5,14 @@
 using wire::Json;
 
 namespace {
-constexpr std::size_t connections = 3;
-constexpr double rate_fraction = 0.8;  // of the cloud's request limit; the rest is a margin
-constexpr unsigned background_every = 3;
+constexpr std::size_t max_connections = 3;
+constexpr double request_rate_fraction = 0.8;  // of the cloud's request limit; the rest is a margin
+constexpr unsigned dispatches_per_background_call = 3;
 constexpr double scale_out_timeout_s = 5;
 constexpr double delete_timeout_s = 8;
 constexpr double list_timeout_s = 5;
 constexpr double catalog_timeout_s = 4;
-constexpr const char* sender = "cloud";
+constexpr const char* cloud_sender = "cloud";
 }  // namespace
 
 CloudClient::CloudClient(event_base* base, const net::Address& address, const ClusterState& state,
@@ -22,8 +22,8 @@
       autoscaler_(autoscaler),
       malformed_messages_(malformed_messages),
       clock_(std::move(clock)),
-      http_client_(base, address, connections),
-      rate_limit_(state.settings.cloud_rps * rate_fraction, state.settings.cloud_rps) {}
+      http_client_(base, address, max_connections),
+      rate_limit_(state.settings.cloud_rps * request_rate_fraction, state.settings.cloud_rps) {}
 
 void CloudClient::enqueue(CallPriority priority, std::function<void()> call) {
   (priority == CallPriority::urgent ? urgent_calls_ : background_calls_).push_back(std::move(call));
@@ -31,12 +31,13 @@
 }
 
 void CloudClient::dispatch() {
-  // Every third call is a background one: requests for machines that the cloud does not have must not keep
-  // other machines from being deleted.
+  // While both queues have calls, every third one sent is a background call. Otherwise repeated requests for
+  // machines that the cloud lacks would delay the deletion of other machines.
   while (!urgent_calls_.empty() || !background_calls_.empty()) {
     if (!rate_limit_.take(1, clock_())) return;
-    bool is_background = urgent_calls_.empty() ||
-                         (!background_calls_.empty() && ++contended_dispatches_ % background_every == 0);
+    bool is_background =
+        urgent_calls_.empty() ||
+        (!background_calls_.empty() && ++contended_dispatches_ % dispatches_per_background_call == 0);
     auto& queue = is_background ? background_calls_ : urgent_calls_;
     auto call = std::move(queue.front());
     queue.pop_front();
@@ -61,7 +62,7 @@
     if (auto machines = wire::read_hosts(*body))
       return autoscaler_.on_scale_out_result(request_id, true, *machines, clock_());
   }
-  if (http_response.status == 200) malformed_messages_.record("scale-out response", sender);
+  if (http_response.status == 200) malformed_messages_.record("scale-out response", cloud_sender);
   bool no_capacity = http_response.status == 503 && body && body->value("error", Json()) == "no capacity";
   bool is_refused = no_capacity || http_response.status == 400;
   autoscaler_.on_scale_out_result(request_id, is_refused, {}, clock_());
@@ -94,11 +95,11 @@
 }
 
 void CloudClient::on_page(const net::Response& http_response, const MachineList& machines) {
-  // Not decode_map: a page may be larger than the bodies that users and agents may send.
+  // decode_map would reject pages that are larger than the bodies that users and agents may send.
   auto body = http_response.status == 200 ? Json::from_cbor(http_response.body, true, false) : Json();
   auto page = body.is_object() ? wire::read_list(body) : std::nullopt;
   if (!page) {
-    if (http_response.status == 200) malformed_messages_.record("machine list", sender);
+    if (http_response.status == 200) malformed_messages_.record("machine list", cloud_sender);
     return autoscaler_.on_list_failed();
   }
   machines->insert(machines->end(), page->machines.begin(), page->machines.end());
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -14,8 +14,8 @@
   return std::make_unique<reconciliation::Reconciler>(state, scheduler, config.recovery);
 }
 
-/// Sockets numbered beyond this are closed after their response: an eighth of the limit stays free for new
-/// connections and for the controller's own calls.
+/// File descriptor number from which connections are closed after their response. An eighth of the socket
+/// limit stays free for new connections and for the controller's own calls.
 int keep_alive_limit(int socket_limit) {
   return socket_limit * 7 / 8;
 }
@@ -59,7 +59,7 @@
   server_ = std::make_unique<net::HttpServer>(
       base, config_.bind, wire::max_body_size,
       [this](net::Request&& request) { request_router_.on_request(request); });
-  SPDLOG_INFO("listening on {} for users and workers, on {} for controllers",
+  SPDLOG_INFO("listening on {} for users and agents, on {} for controllers",
               net::to_string(server_->address()), net::to_string(peers_.address()));
   if (state_.settings.socket_limit > 0)
     server_->keep_alive_below(keep_alive_limit(state_.settings.socket_limit));
@@ -87,7 +87,7 @@
     replica_.on_revision_hint(revision);
     peers_.publish_soon();
   };
-  submission_service_.ready = [this] { return is_ready(); };
+  submission_service_.is_ready = [this] { return is_ready(); };
   submission_service_.when_replica_current = [this](std::function<void(bool)> on_done) {
     replica_.when_current(std::move(on_done));
   };
@@ -123,7 +123,7 @@
   if (!replica_.is_live()) return;
   Effects effects;
   state_.wall_clock_offset_s = wall_time() - now();
-  // Before the scheduler, so that it knows the decisions made here.
+  // Decisions come before the scheduler's cycle, which takes them into account.
   if (lease_.authority(now()) == Authority::full) decision_service_.run_cycle(clock(), effects);
   scheduler_.run_cycle(clock(), effects);
   if (lease_.authority(now()) == Authority::full) run_authoritative_cycle(effects);
--- a/src/service/decision_service.cpp
+++ b/src/service/decision_service.cpp
@@ -5,10 +5,10 @@
 namespace oxbowmill::service {
 
 namespace {
-constexpr double decision_rate_fraction =
-    0.05;  // of the state service's change limit, for all decisions together
+// Share of the state service's change limit that all decisions together may use.
+constexpr double decision_rate_fraction = 0.05;
 
-/// Reads a job's final phase for the release coordinator.
+/// Reads a job's final phase and passes it to the release coordinator.
 void query_final_phase(release_calendar::ReleaseCoordinator& coordinator, state::Store& store,
                        const std::string& ref, const std::function<double()>& clock) {
   store.get(state::final_key(ref), Urgency::other,
@@ -30,7 +30,7 @@
       release_coordinator_(state, decision_log_, scheduler, config.clock_skew_s),
       model_autoscaler_(state, decision_log_, scheduler, config.models) {
   release_coordinator_.load(config.calendar);
-  // A controller without a calendar file still observes the releases that are in the shared state.
+  // A controller without a calendar file still observes the releases in the shared state.
   constraints_.add(&release_coordinator_);
   if (!config.models.empty()) constraints_.add(&model_autoscaler_);
   release_coordinator_.query_final_phase = [this, &store, clock](const std::string& ref) {
--- a/src/service/effect_sender.cpp
+++ b/src/service/effect_sender.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr double direct_command_timeout_s = 3;
 
-/// Nothing for a machine whose record holds no usable address.
+/// Parses the address of a machine's agent; empty if the text is not a valid address.
 std::optional<net::Address> parse_machine_address(const std::string& text) {
   try {
     return net::parse_address(text);
@@ -20,7 +20,7 @@
   }
 }
 
-/// The job whose final phase a transaction writes is named by the key behind this prefix.
+/// The ID of the job that a final key belongs to: the key without its prefix.
 std::string job_of_final_key(const std::string& key) {
   static const std::size_t prefix_size = state::final_key("").size();
   return key.substr(prefix_size);
@@ -54,7 +54,7 @@
 }
 
 void EffectSender::on_write_response(std::uint64_t id, const StoreResponse& response) {
-  // A repeated transaction may be answered twice; the first definite outcome counts.
+  // A transaction that was sent again may be answered twice. Its first definite outcome counts.
   const WriteQueue::SentTransaction* sent = write_queue_.find(id);
   if (sent == nullptr) return;
   Revision revision = response.body.is_object() ? committed_revision(response.body) : 0;
@@ -93,7 +93,7 @@
 void EffectSender::send_direct_commands(const DirectCommands& commands) {
   auto destination = parse_machine_address(state_.machine(commands.machine).address);
   if (!destination) return;
-  // Best effort: no response is needed.
+  // Best effort: the response is ignored.
   net::send_once(base_, *destination, EVHTTP_REQ_POST, "/commands",
                  wire::encode(wire::write_direct_commands(commands)), direct_command_timeout_s,
                  [](const net::Response&) {});
--- a/src/service/lease_keeper.cpp
+++ b/src/service/lease_keeper.cpp
@@ -22,10 +22,10 @@
 
 void LeaseKeeper::maintain() {
   double now = clock_();
-  bool without_lease = lease_.state() == LeaseState::none || lease_.state() == LeaseState::lost;
-  if (without_lease) {
+  bool needs_lease = lease_.state() == LeaseState::none || lease_.state() == LeaseState::lost;
+  if (needs_lease) {
     if (now >= next_attempt_at_) acquire();
-  } else if (lease_.state() == LeaseState::active && !renewing_ && now >= next_attempt_at_) {
+  } else if (lease_.state() == LeaseState::active && !is_renewal_in_flight_ && now >= next_attempt_at_) {
     renew();
   }
 }
@@ -46,10 +46,10 @@
 }
 
 void LeaseKeeper::renew() {
-  renewing_ = true;
+  is_renewal_in_flight_ = true;
   std::uint64_t lease_id = lease_.lease_id();
   store_.renew_lease(lease_id, [this, lease_id](const StoreResponse& response) {
-    renewing_ = false;
+    is_renewal_in_flight_ = false;
     if (response.status == 200) {
       lease_.on_renewed(response.sent_at);
       next_attempt_at_ = response.sent_at + renewal_interval_s();
@@ -68,15 +68,15 @@
 }
 
 std::set<std::uint32_t> LeaseKeeper::revoke_previous_leases() {
-  // A controller is one process: while this one runs, the one before it is certainly gone, and its partitions
-  // need not wait for the expiry of a lease that nobody renews. After an outage of the state service that
-  // would take the whole duration of a lease.
+  // Only one process of a controller runs at a time, so the previous process has certainly ended and nobody
+  // renews its lease. Revoking the lease frees its partitions at once instead of at the lease's expiry, which
+  // after an outage of the state service is a whole lease duration away.
   std::set<std::uint32_t> partitions;
-  if (previous_leases_revoked_) return partitions;
-  previous_leases_revoked_ = true;
+  if (has_revoked_previous_leases_) return partitions;
+  has_revoked_previous_leases_ = true;
   std::set<std::uint64_t> leases;
-  for (const auto& [name, live] : state_.controllers()) {
-    if (is_from_previous_process(live.record)) leases.insert(live.record.lease_id);
+  for (const auto& [name, controller] : state_.controllers()) {
+    if (is_from_previous_process(controller.record)) leases.insert(controller.record.lease_id);
   }
   for (std::uint32_t partition = 0; partition < state_.partition_count(); ++partition) {
     const auto& ownership = state_.ownership(PartitionIndex{partition});
@@ -86,7 +86,7 @@
   }
   for (std::uint64_t lease_id : leases) {
     SPDLOG_INFO("revoking lease of previous process lease={}", lease_id);
-    // Not retried: if the call is lost, the lease expires by itself a little later.
+    // Not retried, because the lease expires by itself if the call is lost.
     store_.end_lease(lease_id, [](const StoreResponse&) {});
   }
   return partitions;
--- a/src/service/malformed_message_log.cpp
+++ b/src/service/malformed_message_log.cpp
@@ -5,7 +5,7 @@
 namespace oxbowmill::service {
 
 namespace {
-constexpr std::size_t max_logged = 1000;  // bounds the memory that unknown senders can take
+constexpr std::size_t max_logged = 1000;  // bounds the memory that arbitrary sender names take
 }  // namespace
 
 void MalformedMessageLog::record(const std::string& kind, const std::string& sender) {
--- a/src/service/market_service.cpp
+++ b/src/service/market_service.cpp
@@ -7,7 +7,7 @@
 namespace oxbowmill::service {
 
 namespace {
-constexpr std::size_t connections_per_market = 3;  // one that stalls occupies no more than these
+constexpr std::size_t connections_per_market = 3;  // also limits those that a stalled market occupies
 }  // namespace
 
 MarketService::MarketService(event_base* base, ClusterState& state, Scheduler& scheduler,
@@ -39,7 +39,7 @@
   wire::MarketRequest request = wire::write_market_call(call, state_.names);
   SPDLOG_DEBUG("market call market={} path={} body={}", state_.names.markets.name(call.market), request.path,
                request.body.is_null() ? "" : request.body.dump());
-  // The connection's time-out counts from its last byte; the deadline of the call from when it was sent.
+  // The connection's timeout counts from the last byte transferred, the call's deadline from its sending.
   clients_[call.market.value]->send(
       request.is_post ? EVHTTP_REQ_POST : EVHTTP_REQ_GET, request.path,
       request.body.is_null() ? "" : wire::encode(request.body), settings_.answer_timeout_s,
@@ -59,10 +59,10 @@
 void MarketService::time_out_calls() {
   double now = clock_();
   while (!pending_calls_.empty()) {
-    auto late = std::find_if(pending_calls_.begin(), pending_calls_.end(),
-                             [now](const auto& entry) { return now >= entry.second.deadline; });
-    if (late == pending_calls_.end()) return;
-    on_response(late->first, {});
+    auto late_call = std::find_if(pending_calls_.begin(), pending_calls_.end(),
+                                  [now](const auto& entry) { return now >= entry.second.deadline; });
+    if (late_call == pending_calls_.end()) return;
+    on_response(late_call->first, {});
   }
 }
 
--- a/src/service/partition_claimer.cpp
+++ b/src/service/partition_claimer.cpp
@@ -9,12 +9,11 @@
 using state::StoreResponse;
 
 namespace {
-constexpr double acquisition_stagger_s =
-    0.6;  // between the attempts of the preferred controller and the next one
-constexpr double acquisition_timeout_s = 3;  // without a visible result another attempt is made
-constexpr double refused_retry_s = 0.5;
+constexpr double acquisition_stagger_s = 0.6;  // between the attempts of one controller and the next
+constexpr double acquisition_timeout_s = 3;    // after which an attempt without a visible result is repeated
+constexpr double failed_attempt_retry_s = 0.5;
 constexpr double registration_interval_s = 1;
-constexpr double startup_period_s = 5;  // a controller this young does not know which others are live
+constexpr double startup_period_s = 5;  // until a controller knows which other ones are live
 }  // namespace
 
 PartitionClaimer::PartitionClaimer(state::Store& store, StateReplica& replica, ClusterState& state,
@@ -31,7 +30,7 @@
   for (std::uint32_t number = 0; number < state_.partition_count(); ++number) {
     PartitionIndex partition{number};
     if (state_.ownership(partition).revision != 0) {
-      attempt_at_.erase(number);
+      next_attempt_at_.erase(number);
     } else {
       try_acquire(partition, live, now);
     }
@@ -54,19 +53,20 @@
 std::size_t PartitionClaimer::turn_of(PartitionIndex partition, const std::vector<std::string>& live,
                                       double now) {
   if (previously_owned_.erase(partition.value) != 0) return 0;
-  bool is_young = now - started_at_ < startup_period_s;
+  bool is_starting = now - started_at_ < startup_period_s;
   return acquisition_turn(state_, partition, state_.settings.controller_name,
-                          is_young ? state_.settings.all_controllers : live);
+                          is_starting ? state_.settings.all_controllers : live);
 }
 
 void PartitionClaimer::try_acquire(PartitionIndex partition, const std::vector<std::string>& live,
                                    double now) {
   auto turn = static_cast<double>(turn_of(partition, live, now));
-  double& attempt_at = attempt_at_.emplace(partition.value, now + turn * acquisition_stagger_s).first->second;
-  if (now < attempt_at) return;
-  attempt_at = now + acquisition_timeout_s;
+  double& next_attempt_at =
+      next_attempt_at_.emplace(partition.value, now + turn * acquisition_stagger_s).first->second;
+  if (now < next_attempt_at) return;
+  next_attempt_at = now + acquisition_timeout_s;
   put_own_record(OwnershipKey{partition}, [this, partition](const StoreResponse& response) {
-    if (response.status != 200) attempt_at_[partition.value] = clock_() + refused_retry_s;
+    if (response.status != 200) next_attempt_at_[partition.value] = clock_() + failed_attempt_retry_s;
   });
 }
 
@@ -75,7 +75,7 @@
   std::string encoded_key = state::encode_key(key, state_);
   TransactionBody body;
   body.put_with_lease(encoded_key, state::encode_value(change, state_), lease_.lease_id());
-  // Only this process writes its own registration; an ownership must not have been acquired by anybody.
+  // A registration needs no guard, because only this process writes it. An ownership must not exist yet.
   if (!std::holds_alternative<ControllerKey>(key)) body.require(encoded_key, 0);
   store_.commit(body.json(), Urgency::ownership,
                 [this, encoded_key, change, on_response](const StoreResponse& response) {
--- a/src/service/peer_status_exchange.cpp
+++ b/src/service/peer_status_exchange.cpp
@@ -8,8 +8,9 @@
 using reconciliation::PartitionStatus;
 
 namespace {
-constexpr double state_service_ok_s = 1.5;  // a response of the state service counts as current for this long
-constexpr std::size_t max_suspects = 200;   // keeps an update small when a whole zone is silent
+// The state service counts as responding for this long after its last response.
+constexpr double state_service_response_valid_s = 1.5;
+constexpr std::size_t max_suspects = 200;  // keeps updates small when a whole zone is silent
 }  // namespace
 
 PeerStatusExchange::PeerStatusExchange(const ClusterState& state, Scheduler& scheduler,
@@ -25,7 +26,7 @@
   PeerUpdate update;
   update.controller = state_.settings.controller_name;
   update.revision = std::max(last_committed_, scheduler_.applied_revision());
-  update.state_service_ok = clock_() - store_.last_success_at() < state_service_ok_s;
+  update.state_service_ok = clock_() - store_.last_success_at() < state_service_response_valid_s;
   for (ZoneIndex zone : scheduler_.unreachable_zones(clock_()))
     update.unreachable_zones.push_back(state_.names.zones.name(zone));
   if (reconciler_ == nullptr) return update;
@@ -42,7 +43,7 @@
 void PeerStatusExchange::on_update(const PeerUpdate& update) {
   if (reconciler_ == nullptr) return;
   for (const ReconciliationStatus& status : update.reconciliations) {
-    // A phase that only a newer version knows.
+    // Ignores phases that only newer versions know.
     if (status.phase > static_cast<std::uint32_t>(PartitionPhase::serving)) continue;
     reconciler_->on_peer_status({state_.names.partitions.find(status.partition), status.ownership_revision,
                                  static_cast<PartitionPhase>(status.phase), status.expected, status.reported},
--- a/src/service/peers.cpp
+++ b/src/service/peers.cpp
@@ -8,9 +8,9 @@
 constexpr double publish_interval_s = 1.0;
 constexpr double publish_delay_s = 0.005;
 constexpr double peer_status_valid_s = 3.0;
-constexpr double serve_while_alone_s = 3.0;  // without the state service, while a peer reaches it
-constexpr double serve_in_outage_s = 60.0;   // without the state service, like all controllers
-constexpr double relay_timeout_s = 1.0;  // an agent without an answer must have time for another controller
+constexpr double serve_while_cut_off_s = 3.0;  // without the state service, while a peer reaches it
+constexpr double serve_in_outage_s = 60.0;     // without the state service, while no peer reaches it
+constexpr double relay_timeout_s = 1.0;  // leaves an agent without an answer time for another controller
 constexpr std::size_t relay_connections = 4;
 constexpr double update_timeout_s = 2;
 constexpr int update_field_count = 6;
@@ -59,7 +59,7 @@
     fields.at("state_ok").convert(update.state_service_ok);
     auto unreachable_zones = fields.find("dark");
     if (unreachable_zones != fields.end()) unreachable_zones->second.convert(update.unreachable_zones);
-    // Only hints: one that cannot be read counts as missing.
+    // These fields are only hints, so one that cannot be read counts as missing.
     read_optional_field(fields, "starts", update.reconciliations);
     read_optional_field(fields, "suspects", update.suspected_machines);
     return update;
@@ -68,8 +68,8 @@
   }
 }
 
-bool should_serve(double since_state_answer, bool peer_has_state) {
-  return since_state_answer < (peer_has_state ? serve_while_alone_s : serve_in_outage_s);
+bool should_serve(double since_state_response_s, bool peer_reaches_state_service) {
+  return since_state_response_s < (peer_reaches_state_service ? serve_while_cut_off_s : serve_in_outage_s);
 }
 
 Peers::Peers(event_base* base, const config::Config& config, std::function<double()> now,
@@ -100,7 +100,8 @@
 void Peers::publish() {
   std::string body = encode(make_update_());
   for (std::size_t i = 0; i < update_clients_.size(); ++i) {
-    if (has_update_in_flight_[i]) continue;  // a peer that does not respond gets one message at a time
+    if (has_update_in_flight_[i])
+      continue;  // at most one update at a time, in case the peer does not respond
     has_update_in_flight_[i] = true;
     update_clients_[i]->send(EVHTTP_REQ_POST, "/peer", body, update_timeout_s,
                              [this, i](const net::Response&) { has_update_in_flight_[i] = false; });
--- a/src/service/report_handler.cpp
+++ b/src/service/report_handler.cpp
@@ -43,7 +43,7 @@
     case ReportAnswer::Kind::ok:
       return request.responder->reply(200, wire::encode(wire::write_report_answer(answer)));
     case ReportAnswer::Kind::redirect:
-      // A relayed report is not relayed again: it would circulate.
+      // A relayed report is not relayed again, because it could circulate between controllers.
       if (origin == ReportOrigin::agent && answer.owner_unreachable)
         return relay_.relay(machine, answer.owner, request);
       return request.responder->reply(421, wire::encode(wire::write_report_answer(answer)));
--- a/src/service/request_router.cpp
+++ b/src/service/request_router.cpp
@@ -6,7 +6,7 @@
 constexpr const char* submissions_path = "/submissions";
 constexpr const char* withdraw_suffix = "/withdraw";
 
-/// Answers 405 and returns false unless the request has this method.
+/// Returns whether the request has this method; if not, answers 405.
 bool require_method(const net::Request& request, evhttp_cmd_type method) {
   if (request.method == method) return true;
   request.responder->reply(405, "");
--- a/src/service/state_replica.cpp
+++ b/src/service/state_replica.cpp
@@ -13,14 +13,14 @@
 constexpr double list_retry_s = 0.3;
 constexpr double watch_retry_s = 0.2;
 constexpr double watch_wait_s = 1.0;
-// A watch that returns at once is not followed by the next one sooner: each counts against the request limit.
-constexpr double watch_spacing_s = 0.12;
-constexpr double hinted_spacing_s = 0.03;
-// A controller that owns nothing only has to know who does: if each followed every change at once, watches
-// would take the request limit from placements as controllers are added, and most of a small machine's
-// processor.
-constexpr double idle_spacing_s = 0.6;
-constexpr double frequent_reads_spacing_s = 0.3;
+// Minimum intervals between two watches, because each watch counts against the request limit.
+constexpr double owner_watch_interval_s = 0.12;
+constexpr double hinted_watch_interval_s = 0.03;
+// A controller without partitions only has to know the owners. If all such controllers followed every change
+// at once, their watches would take request rate from placements as controllers are added, and would use most
+// of the processor of a small machine.
+constexpr double non_owner_watch_interval_s = 0.6;
+constexpr double frequent_reads_watch_interval_s = 0.3;
 }  // namespace
 
 StateReplica::StateReplica(event_base* base, state::Store& store, ClusterState& state, Scheduler& scheduler,
@@ -69,7 +69,7 @@
 }
 
 void StateReplica::on_listing_finished() {
-  // Keys that were known before and are not listed were removed while nobody watched.
+  // Known keys that are not listed were removed while the watch was interrupted.
   std::vector<std::string> removed;
   for (const auto& [key, revision] : revisions_) {
     if (revision <= freshness_.revision() && listed_keys_.count(key) == 0) removed.push_back(key);
@@ -89,35 +89,36 @@
 
 void StateReplica::on_revision_hint(Revision revision) {
   if (!freshness_.is_live() || revision <= freshness_.revision() || !retry_timer_.pending()) return;
-  if (!scheduler_.owns_any() || clock_() - last_watch_at_ < hinted_spacing_s) return;
+  if (!scheduler_.owns_any() || clock_() - last_watch_at_ < hinted_watch_interval_s) return;
   retry_timer_.cancel();
   watch();
 }
 
-void StateReplica::when_current(CurrencyHandler on_done) {
+void StateReplica::when_current(FreshnessHandler on_done) {
   double now = clock_();
   readers_.record_read(now);
-  // A watch that was sent before the reader came shows an earlier moment, and one that is held open may
-  // return only much later.
+  // The reader needs a watch that is sent after its request, and a watch that the state service holds open
+  // may delay that one by much.
   bool is_late = readers_.is_watch_late(last_watch_at_, now);
-  if (!freshness_.is_live() || long_polling_ || is_late || !readers_.is_read_often()) return on_done(false);
+  if (!freshness_.is_live() || is_long_polling_ || is_late || !readers_.is_read_often())
+    return on_done(false);
   readers_.wait_for_next_watch(std::move(on_done), now);
 }
 
 void StateReplica::watch() {
   last_watch_at_ = clock_();
-  long_polling_ = !readers_.is_read_often();
+  is_long_polling_ = !readers_.is_read_often();
   readers_.on_watch_sent();
-  store_.watch(state::live_prefix, freshness_.revision(), long_polling_ ? watch_wait_s : 0,
+  store_.watch(state::live_prefix, freshness_.revision(), is_long_polling_ ? watch_wait_s : 0,
                [this](const StoreResponse& response) { on_watch_response(response); });
 }
 
 void StateReplica::on_watch_response(const StoreResponse& response) {
-  long_polling_ = false;
-  std::vector<CurrencyHandler> readers = readers_.take_watching();
+  is_long_polling_ = false;
+  std::vector<FreshnessHandler> readers = readers_.take_open_watch_readers();
   if (response.status != 200) {
-    for (const CurrencyHandler& on_done : readers) on_done(false);
-    // 410: the revision is too old to be watched from.
+    for (const FreshnessHandler& on_done : readers) on_done(false);
+    // 410 means that changes since this revision are no longer available, so the keys are listed again.
     if (response.status == 410) return start();
     return retry_timer_.schedule(watch_retry_s);
   }
@@ -125,7 +126,7 @@
   freshness_.on_watch_response(committed_revision(response.body), response.sent_at);
   publish_freshness();
   forget_confirmed_removals();
-  for (const CurrencyHandler& on_done : readers) on_done(true);
+  for (const FreshnessHandler& on_done : readers) on_done(true);
   if (has_changes && on_change) on_change();
   schedule_watch();
 }
@@ -156,19 +157,19 @@
 }
 
 void StateReplica::schedule_watch() {
-  double since = clock_() - last_watch_at_;
-  double spacing = scheduler_.owns_any()      ? watch_spacing_s
-                   : readers_.is_read_often() ? frequent_reads_spacing_s
-                                              : idle_spacing_s;
-  if (since >= spacing) {
+  double elapsed = clock_() - last_watch_at_;
+  double interval = scheduler_.owns_any()      ? owner_watch_interval_s
+                    : readers_.is_read_often() ? frequent_reads_watch_interval_s
+                                               : non_owner_watch_interval_s;
+  if (elapsed >= interval) {
     watch();
   } else {
-    retry_timer_.schedule(spacing - since);
+    retry_timer_.schedule(interval - elapsed);
   }
 }
 
 bool StateReplica::accept_revision(const std::string& key, Revision revision, bool is_removal) {
-  // A put that is older than a removal already applied must not bring the key back.
+  // A put that is older than a removal that has been applied must not restore the key.
   auto removal = unconfirmed_removals_.find(key);
   if (removal != unconfirmed_removals_.end() && revision <= removal->second) return false;
   auto applied = revisions_.find(key);
@@ -200,9 +201,9 @@
 
 void StateReplica::apply_own_write(const std::vector<std::pair<std::string, Change>>& changes,
                                    Revision revision) {
-  if (revision <= freshness_.revision()) return;  // the watch has shown it already
+  if (revision <= freshness_.revision()) return;  // already applied from the watch
   for (const auto& [key, change] : changes) {
-    // Final phases are not among the live keys that are watched.
+    // The replica does not hold final phases, whose keys are not watched.
     if (std::holds_alternative<FinalPhaseKey>(change.key)) continue;
     if (accept_revision(key, revision, change.is_removal())) state_.apply(change, revision, clock_());
   }
--- a/src/service/submission_service.cpp
+++ b/src/service/submission_service.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t max_final_phases = 20000;
 constexpr int retry_after_s = 1;
 constexpr int max_withdrawal_attempts = 5;
-constexpr std::size_t max_backlog = 200;
+constexpr std::size_t max_waiting_calls = 200;  // to the state service
 constexpr double unresponsive_after_s = 0.8;
 
 void reply_unavailable(const net::ResponderPtr& responder) {
@@ -26,7 +26,7 @@
   reply_error(responder, 404, "no such job");
 }
 
-/// The phase in the key that was read; nothing where there is no readable one.
+/// The phase in the value that was read; empty if there is no readable one.
 std::optional<JobPhase> read_stored_phase(const StoreResponse& response) {
   if (response.status != 200 || !response.body.contains("value")) return std::nullopt;
   return state::read_phase(response.body["value"]);
@@ -55,9 +55,10 @@
 }
 
 bool SubmissionService::is_overloaded() const {
-  // While the state service does not respond, or has more to do than it can, an immediate refusal is better
+  // While the state service does not respond or has too many calls waiting, an immediate refusal is better
   // for the user than a request that is held until it times out.
-  return !ready() || store_.backlog() >= max_backlog || store_.unresponsive_for() >= unresponsive_after_s;
+  return !is_ready() || store_.backlog() >= max_waiting_calls ||
+         store_.unresponsive_for() >= unresponsive_after_s;
 }
 
 void SubmissionService::advance(const PendingQueryPtr& pending, QueryStep step) {
@@ -75,14 +76,13 @@
 }
 
 void SubmissionService::wait_for_replica(const PendingQueryPtr& pending) {
-  // One read for each poll would take the state service's whole request limit at a thousand live jobs. The
-  // replica serves as well once it is known to be as current as the poll; only jobs that are not live in it
-  // are read.
+  // With a thousand live jobs, one read per poll would use up the state service's request limit. The replica
+  // can answer when it is known to be as current as the poll, so only jobs that are not live in it are read.
   when_replica_current([this, pending](bool is_current) {
     const Job* job = is_current ? state_.live_job(state_.find_job(pending->ref)) : nullptr;
     QueryStep next = pending->query.on_replica_current(
         is_current, job != nullptr ? std::make_optional(job->phase) : std::nullopt);
-    // The state service may have become overloaded meanwhile: then nothing more is read.
+    // No key is read if the state service has become overloaded in the meantime.
     advance(pending, next != QueryStep::answer && is_overloaded() ? QueryStep::refuse : next);
   });
 }
@@ -106,7 +106,7 @@
                                                                  QueryHandler on_done) {
   auto pending = std::make_shared<PendingQuery>();
   pending->ref = ref;
-  // Not the shared pointer: the query would own itself.
+  // Captures a plain pointer, because with a shared one the query would own itself and never be freed.
   pending->on_done = [on_done = std::move(on_done), self = pending.get()](QueryStep step) {
     on_done(*self, step);
   };
@@ -145,8 +145,8 @@
   if (!admission.rejection) return commit_submission(ref, admission.record, responder);
   if (admission.is_permanent)
     return reply_error(responder, admission.rejection->status, admission.rejection->reason);
-  // A repeated submission of an accepted job is never rejected, whatever this controller makes of it now: the
-  // catalog may have changed since it was accepted.
+  // A repeated submission of an accepted job is never rejected, even if the submission is not admissible now:
+  // the catalog may have changed since the job was accepted.
   query_keys(ref, [this, ref, rejection = *admission.rejection, responder](const PendingQuery& pending,
                                                                            QueryStep step) {
     if (step == QueryStep::answer) return reply_status(ref, pending.query.phase(), responder);
@@ -165,7 +165,7 @@
                     return responder->reply(201, wire::encode({{"ref", ref}, {"phase", "queued"}}));
                   }
                   if (response.status != 409) return reply_unavailable(responder);
-                  // The job is known already: a repeated submission gets its status.
+                  // The job exists already, so this is a repeated submission, which gets the job's status.
                   query_keys(ref, [this, ref, responder](const PendingQuery& pending, QueryStep step) {
                     if (step == QueryStep::answer) return reply_status(ref, pending.query.phase(), responder);
                     reply_unavailable(responder);
