--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,4 +1,5 @@
-// Services: replicas that run until their job is cancelled, and how they share machines with other work.
+// Tests of services, whose replicas run until the job is cancelled, and of how services share machines with
+// other jobs; tests of the records of completed tasks.
 #include <gtest/gtest.h>
 
 #include "oxbowmill/simulation/simulated_cluster.h"
@@ -17,7 +18,7 @@
   return job_spec;
 }
 
-/// A replica is on exactly this machine, by the records and by the agent itself.
+/// Expects the task to be placed on exactly this machine, and to be held by the machine's agent.
 void expect_running_on(SimulatedCluster& cluster, const std::string& machine, const std::string& ref,
                        TaskNumber task) {
   EXPECT_EQ(cluster.machines_of_task(ref, task), std::vector<std::string>{machine});
@@ -29,13 +30,13 @@
     const char* description;
     std::function<void(SimulatedCluster&)> inject_fault;
     std::string phase;
-    std::size_t final_owner;    // the partition's owner afterwards
-    std::string final_machine;  // where replica 0 is in the end; empty: nowhere
+    std::size_t final_owner;    // index of the partition's owner afterwards
+    std::string final_machine;  // of replica 0 afterwards; empty: none
     int start_count;            // of replica 0, in total
   };
   const Case cases[] = {
-      {"start", [](SimulatedCluster&) {}, "open", 0, "m1", 1},
-      {"lost with its machine",
+      {"a replica without a fault starts once", [](SimulatedCluster&) {}, "open", 0, "m1", 1},
+      {"a replica on a lost machine starts on another one",
        [](SimulatedCluster& cluster) {
          cluster.add_machine("m2");
          cluster.run(2);
@@ -45,7 +46,7 @@
          cluster.run(3);
        },
        "open", 0, "m2", 2},
-      {"on a silent machine, replaced once its lease is over and not before",
+      {"a replica on a silent machine starts on another one after the lease expires and not before",
        [](SimulatedCluster& cluster) {
          cluster.add_machine("m2");
          cluster.run(2);
@@ -55,7 +56,7 @@
          cluster.run(5);
        },
        "open", 0, "m2", 2},
-      {"kept through a takeover",
+      {"a replica keeps running through a failover",
        [](SimulatedCluster& cluster) {
          cluster.kill_controller(0);
          cluster.now += 4;
@@ -63,36 +64,36 @@
          cluster.run(5, 1);
        },
        "open", 1, "m1", 1},
-      {"not stopped for a gang of high rank",
+      {"a replica is not preempted for a gang of high priority",
        [](SimulatedCluster& cluster) {
-         JobSpec g = test_job("run-9", 1, 4);
-         g.shape = JobShape::gang;
-         g.priority = Priority::high;
-         cluster.submit(g);
+         JobSpec gang = test_job("run-9", 1, 4);
+         gang.shape = JobShape::gang;
+         gang.priority = Priority::high;
+         cluster.submit(gang);
          cluster.run(5);
          EXPECT_EQ(cluster.run_log.starts["run-9/0"], 0);
        },
        "open", 0, "m1", 1},
-      {"error: started again",
+      {"a replica that ends with an error starts again",
        [](SimulatedCluster& cluster) {
          cluster.worker("m1").finish("run-1/0", EndCause::error);
          cluster.run(6);
        },
        "open", 0, "m1", 2},
-      {"cancel",
+      {"a replica stops when its job is cancelled",
        [](SimulatedCluster& cluster) {
          EXPECT_EQ(cluster.withdraw("run-1"), 200);
          cluster.run(4);
        },
        "cancelled", 0, "", 1},
-      {"late report under an earlier attempt changes nothing",
+      {"a replica keeps running when a late report names an earlier attempt",
        [](SimulatedCluster& cluster) {
-         WorkerReport late = cluster.worker("m1").report(cluster.now);
-         late.tasks[0].phase = TaskPhase::ended;
-         late.tasks[0].cause = EndCause::error;
-         late.tasks[0].attempt -= 1;
-         late.report_sequence = 0;
-         cluster.controller(0).handle_report(late, cluster.now);
+         WorkerReport late_report = cluster.worker("m1").report(cluster.now);
+         late_report.tasks[0].phase = TaskPhase::ended;
+         late_report.tasks[0].cause = EndCause::error;
+         late_report.tasks[0].attempt -= 1;
+         late_report.report_sequence = 0;
+         cluster.controller(0).handle_report(late_report, cluster.now);
          cluster.run(3);
        },
        "open", 0, "m1", 1},
@@ -117,8 +118,8 @@
   }
 }
 
-TEST(Services, CancellationRacesWithStart) {
-  // The cancellation becomes durable after the placement and before its start is sent.
+TEST(Services, JobCancelledBeforeItsStartIsSentNeverStarts) {
+  // The cancellation becomes durable after the placement and before the start command is sent.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(1);
@@ -134,28 +135,28 @@
 
 TEST(Services, AreExcludedFromSlowTaskDetection) {
   SimulatedCluster cluster;
-  for (const char* m : {"m1", "m2"}) cluster.add_machine(m);
+  for (const char* machine : {"m1", "m2"}) cluster.add_machine(machine);
   cluster.submit(service_job("run-1", 2));
   cluster.submit(service_job("run-2", 2));
   cluster.run(200);
-  for (const char* t : {"run-1/0", "run-1/1", "run-2/0", "run-2/1"})
-    EXPECT_EQ(cluster.run_log.starts[t], 1) << t;
+  for (const char* task : {"run-1/0", "run-1/1", "run-2/0", "run-2/1"})
+    EXPECT_EQ(cluster.run_log.starts[task], 1) << task;
 }
 
 TEST(MachineSharing, ShortAndLongRunningTasksAreSeparated) {
-  // A single long-running replica keeps its machine from every gang and from being returned.
+  // A single long-running replica keeps its machine from all gangs and from being returned.
   MachineType type = simulation::test_catalog()[0];
-  ClusterState model(simulation::test_settings("node-0"), simulation::test_names());
-  model.catalog = {type};
+  ClusterState state(simulation::test_settings("node-0"), simulation::test_names());
+  state.catalog = {type};
   auto whole = [&](bool spot) {
-    CandidateMachine b{MachineIndex{}, TypeIndex{0}, ZoneIndex{0}, spot, 0, type.capacity};
-    return b;
+    CandidateMachine candidate{MachineIndex{}, TypeIndex{0}, ZoneIndex{0}, spot, 0, type.capacity};
+    return candidate;
   };
   auto partly_used = [&](bool long_running, bool spot = false) {
-    CandidateMachine b = whole(spot);
-    b.free_capacity -= Resources{2, 1, 8};
-    b.long_running = long_running;
-    return b;
+    CandidateMachine candidate = whole(spot);
+    candidate.free_capacity -= Resources{2, 1, 8};
+    candidate.long_running = long_running;
+    return candidate;
   };
   JobSpec replica = service_job("run-1", 1), task = test_job("run-2", 1), gang = test_job("run-3", 1, 4);
   task.spot = true;
@@ -167,18 +168,33 @@
     std::size_t chosen_candidate;
   };
   const Case cases[] = {
-      {"a replica goes to others", replica, {whole(false), partly_used(false), partly_used(true)}, 2},
-      {"a replica takes a shared machine before a whole one", replica, {whole(false), partly_used(false)}, 1},
-      {"a task takes a cheap machine", task, {partly_used(false), partly_used(true), whole(true)}, 2},
-      {"a task fills a cheap machine first", task, {whole(true), partly_used(false, true)}, 1},
-      {"a task takes a shared machine before replicas'", task, {partly_used(true), partly_used(false)}, 1},
-      {"a task takes replicas' holes before a whole machine", task, {whole(false), partly_used(true)}, 1},
-      {"a gang takes a whole one", gang, {partly_used(true), whole(false)}, 1},
+      {"a replica joins other replicas", replica, {whole(false), partly_used(false), partly_used(true)}, 2},
+      {"a replica prefers a partly used machine to a whole one",
+       replica,
+       {whole(false), partly_used(false)},
+       1},
+      {"a task prefers a spot machine to partly used on-demand machines",
+       task,
+       {partly_used(false), partly_used(true), whole(true)},
+       2},
+      {"a task prefers a partly used spot machine to a whole one",
+       task,
+       {whole(true), partly_used(false, true)},
+       1},
+      {"a task prefers a machine without replicas to one with replicas",
+       task,
+       {partly_used(true), partly_used(false)},
+       1},
+      {"a task prefers a machine with replicas to a whole machine",
+       task,
+       {whole(false), partly_used(true)},
+       1},
+      {"a gang takes a whole machine", gang, {partly_used(true), whole(false)}, 1},
   };
   for (const Case& test_case : cases) {
-    auto bins = test_case.candidates;
-    evaluate_for_job(test_case.spec, model, bins);
-    auto chosen = choose_machines(test_case.spec, {0}, bins, {0, 0});
+    auto candidates = test_case.candidates;
+    evaluate_for_job(test_case.spec, state, candidates);
+    auto chosen = choose_machines(test_case.spec, {0}, candidates, {0, 0});
     ASSERT_EQ(chosen.size(), 1U) << test_case.description;
     EXPECT_EQ(chosen[0].candidate, test_case.chosen_candidate) << test_case.description;
   }
@@ -188,7 +204,7 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
-  JobSpec gang_spec = test_job("run-1", 2, 4);  // needs two machines; one is there
+  JobSpec gang_spec = test_job("run-1", 2, 4);  // needs two whole machines; one is available
   gang_spec.shape = JobShape::gang;
   gang_spec.partition = PartitionIndex{2};
   JobSpec task = test_job("run-2", 1);
@@ -200,12 +216,13 @@
   cluster.submit(task);
   cluster.run(2);
   EXPECT_EQ(cluster.run_log.starts["run-2/0"], 0);
-  bool cheap = false;
-  for (const ScaleOutRequest& r : cluster.controller(0).scale_outs) cheap = cheap || r.spot;
-  EXPECT_TRUE(cheap);
-  // The cloud has no capacity: using a whole machine is better than not starting at all.
-  for (const ScaleOutRequest& r : std::vector<ScaleOutRequest>(cluster.controller(0).scale_outs)) {
-    cluster.controller(0).autoscaler.on_scale_out_result(r.request_id, true, {}, cluster.now);
+  bool requests_spot = false;
+  for (const ScaleOutRequest& request : cluster.controller(0).scale_outs)
+    requests_spot = requests_spot || request.spot;
+  EXPECT_TRUE(requests_spot);
+  // When the cloud has no capacity, the task takes a whole machine, which is better than not starting at all.
+  for (const ScaleOutRequest& request : std::vector<ScaleOutRequest>(cluster.controller(0).scale_outs)) {
+    cluster.controller(0).autoscaler.on_scale_out_result(request.request_id, true, {}, cluster.now);
   }
   cluster.run(cluster.controller(0).cluster_state.settings.operator_settings.scale_out_delay_s + 2);
   EXPECT_EQ(cluster.run_log.starts["run-2/0"], 1);
@@ -219,45 +236,47 @@
   filler.partition = PartitionIndex{2};
   cluster.submit(filler);
   cluster.run(4);
-  JobSpec g = test_job("run-2", 6, 4);
-  g.shape = JobShape::gang;
-  g.partition = PartitionIndex{2};
-  cluster.submit(g);
-  EXPECT_TRUE(cluster.controller(0).scale_outs.empty());  // tasks being placed need no machines
+  JobSpec gang = test_job("run-2", 6, 4);
+  gang.shape = JobShape::gang;
+  gang.partition = PartitionIndex{2};
+  cluster.submit(gang);
+  EXPECT_TRUE(cluster.controller(0).scale_outs.empty());  // tasks that are being placed need no machines
   cluster.run(cluster.controller(0).cluster_state.settings.operator_settings.scale_out_delay_s + 3);
-  std::size_t for_gang = 0, ahead = 0;
-  for (const ScaleOutRequest& r : cluster.controller(0).scale_outs) {
-    for (PartitionIndex p : r.partitions) ++(p == idle_pool ? ahead : for_gang);
+  std::size_t gang_machines = 0, warm_machines = 0;
+  for (const ScaleOutRequest& request : cluster.controller(0).scale_outs) {
+    for (PartitionIndex partition : request.partitions)
+      ++(partition == idle_pool ? warm_machines : gang_machines);
   }
-  EXPECT_EQ(for_gang, 6U);
-  // Six in 30 s and 20 s to boot: four; at most a tenth of the forty: four.
-  EXPECT_EQ(ahead, 4U);
+  EXPECT_EQ(gang_machines, 6U);
+  // Six machines in 30 s with a boot time of 20 s give a target of four. A tenth of forty machines is four,
+  // too.
+  EXPECT_EQ(warm_machines, 4U);
 }
 
 TEST(CompletionRecords, BusyOwnerBatchesCompletionsAndFreesTheirCapacity) {
-  // A done mark for each ended task once took most of the state service's changes.
+  // Guards against a done mark for each ended task, which took most of the state service's changes.
   SimulatedCluster cluster;
-  Settings& s = cluster.controller(0).cluster_state.settings;
-  s.state_write_rps = 0;  // the owner always counts as busy
-  s.operator_settings.done_mark_delay_s = 20;
+  Settings& settings = cluster.controller(0).cluster_state.settings;
+  settings.state_write_rps = 0;  // the owner always counts as busy
+  settings.operator_settings.done_mark_delay_s = 20;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 4));
   cluster.run(3);
   cluster.worker("m1").finish("run-1/0", EndCause::done);
   cluster.worker("m1").finish("run-1/1", EndCause::done);
   cluster.run(2);
-  auto mark = [&] { return cluster.store.keys().at("o/c/run-1/0").value.at("d").get<std::string>(); };
-  EXPECT_EQ(mark(), "0");
+  auto done_mark = [&] { return cluster.store.keys().at("o/c/run-1/0").value.at("d").get<std::string>(); };
+  EXPECT_EQ(done_mark(), "0");
   cluster.submit(test_job("run-2", 2));  // the machine fits four tasks
   cluster.run(3);
   EXPECT_TRUE(cluster.worker("m1").has("run-2/0"));
   EXPECT_TRUE(cluster.worker("m1").has("run-2/1"));
   cluster.run(20);
-  EXPECT_EQ(mark(), "3");  // both in one change
+  EXPECT_EQ(done_mark(), "3");  // both tasks in one change
   // The end of the job is written without delay.
   cluster.worker("m1").finish("run-1/2", EndCause::done);
   cluster.run(2);
-  EXPECT_EQ(mark(), "3");
+  EXPECT_EQ(done_mark(), "3");
   cluster.worker("m1").finish("run-1/3", EndCause::done);
   cluster.run(2);
   EXPECT_EQ(cluster.phase("run-1"), "done");
@@ -282,7 +301,7 @@
 }
 
 TEST(CompletionRecords, PlacementOnADeletedMachineIsDroppedAtFailover) {
-  // All controllers end between the deletion of the machine's record and that of its placements.
+  // All controllers stop after the machine's record is deleted and before its placements are.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 1));
@@ -290,16 +309,17 @@
   ASSERT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   cluster.kill_controller(0);
   cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {{{"delete", "o/m/m1"}}}}});
-  simulation::SimulatedController started("node-9", cluster.store, simulation::test_settings("node-9"));
-  started.load_state(cluster.now);
-  ASSERT_TRUE(started.acquire_partition(PartitionIndex{1}, cluster.now));
-  started.run_cycle(cluster.now);
+  simulation::SimulatedController new_controller("node-9", cluster.store,
+                                                 simulation::test_settings("node-9"));
+  new_controller.load_state(cluster.now);
+  ASSERT_TRUE(new_controller.acquire_partition(PartitionIndex{1}, cluster.now));
+  new_controller.run_cycle(cluster.now);
   EXPECT_TRUE(cluster.machines_of_task("run-1", 0).empty());
 }
 
 TEST(CompletionRecords, MachineWithAPlacementInFlightIsNotMoved) {
-  // It was once released as idle while the transaction was in flight: the job's owner received no more
-  // reports of its task, since the agent reported to the machine's new owner.
+  // Guards against releasing the machine as idle while the transaction is in flight. The agent would report
+  // to the machine's new owner, and the job's owner would get no more reports of its task.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -308,7 +328,7 @@
   cluster.run(8 * cluster.controller(0).cluster_state.settings.operator_settings.release_to_pool_s);
   ASSERT_FALSE(cluster.controller(0).lost_writes.empty());
   for (const auto& body : cluster.controller(0).lost_writes) {
-    for (const auto& op : body.at("apply")) EXPECT_NE(op.value("put", ""), "o/m/m1");
+    for (const auto& operation : body.at("apply")) EXPECT_NE(operation.value("put", ""), "o/m/m1");
   }
 }
 
