--- a/include/oxbowmill/market/bid_accounting.h
+++ b/include/oxbowmill/market/bid_accounting.h
@@ -1,6 +1,7 @@
-// The durable side of bids: the worst case of each is committed before it is sent and freed when its end is
-// durable. Owns the ledger, the revision of the present leadership and the names of bids; used on the
-// controller's thread only. Outcomes of transactions of an earlier leadership are ignored.
+// Durable records of bids. The worst-case cost of a bid is reserved and its record is written before the bid
+// is sent; the reservation is released when the bid's final cost is durable. Owns the ledger, the revision of
+// the current leadership and the numbering of bids; used on the controller's thread only. Outcomes of
+// transactions of an earlier leadership are ignored.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +17,10 @@
 
 namespace oxbowmill::market {
 
-/// Writes bids, their ends and what is known of markets.
+/// Writes the records of bids, of the ledger and of markets.
 class BidAccounting {
  public:
-  /// All of them must outlive it, and it must outlive the scheduler's pending transactions.
+  /// All arguments must outlive this object, which must outlive the scheduler's pending transactions.
   BidAccounting(const ClusterState& state, Scheduler& scheduler, const MarketRegistry& markets, BidBook& bids,
                 ChargeGuard& charges, const Settings& settings)
       : state_(state),
@@ -30,32 +31,33 @@
         settings_(settings),
         ledger_(settings) {}
 
-  /// The leader's ownership of the idle pool that all state belongs to; 0: not leading.
+  /// Revision of the leader's ownership of the idle pool, which identifies the leadership; 0: not the leader.
   Revision leadership_revision() const { return leadership_revision_; }
-  /// Begins a leadership.
+  /// Begins the leadership of this revision.
   void begin_leadership(Revision revision) { leadership_revision_ = revision; }
-  /// Ends it; the ledger's reservations are forgotten.
+  /// Ends the leadership and clears the ledger's reservations.
   void end_leadership();
-  /// Loads what was spent, as stored. `wall`: seconds since the epoch.
+  /// Loads the stored spending. `wall`: seconds since the epoch.
   void load_ledger(double wall) { ledger_.load(state_.accounting.ledger.record, wall); }
-  /// Adopts stored bids that are not known: an earlier leader's, or one whose transaction was given up and
-  /// applied late. They may have been sent.
+  /// Adopts stored bids that are not in memory: bids of an earlier leader, or a bid whose transaction was
+  /// given up and applied late. They may have been sent.
   void adopt_records(Clock clock);
-  /// Reserves a draft's worst case and queues its record; nothing happens if a spending limit forbids it.
+  /// Creates a bid: reserves its worst-case cost and queues its record. Logs and does nothing if a spending
+  /// limit would be exceeded.
   void commit(const Purchases::BidDraft& draft, Clock clock, Effects& out);
-  /// Queues the ends of bids that are over and the records of markets that changed; one transaction at a
+  /// Queues a transaction that closes ended bids and writes changed market records; one transaction at a
   /// time.
   void settle(Clock clock, Effects& out);
-  /// What was spent and what open bids may cost.
+  /// Amounts that were spent and that open bids may cost.
   const Ledger& ledger() const { return ledger_; }
 
  private:
-  /// One transaction that ends bids and updates markets.
+  /// One transaction that closes bids and updates market records.
   struct Settlement {
     Transaction transaction;
-    LedgerRecord ledger;               // after all these bids
-    std::vector<std::string> bids;     // that it ends
-    std::vector<MarketIndex> markets;  // whose records it writes
+    LedgerRecord ledger;               // record after the costs of all these bids
+    std::vector<std::string> bids;     // names of the bids that it closes
+    std::vector<MarketIndex> markets;  // markets whose records it writes
   };
   BidRecord make_record(const Purchases::BidDraft& draft, Clock clock) const;
   void log_created(const Bid& bid, double limit) const;
@@ -75,7 +77,7 @@
   Ledger ledger_;
   Revision leadership_revision_ = 0;
   std::uint64_t last_bid_number_ = 0;
-  bool settling_ = false;  // a settlement's outcome is not known yet
+  bool settling_ = false;  // the outcome of a settlement is pending
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/bid_lifecycle.h
+++ b/include/oxbowmill/market/bid_lifecycle.h
@@ -1,5 +1,5 @@
-// Follows each bid from its first sending to its definite end: decides its next call and applies the answers.
-// Owns no bids; used on the controller's thread only.
+// State machine of bids from the first call to the definite end: decides each bid's next call and applies the
+// answers. Owns no bids; used on the controller's thread only.
 #pragma once
 
 #include <optional>
@@ -14,13 +14,14 @@
 
 namespace oxbowmill::market {
 
-/// Whether money lacks for work within a guarantee, so that bids for other work give way.
+/// Whether the spending limits leave enough money for all work within guarantees. If not, undecided bids for
+/// other work are withdrawn.
 enum class GuaranteeBudget : std::uint8_t { sufficient, exhausted };
 
-/// Advances bids; everything that is durable is left to `BidAccounting`.
+/// Advances bids; `BidAccounting` writes their durable records.
 class BidLifecycle {
  public:
-  /// All of them must outlive it.
+  /// All arguments must outlive this object.
   BidLifecycle(const MarketRegistry& markets, BidBook& bids, CallTracker& call_tracker, ChargeGuard& charges,
                DeliveryIntake& deliveries, const Settings& settings)
       : markets_(markets),
--- a/include/oxbowmill/market/bidding_service.h
+++ b/include/oxbowmill/market/bidding_service.h
@@ -1,7 +1,7 @@
-// The leader's trade with markets: it follows markets and bids, commits money before it bids, and adopts the
-// machines that are delivered. A façade over classes for single concerns (docs/markets-design.md). Free of
-// input and output: durable changes, answers and the time go in; transactions and calls come out. Used on the
-// controller's thread only.
+// Buys machines on markets for the leader: polls markets, reserves money before it bids, tracks bids and
+// adopts delivered machines. A facade over one class for each of these concerns (docs/markets-design.md).
+// Performs no input or output: it takes durable changes, answers and the time, and produces transactions and
+// calls. Used on the controller's thread only.
 #pragma once
 
 #include <functional>
@@ -25,46 +25,48 @@
 
 namespace oxbowmill::market {
 
-/// Source of machines for the autoscaler that buys them on markets.
+/// Machine source of the autoscaler that buys machines on markets.
 class BiddingService : public MachineSource {
  public:
-  /// State, scheduler (the controller's; money is recorded through them) and settings must outlive it.
+  /// `state` and `scheduler` are the controller's; records are read and written through them. All arguments
+  /// must outlive this object.
   BiddingService(ClusterState& state, Scheduler& scheduler, const Settings& settings);
   BiddingService(const BiddingService&) = delete;
   BiddingService& operator=(const BiddingService&) = delete;
 
-  /// Machines for the partition that have been bid for and can still be counted on.
+  /// Machines that have been bid for, are not delivered yet and can still be counted on.
   std::vector<ExpectedMachines> expected(PartitionIndex partition, Seconds now) const override;
-  /// Buys for the demands and returns for how many tasks of each the cloud is to be asked; elsewhere than on
-  /// the leader that is all of them.
+  /// Creates bids for the demands. Returns, for each demand, the number of tasks to request from the cloud;
+  /// on a controller that is not the leader these are all tasks.
   std::vector<std::uint32_t> plan(const std::vector<UnmetDemand>& unmet_demands,
                                   const std::vector<CloudOffer>& cloud, Clock clock, Effects& out) override;
-  /// Returns machines with nothing on them to their markets; repeated until the markets confirm.
+  /// Returns empty machines to their markets; repeated until the markets confirm.
   void release(const std::vector<MachineIndex>& machines, Seconds now) override;
 
   /// Called for each usable machine that is delivered and has no record yet.
   DeliveryHandler on_delivered;
-  /// Called when machines are back at their market, or it can no longer be known.
+  /// Called when a market has confirmed the return of machines, or when the leadership ends before it has.
   ReturnHandler on_returned;
-  /// Called with the machines of a bid that is charged above its agreement.
+  /// Called with the machines of a disputed bid, which are to be drained.
   OverpricedHandler on_overpriced;
-  /// How demands are turned into awards; experiments put their baselines here.
+  /// Assigns offers to demands; simulations replace it by baselines.
   std::function<Plan(const std::vector<Demand>&, const std::vector<Offer>&, const Ledger&, double reference,
                      const Settings&)>
       planner = make_plan;
 
-  /// One cycle of the leader: advances bids and appends the calls that are due; does nothing elsewhere.
+  /// Runs one cycle: advances bids and appends the calls that are due. Does nothing on a controller that is
+  /// not the leader.
   void run_cycle(Clock clock, Effects& out, std::vector<Call>& calls);
-  /// Applies the answer to one of its calls.
+  /// Applies the answer to a call that `run_cycle` appended.
   void on_answer(const Call& call, const Answer& answer, Clock clock);
 
   /// The bids that are not closed, by name.
   const std::map<std::string, Bid>& bids() const { return bids_.bids(); }
-  /// A configured market; throws std::out_of_range if its index is beyond all of them.
+  /// Client of a configured market. Throws std::out_of_range if the index is above all configured ones.
   const MarketClient& market_client(MarketIndex market) const { return markets_.at(market); }
-  /// What was spent and what open bids may cost.
+  /// Amounts that were spent and that open bids may cost.
   const Ledger& ledger() const { return accounting_.ledger(); }
-  /// Machines within guarantees that the last plan left unserved.
+  /// Number of machines within guarantees that the last plan left unserved.
   std::uint32_t unmet_guarantee() const { return unmet_.guaranteed_machines(); }
 
  private:
@@ -90,8 +92,8 @@
   Seconds next_plan_at_ = 0;
 };
 
-/// The autoscaler buys through this service from now on and adopts what is delivered; both must outlive the
-/// connection.
+/// Makes the service the autoscaler's machine source and forwards deliveries, returns and drains to the
+/// autoscaler. Each must not be used after the other is destroyed.
 void connect(BiddingService& bidding_service, Autoscaler& autoscaler);
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/call_tracker.h
+++ b/include/oxbowmill/market/call_tracker.h
@@ -1,5 +1,5 @@
-// Calls to markets that have no answer yet: at most one for each bid, and one of each kind for each market.
-// Owns the numbers of calls; used on the controller's thread only.
+// Outstanding calls to markets: callers keep at most one for each bid, and one of each kind for each market.
+// Assigns the ids of calls; used on the controller's thread only.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,19 @@
 
 namespace oxbowmill::market {
 
-/// Numbers the calls and remembers those without an answer.
+/// Assigns ids to calls and tracks the outstanding ones.
 class CallTracker {
  public:
-  /// Numbers the call, remembers it and appends it to `calls`. `now`: seconds, steady clock.
+  /// Assigns an id to the call, marks it as outstanding and appends it to `calls`. `now`: steady clock.
   void send(Call call, Seconds now, std::vector<Call>& calls);
-  /// Forgets an answered call and says when it was sent; nothing if it belongs to an earlier leadership,
-  /// whose answers say nothing that the next status call does not say.
+  /// Ends an answered call and returns the time at which it was sent; empty if the call belongs to an earlier
+  /// leadership. Such an answer is ignored because the next status call returns the same information.
   [[nodiscard]] std::optional<Seconds> complete(const Call& call);
-  /// Whether a call about the bid is without an answer.
+  /// Whether a call about the bid is outstanding.
   bool has_bid_call(const std::string& bid_name) const { return bids_with_call_.count(bid_name) != 0; }
-  /// Whether a call of this kind, about no single bid, is without an answer.
+  /// Whether a call of this kind that concerns no single bid is outstanding.
   bool has_market_call(MarketIndex market, CallKind kind) const;
-  /// Forgets all calls; their numbers are not used again.
+  /// Drops all outstanding calls; their ids are not reused.
   void clear();
 
  private:
--- a/include/oxbowmill/market/charge_guard.h
+++ b/include/oxbowmill/market/charge_guard.h
@@ -1,4 +1,4 @@
-// Checks what markets charge against what was agreed, for open bids and for settled ones; a market that
+// Compares the charges of markets with the agreed prices, for open and for settled bids. A market that
 // charges more is suspended. Owns the costs of the bids settled in this leadership; used on the controller's
 // thread only.
 #pragma once
@@ -14,26 +14,27 @@
 
 namespace oxbowmill::market {
 
-/// Finds charges that break an agreement.
+/// Detects charges that exceed the agreed price.
 class ChargeGuard {
  public:
-  /// All of them must outlive it; `on_overpriced` may be set later.
+  /// All arguments must outlive this object; `on_overpriced` may be set later.
   ChargeGuard(const ClusterState& state, const MarketRegistry& markets, BidBook& bids,
               const OverpricedHandler& on_overpriced)
       : state_(state), markets_(markets), bids_(bids), on_overpriced_(on_overpriced) {}
 
-  /// Disputes the bid if `charged` (millionths, so far) is more than it can cost by now.
+  /// Disputes the bid if `charged` (total so far, in millionths) exceeds its highest possible cost at `now`.
   void check_charge(Bid& bid, MoneyAmount charged, Seconds now);
-  /// Reads a market's list of charges. `leadership_revision` tells the bids of this leadership by their
-  /// names.
+  /// Checks a market's list of charges. `leadership_revision` identifies the bids of this leadership by their
+  /// name prefix.
   void on_charges(MarketClient& client, const Answer& answer, Revision leadership_revision, Seconds now);
-  /// Suspends the bid's market and has the bid's machines returned. The reason is stored.
+  /// Suspends the bid's market and reports the bid's machines to `on_overpriced`. The reason is stored with
+  /// the market's record.
   void dispute(Bid& bid, const std::string& why);
-  /// Remembers what a bid cost in the end (millionths).
+  /// Stores the final cost of a settled bid for later checks.
   void on_settled(const Bid& bid);
   /// Whether any bid was settled in this leadership.
   bool has_settled_bids() const { return !settled_costs_.empty(); }
-  /// Forgets the settled bids.
+  /// Discards the costs of settled bids.
   void end_leadership() { settled_costs_.clear(); }
 
  private:
@@ -43,7 +44,7 @@
   const MarketRegistry& markets_;
   BidBook& bids_;
   const OverpricedHandler& on_overpriced_;
-  std::map<std::string, MoneyAmount> settled_costs_;  // by name of the bid
+  std::map<std::string, MoneyAmount> settled_costs_;  // by bid name
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/cloud_offer_source.h
+++ b/include/oxbowmill/market/cloud_offer_source.h
@@ -1,5 +1,5 @@
-// The platform's cloud as a source of offers: its price is posted and it answers at once. Scaling out there
-// remains the autoscaler's task. Owns the offers of the current plan; used on the controller's thread only.
+// Offers of the platform's cloud at its posted prices. The autoscaler sends the resulting scale-out requests.
+// Owns the offers of the current plan; used on the controller's thread only.
 #pragma once
 
 #include <map>
@@ -9,10 +9,11 @@
 
 namespace oxbowmill::market {
 
-/// Offers of the platform's cloud; buying from it is asking the autoscaler to serve that many tasks.
+/// Offer source for the platform's cloud. Buying adds to the tasks that the autoscaler requests from the
+/// cloud.
 class CloudOfferSource : public OfferSource {
  public:
-  /// Replaces what it offers.
+  /// Replaces the offers.
   void set_offers(const std::vector<CloudOffer>& offers) { offers_ = offers; }
   void offers(Seconds now, std::vector<Offer>& out) const override;
   void buy(const Award& award, const Offer& offer, const Demand& demand,
@@ -20,7 +21,8 @@
 
  private:
   std::vector<CloudOffer> offers_;
-  mutable std::map<Seconds, DeliveryDistribution> distribution_cache_;  // by promised delivery time
+  mutable std::map<Seconds, DeliveryDistribution>
+      distribution_cache_;  // by promised delivery time in seconds
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/delivery_deadlines.h
+++ b/include/oxbowmill/market/delivery_deadlines.h
@@ -1,4 +1,4 @@
-// When a bid's machines count as late and as overdue. No state.
+// Computes when the missing machines of a bid count as late and as overdue. Stateless.
 #pragma once
 
 #include "oxbowmill/market/bid.h"
@@ -6,8 +6,8 @@
 
 namespace oxbowmill::market {
 
-/// Sets `late_after` and `abandon_at` from the promised delivery and the market's record of delays; `client`
-/// is null if the market is not configured.
+/// Sets `late_after` and `abandon_at` from the promised delivery time and the market's observed delays.
+/// `client` is null if the market is not configured; then only the promise counts.
 void set_delivery_deadlines(Bid& bid, const MarketClient* client, const Settings& settings);
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/delivery_intake.h
+++ b/include/oxbowmill/market/delivery_intake.h
@@ -1,6 +1,6 @@
-// What markets deliver under bids: new machines are checked and given to partitions, those that were not bid
-// for are returned, and the outcome is counted in the market's reputation. Holds no state of its own beyond
-// the bids'; used on the controller's thread only.
+// Processes deliveries under bids: checks new machines and assigns them to partitions, returns machines that
+// do not match the bid, and updates the market's reputation. Stateless apart from the bids; used on the
+// controller's thread only.
 #pragma once
 
 #include <string>
@@ -14,10 +14,10 @@
 
 namespace oxbowmill::market {
 
-/// Adopts delivered machines.
+/// Checks and adopts delivered machines.
 class DeliveryIntake {
  public:
-  /// All of them must outlive it; `on_delivered` may be set later.
+  /// All arguments must outlive this object; `on_delivered` may be set later.
   DeliveryIntake(const ClusterState& state, const MarketRegistry& markets, BidBook& bids,
                  ChargeGuard& charges, ReturnQueue& returns, const DeliveryHandler& on_delivered)
       : state_(state),
@@ -27,9 +27,10 @@
         returns_(returns),
         on_delivered_(on_delivered) {}
 
-  /// Adopts the machines of an update that are new.
+  /// Processes the machines of an update that are new. Disputes the bid if a machine does not belong to it.
   void adopt_hosts(Bid& bid, const BidUpdate& update, Seconds now);
-  /// Counts once, at the end of deliveries, how many of its machines came.
+  /// Counts delivered and missing machines in the market's reputation; once for each bid, when its deliveries
+  /// end.
   void evaluate(Bid& bid);
 
  private:
--- a/include/oxbowmill/market/extra_machines.h
+++ b/include/oxbowmill/market/extra_machines.h
@@ -1,4 +1,4 @@
-// How much may be bought again for machines that are late. No state.
+// Limits how many machines are bought again in place of late ones. Stateless.
 #pragma once
 
 #include <map>
@@ -10,8 +10,9 @@
 
 namespace oxbowmill::market {
 
-/// Reduces the demands for machines that are late but may still come: within `extra_fraction` of what a
-/// partition needs they are bought again, beyond that the least urgent demands wait for a definite answer.
+/// Limits the machines that are bought again for each partition, because late machines may still be
+/// delivered: up to `extra_fraction` of the partition's demand is bought again. Late machines beyond that
+/// reduce the least urgent demands, which wait for the market's definite answer.
 void limit_extra_machines(std::vector<Demand>& demands, const std::map<std::string, Bid>& bids,
                           const Settings& settings, Seconds now);
 
--- a/include/oxbowmill/market/ledger.h
+++ b/include/oxbowmill/market/ledger.h
@@ -1,6 +1,6 @@
-// Money: what has been paid in the present window and what open bids may cost at worst, against the spending
-// limits. Owns the reservations of open bids; amounts are millionths of the currency. Used on the
-// controller's thread only.
+// Accounts for money: the amounts paid in the current spending window and the worst-case cost of open bids,
+// both checked against the spending limits. Owns the reservations of open bids. Amounts are millionths of the
+// currency. Used on the controller's thread only.
 #pragma once
 
 #include <cstdint>
@@ -13,44 +13,44 @@
 
 namespace oxbowmill::market {
 
-/// Keeps spending under the operators' limits.
+/// Enforces the operators' spending limits.
 class Ledger {
  public:
-  /// The settings must outlive it.
+  /// `settings` must outlive this object.
   explicit Ledger(const Settings& settings) : settings_(settings) {}
 
-  /// Adopts the stored record; spending of an earlier window no longer counts. `wall`: seconds since the
-  /// epoch.
+  /// Loads the stored record; spending of an earlier window is dropped. `wall`: seconds since the epoch.
   void load(const LedgerRecord& record, double wall);
-  /// Reserves a bid's worst case, from before its record is written until its end is durable. `starved`: for
-  /// best-effort work that starved.
+  /// Reserves the worst-case cost of a bid. The reservation is made before the bid's record is written and is
+  /// released when the bid's final cost is durable. `starved`: the bid has the priority `starved`.
   void reserve(const std::string& bid_name, const BidRecord& record, bool starved = false) {
     reservations_[bid_name] = {record, starved};
   }
-  /// Frees a bid's worst case.
+  /// Releases the reservation of a bid.
   void release(const std::string& bid_name) { reservations_.erase(bid_name); }
-  /// Frees all.
+  /// Releases all reservations.
   void clear() { reservations_.clear(); }
 
-  /// What counts against a spending limit.
+  /// Amounts that count against a spending limit, in millionths.
   struct Usage {
-    MoneyAmount per_hour = 0;   ///< sum of the limits of the machines of open bids
-    MoneyAmount in_window = 0;  ///< paid, and the worst case of open bids
+    MoneyAmount per_hour = 0;   ///< sum of the price limits of all machines of open bids
+    MoneyAmount in_window = 0;  ///< amount paid plus the worst-case cost of open bids
   };
-  /// Of all partitions together.
+  /// Usage of all partitions together.
   Usage usage() const;
-  /// Of one partition.
+  /// Usage of one partition.
   Usage usage(PartitionIndex partition) const;
-  /// The hourly part of the reservations for best-effort work that starved.
+  /// Sum of the price limits of all machines reserved with the priority `starved`, in millionths per hour.
   MoneyAmount starved_per_hour() const;
-  /// Why a bid would exceed a limit; nothing if it does not.
+  /// Which spending limit the bid would exceed, as a text for logs; empty if it exceeds none.
   [[nodiscard]] std::optional<std::string> rejection_reason(const BidRecord& record) const;
-  /// How many machines at `limit` (millionths per machine and hour), paid for at most `max_paid_s` seconds,
-  /// the partition may still be committed to.
+  /// Number of machines at `limit` (millionths per machine and hour), each paid for at most `max_paid_s`
+  /// seconds, that the spending limits still allow for the partition.
   std::uint32_t affordable_machines(PartitionIndex partition, MoneyAmount limit, double max_paid_s) const;
-  /// The record after a bid has ended at a cost, which its partitions share by their machines.
+  /// The ledger record after a bid has ended at the cost `charged` (millionths), which is split among its
+  /// partitions in proportion to their machines.
   LedgerRecord after_settlement(const BidRecord& record, MoneyAmount charged, double wall) const;
-  /// Number of the window that a time of day (seconds since the epoch) falls in.
+  /// Number of the spending window that contains `wall` (seconds since the epoch).
   std::int64_t window_number(double wall) const;
 
  private:
@@ -63,7 +63,7 @@
 
   const Settings& settings_;
   LedgerRecord spent_;
-  std::map<std::string, Reservation> reservations_;  // by name of the bid
+  std::map<std::string, Reservation> reservations_;  // by bid name
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/machine_callbacks.h
+++ b/include/oxbowmill/market/machine_callbacks.h
@@ -1,4 +1,4 @@
-// What the service reports about machines; set once by whoever owns them. No state.
+// Callbacks by which the bidding service reports changes of machines to the autoscaler. Types only.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,12 @@
 
 namespace oxbowmill::market {
 
-/// A machine that was bid for is there; the record names its market and bid.
+/// Called for a delivered machine; the record names its market and bid.
 using DeliveryHandler = std::function<void(const HostUpdate&, const MachineRecord&)>;
-/// Machines are no longer held; `confirmed`: the market said so, otherwise it was not known to have answered.
+/// Called for machines that are no longer held. `confirmed`: the market has confirmed the return; otherwise
+/// its answer is unknown.
 using ReturnHandler = std::function<void(const std::vector<MachineIndex>&, bool confirmed)>;
-/// Machines cost more than was agreed: they are to be drained and returned.
+/// Called for machines of a disputed bid, which are to be drained and returned.
 using OverpricedHandler = std::function<void(const std::vector<MachineIndex>&)>;
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/market_client.h
+++ b/include/oxbowmill/market/market_client.h
@@ -1,6 +1,5 @@
-// One market as the leader sees it: the state of the connection, the rate of requests, its quotes, and what
-// has been learnt of its reliability. Owns all of that; sends nothing itself. Used on the controller's thread
-// only.
+// The leader's view of one market: connection state, request rate, quotes and reputation. Sends no requests
+// itself. Used on the controller's thread only.
 #pragma once
 
 #include <map>
@@ -15,10 +14,10 @@
 
 namespace oxbowmill::market {
 
-/// Connection to one market, its quotes and its reputation.
+/// Holds the connection state, quotes and reputation of one market.
 class MarketClient : public OfferSource {
  public:
-  /// Both settings must outlive it.
+  /// Both arguments must outlive this object.
   MarketClient(const MarketSettings& market_settings, const Settings& settings)
       : market_settings_(market_settings), settings_(settings) {}
 
@@ -26,75 +25,76 @@
   void buy(const Award& award, const Offer& offer, const Demand& demand,
            const std::vector<UnmetDemand>& unmet_demands, double reference, Purchases& out) const override;
 
-  /// The only place where the market's state changes; false, and nothing changed, if the transition is not
-  /// allowed.
+  /// Changes the connection state; the only place that does. Returns false and changes nothing if the
+  /// transition is not allowed.
   bool set_state(MarketState to, const std::string& why);
-  /// State of the connection.
+  /// Current connection state.
   MarketState state() const { return state_; }
   /// Whether new bids may be sent.
   bool accepts_bids() const { return state_ == MarketState::trading && !market_settings_.paused; }
-  /// Whether a request may be sent at `now` (seconds, steady) under its pauses and its rate; if so, uses up
-  /// one request of that rate.
+  /// Whether the pauses and the rate limit allow a request at `now` (steady clock); if so, takes one token
+  /// from the rate limit.
   [[nodiscard]] bool try_acquire_request(Seconds now);
-  /// Updates the connection's state by the kind of an answer; its content is for others.
+  /// Updates the connection state from the kind of an answer; its content is handled elsewhere.
   void on_answer(const Answer& answer, Seconds now);
-  /// Replaces the quotes; `requested_at` is when they were asked for (seconds, steady).
+  /// Replaces the quotes. `requested_at` is the time of the request (steady clock).
   void on_quotes(const Answer& answer, Seconds requested_at, const Names& names);
-  /// Adopts what an earlier leader stored.
+  /// Loads the stored record: reputation and suspension.
   void load_record(const MarketRecord& record);
-  /// What is stored of it.
+  /// The record to be stored.
   MarketRecord to_record() const;
-  /// Stops new bids until an operator reinstates the market. The reason is stored with its record.
+  /// Suspends the market: no new bids until an operator reinstates it. The reason is stored in its record.
   void suspend(const std::string& why);
 
-  /// Counts machines that came as agreed (`kept`) and that did not (`broken`).
+  /// Counts machines that were delivered as agreed (`kept`) and that were not (`broken`).
   void record_machines(const MachineKind& kind, double kept, double broken);
-  /// Counts a delivery: promised within `promised_s` of the bid, made after `actual_s` (seconds).
+  /// Counts a delivery that was promised within `promised_s` of the bid and made after `actual_s` (seconds).
   void record_delivery(const MachineKind& kind, Seconds promised_s, Seconds actual_s);
-  /// Counts a final price against the quoted one (the currency per machine and hour).
+  /// Counts the ratio of a final price to the quoted one (both in the currency per machine and hour).
   void record_price(const MachineKind& kind, double quoted, double paid);
-  /// What is expected of it for a kind of machine, overdue ones counted against it.
+  /// Reputation for a kind of machine; machines that are overdue now count as not delivered.
   Reputation reputation(const MachineKind& kind) const;
-  /// What is known of the whole market; this is what is stored.
+  /// Reputation over all kinds of machines; only this one is stored.
   const Reputation& overall_reputation() const { return overall_reputation_; }
-  /// Forgets all overdue machines.
+  /// Resets the counts of overdue machines.
   void clear_overdue_machines() { overdue_machines_.clear(); }
-  /// Counts machines against it while they are overdue and not yet given up.
+  /// Counts machines that are overdue and not yet given up as not delivered, until the counts are reset.
   void add_overdue_machines(const MachineKind& kind, std::uint32_t machines) {
     overdue_machines_[kind] += machines;
   }
 
-  /// Whether quotes should be requested now; `needed`: something is in demand.
+  /// Whether quotes should be requested now. `needed`: there is unmet demand.
   bool quotes_wanted(Seconds now, bool needed) const;
-  /// Notes that quotes have been requested.
+  /// Records that quotes have been requested.
   void on_quotes_requested(Seconds now) { quotes_requested_at_ = now; }
   /// Whether any quote is still valid.
   bool has_quotes(Seconds now) const;
-  /// Whether its list of charges is due to be read.
+  /// Whether the list of charges is due to be requested.
   bool charges_due(Seconds now) const { return now >= next_charges_at_; }
-  /// Notes that its charges have been requested.
+  /// Records that the list of charges has been requested.
   void on_charges_requested(Seconds now);
-  /// Number of the last charge that was read; 0: none.
+  /// Highest number of a charge that was read; 0: none.
   std::uint64_t last_charge_read() const { return last_charge_read_; }
-  /// Notes that a charge was read.
+  /// Records that the charge of this number was read.
   void on_charge_read(std::uint64_t number);
-  /// Reads its charges from the first on again.
+  /// Makes the next request start from the first charge.
   void restart_charges() { last_charge_read_ = 0; }
 
-  /// Whether reputation or suspension changed since they were last written.
+  /// Whether reputation or suspension changed since the record was last written.
   bool has_unsaved_changes() const { return has_unsaved_changes_; }
-  /// Notes that its record is being written (false) or has to be written again (true).
+  /// Marks the record as being written (false) or as to be written again (true).
   void set_unsaved_changes(bool unsaved) { has_unsaved_changes_ = unsaved; }
-  /// The operators' settings of this market.
+  /// The operators' settings for this market.
   const MarketSettings& market_settings() const { return market_settings_; }
 
  private:
   struct Quote {
     QuoteUpdate update;
-    Seconds expires_at = 0;  // steady
+    Seconds expires_at = 0;  // steady clock
   };
   struct CachedDistribution {
-    std::uint64_t evidence_version = 0;  // that it was made from; 0: not made yet
+    std::uint64_t evidence_version =
+        0;  // version of the evidence that it was computed from; 0: not computed yet
     DeliveryDistribution distribution;
   };
   void on_no_answer(AnswerKind kind, Seconds now);
@@ -110,17 +110,17 @@
   std::map<MachineKind, Reputation> reputation_by_kind_;
   std::map<MachineKind, double> overdue_machines_;
   std::vector<Quote> quotes_;
-  std::uint64_t evidence_version_ = 1;  // rises with each delivery that is counted
+  std::uint64_t evidence_version_ = 1;  // increases with each counted delivery
   mutable std::map<std::pair<MachineKind, int>, CachedDistribution>
-      distribution_cache_;  // by kind and promised delivery in whole seconds
+      distribution_cache_;  // by kind and promised delivery time in whole seconds
   bool has_unsaved_changes_ = false;
   std::uint64_t last_charge_read_ = 0;
   Seconds next_charges_at_ = 0;
   Seconds paused_until_ = 0;
   Seconds quotes_requested_at_ = never;
-  Seconds refilled_at_ = 0;  // when the rate's budget was last refilled
+  Seconds refilled_at_ = 0;  // when the tokens were last refilled
   double request_tokens_ = 1;
-  int failures_ = 0;  // calls in a row without a readable answer
+  int failures_ = 0;  // consecutive calls without a readable answer
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/market_poller.h
+++ b/include/oxbowmill/market/market_poller.h
@@ -1,5 +1,6 @@
-// Requests to markets that concern no single bid: quotes while machines are needed, and lists of charges
-// while there are bids. Owns what quotes are asked for; used on the controller's thread only.
+// Polls markets with requests that concern no single bid: quotes while machines are needed, and lists of
+// charges while there are open or settled bids. Owns the list of kinds that quotes are requested for; used on
+// the controller's thread only.
 #pragma once
 
 #include <vector>
@@ -12,17 +13,17 @@
 
 namespace oxbowmill::market {
 
-/// Keeps quotes and charges up to date.
+/// Requests quotes and lists of charges when they are due.
 class MarketPoller {
  public:
-  /// All of them must outlive it.
+  /// All arguments must outlive this object.
   MarketPoller(const ClusterState& state, const MarketRegistry& markets, const BidBook& bids,
                const ChargeGuard& charges, CallTracker& call_tracker)
       : state_(state), markets_(markets), bids_(bids), charges_(charges), call_tracker_(call_tracker) {}
 
-  /// Notes which kinds of machines are needed now.
+  /// Adds the kinds of machines that could serve the demands to those that quotes are requested for.
   void on_demand(const std::vector<UnmetDemand>& unmet_demands, Seconds now);
-  /// Whether a plan should wait a little, since no market has quoted yet and one of them may.
+  /// Whether planning should wait because no market has a valid quote yet and one may still arrive in time.
   bool awaits_first_quotes(Seconds now) const;
   /// Appends the requests that are due.
   void poll(Seconds now, std::vector<Call>& calls);
@@ -37,9 +38,9 @@
   const BidBook& bids_;
   const ChargeGuard& charges_;
   CallTracker& call_tracker_;
-  std::vector<MachineKind> wanted_kinds_;  // that quotes are requested for
-  Seconds wanted_at_ = never;              // last time that something was needed
-  Seconds wanted_since_ = 0;               // begin of the present demand
+  std::vector<MachineKind> wanted_kinds_;  // kinds that quotes are requested for
+  Seconds wanted_at_ = never;              // time of the latest unmet demand
+  Seconds wanted_since_ = 0;               // start of the current period of unmet demand
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/market_registry.h
+++ b/include/oxbowmill/market/market_registry.h
@@ -1,5 +1,5 @@
-// The clients of all configured markets, by market index. Owns them for as long as the service lives; used on
-// the controller's thread only.
+// Owns the clients of all configured markets for the lifetime of the bidding service; used on the
+// controller's thread only.
 #pragma once
 
 #include <memory>
@@ -12,26 +12,27 @@
 
 class BidBook;
 
-/// Owns one client for each configured market.
+/// Finds the client of each configured market by its index.
 class MarketRegistry {
  public:
-  /// The settings must outlive it.
+  /// `settings` must outlive this object.
   explicit MarketRegistry(const Settings& settings);
 
-  /// The market's client; null if the market is not configured.
+  /// Client of the market; null if the market is not configured.
   MarketClient* find(MarketIndex market) const;
-  /// The client of a market that is configured; throws std::out_of_range if its index is beyond all of them.
+  /// Client of a configured market. Throws std::out_of_range if the index is above all configured ones.
   MarketClient& at(MarketIndex market) const { return *by_index_.at(market.value); }
-  /// All clients, in the order of their markets.
+  /// All clients, in the order of their market indices.
   const std::vector<MarketClient*>& clients() const { return configured_; }
 
-  /// Adopts the stored records at the beginning of a leadership.
+  /// Loads the stored records of the markets at the start of a leadership.
   void load_records(const ClusterState& state);
-  /// Forgets what belongs to one leadership only.
+  /// Resets the data that belongs to one leadership: overdue machines and the position in the lists of
+  /// charges.
   void end_leadership();
-  /// Counts the machines that are overdue now against their markets, in place of those counted before.
+  /// Recomputes for each market the number of machines that are overdue now.
   void update_overdue_machines(const BidBook& bids, Seconds now);
-  /// Appends what the markets offer.
+  /// Appends the current offers of all markets.
   void offers(Seconds now, std::vector<Offer>& out) const;
 
  private:
--- a/include/oxbowmill/market/market_state.h
+++ b/include/oxbowmill/market/market_state.h
@@ -1,22 +1,22 @@
-// The states of the connection to one market and the transitions between them. No state of its own; safe to
-// call from any thread.
+// States of the connection to a market and the allowed transitions between them. Stateless; safe to call from
+// any thread.
 #pragma once
 
 #include <cstdint>
 
 namespace oxbowmill::market {
 
-/// State of the connection to a market; `MarketClient::set_state` is the one place that changes it.
+/// State of the connection to a market. Only `MarketClient::set_state` changes it.
 enum class MarketState : std::uint8_t {
   untried,       ///< no answer received yet
-  trading,       ///< answers; bids may be sent
-  throttled,     ///< asked for a pause
-  unresponsive,  ///< several calls in a row got no answer; no new bids until one does
-  probing,       ///< one call is out to see whether it answers again
-  suspended,     ///< broke an agreement about money: no new bids until an operator reinstates it
+  trading,       ///< the market answers; bids may be sent
+  throttled,     ///< the market asked for a pause
+  unresponsive,  ///< several consecutive calls failed; no new bids until one is answered
+  probing,       ///< one call is outstanding to find out whether the market answers again
+  suspended,     ///< overcharged or delivered wrongly; no new bids until an operator reinstates it
 };
 
-/// The state's name in logs.
+/// Name of the state in log lines.
 const char* name_of(MarketState state);
 
 /// Whether `to` is an allowed successor of `from`.
--- a/include/oxbowmill/market/offer_source.h
+++ b/include/oxbowmill/market/offer_source.h
@@ -1,5 +1,5 @@
-// Where machines can be bought, behind one interface: the platform's cloud at its posted price, and markets
-// that quote prices and hold auctions. Interfaces only; they are called on the controller's thread.
+// Common interface of the sources from which machines can be bought: the platform's cloud at its posted
+// prices, and markets that quote prices and hold auctions. Called on the controller's thread only.
 #pragma once
 
 #include <map>
@@ -9,27 +9,27 @@
 
 namespace oxbowmill::market {
 
-/// What the awards of one plan amount to: bids to be made and tasks that the cloud is asked to serve.
+/// Result of one plan: bids to be made, and tasks to be served by the cloud.
 struct Purchases {
-  /// Machines of one offer at one limit; becomes a bid.
+  /// Machines of one offer at one price limit; each draft becomes a bid.
   struct BidDraft {
-    Offer offer;                                       ///< the quote that it answers
-    BidPriority priority = BidPriority::standard;      ///< of the work that it is for
-    double limit = 0;                                  ///< most per machine and hour, in the currency
-    std::map<PartitionIndex, std::uint32_t> machines;  ///< machines for each partition
+    Offer offer;                                   ///< the quote that the bid refers to
+    BidPriority priority = BidPriority::standard;  ///< priority of the work that it serves
+    double limit = 0;                              ///< highest price per machine and hour, in the currency
+    std::map<PartitionIndex, std::uint32_t> machines;  ///< number of machines by partition
   };
-  std::vector<BidDraft> drafts;            ///< in the order of the first award that each came from
-  std::vector<std::uint32_t> cloud_tasks;  ///< by unmet demand: tasks for which the cloud is asked
+  std::vector<BidDraft> drafts;            ///< in the order of the first award of each draft
+  std::vector<std::uint32_t> cloud_tasks;  ///< by unmet demand: tasks to request from the cloud
 };
 
-/// Something that offers machines and can be bought from.
+/// A source of offers.
 class OfferSource {
  public:
   virtual ~OfferSource() = default;
-  /// Appends what can be bought at `now` (seconds, steady clock).
+  /// Appends the offers that can be bought at `now` (steady clock).
   virtual void offers(Seconds now, std::vector<Offer>& out) const = 0;
-  /// Adds an award of one of its offers to the purchases. `reference` is the platform's ordinary price of a
-  /// machine, in the currency per hour.
+  /// Adds the award of one of this source's offers to the purchases. `reference` is the cloud's lowest posted
+  /// price of a machine, in the currency per hour.
   virtual void buy(const Award& award, const Offer& offer, const Demand& demand,
                    const std::vector<UnmetDemand>& unmet_demands, double reference, Purchases& out) const = 0;
 };
--- a/include/oxbowmill/market/planner.h
+++ b/include/oxbowmill/market/planner.h
@@ -1,5 +1,5 @@
-// Turns demands into awards: who gets how many machines of which offer. Pure functions;
-// docs/markets-design.md compares the methods that were considered.
+// Assigns offers to demands. Pure functions; docs/markets-design.md compares the methods that were
+// considered.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +12,26 @@
 
 namespace oxbowmill::market {
 
-/// Machines of one offer for one demand.
+/// Machines of one offer that are assigned to one demand.
 struct Award {
   std::size_t demand = 0;      ///< index of the demand
   std::size_t offer = 0;       ///< index of the offer
-  std::uint32_t machines = 0;  ///< of the offer's type
-  bool is_extra = false;       ///< beyond the demand, since not all of it is expected in time
+  std::uint32_t machines = 0;  ///< number of machines of the offer
+  bool is_extra = false;       ///< in addition to the demand, to replace machines that may not come in time
 };
 
-/// The result of planning.
+/// Result of planning.
 struct Plan {
-  std::vector<Award> awards;         ///< in order of service
-  double cost = 0;                   ///< expected, lateness included, in the currency; what is minimised
-  std::vector<std::uint32_t> unmet;  ///< by demand: units that got nothing
+  std::vector<Award> awards;         ///< in the order of service; awards of extra machines last
+  double cost = 0;                   ///< expected cost in the currency, including the cost of lateness
+  std::vector<std::uint32_t> unmet;  ///< by demand: units without machines
 };
 
-/// Deals out offers. `reference`: the platform's ordinary price of a machine, in the currency per hour.
-/// Priorities are served in their order; within one the cost is least for the offers and the money that are
-/// left. What is not expected in time is then bought again elsewhere, within the allowed extras: a machine
-/// that turns out not to be needed costs the seconds until it is returned, a missing one the deadline.
+/// Assigns offers to demands. `reference`: the cloud's lowest posted price of a machine, in the currency per
+/// hour. Priorities are served in their order; for each of them the expected cost is minimised over the
+/// remaining offers and money. Afterwards, machines of unproven markets that are not expected in time are
+/// bought again within the allowed extra machines, because a machine that turns out not to be needed costs
+/// only the seconds until it is returned, while a missing one costs the deadline.
 Plan make_plan(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
                double reference, const Settings& settings);
 
--- a/include/oxbowmill/market/remaining_budget.h
+++ b/include/oxbowmill/market/remaining_budget.h
@@ -1,5 +1,5 @@
-// Offers and money that are left while a plan serves one priority after the other. Plain data with one
-// operation; copied for trials.
+// Offers and money that remain while a plan serves one priority after the other. A value type that is copied
+// to try a reservation.
 #pragma once
 
 #include <cstddef>
@@ -12,31 +12,31 @@
 
 namespace oxbowmill::market {
 
-/// What a plan may still use.
+/// Machines and money that a plan may still use.
 class RemainingBudget {
  public:
-  /// What a number of machines of one offer takes from it.
+  /// A request for machines of one offer.
   struct Expense {
     std::size_t offer_index = 0;                   ///< index of the offer
-    std::uint32_t machines = 0;                    ///< of the offer
-    MoneyAmount limit = 0;                         ///< millionths per machine and hour
-    double max_paid_s = 0;                         ///< each machine is paid for at most so long
-    BidPriority priority = BidPriority::standard;  ///< of the demand
-    PartitionIndex partition;                      ///< that pays
+    std::uint32_t machines = 0;                    ///< number of machines
+    MoneyAmount limit = 0;                         ///< price limit, in millionths per machine and hour
+    double max_paid_s = 0;                         ///< longest paid time of each machine, in seconds
+    BidPriority priority = BidPriority::standard;  ///< priority of the demand
+    PartitionIndex partition;                      ///< partition that pays
   };
 
-  /// All of the offers, and what the ledger leaves under the spending limits. An unproven market gets at most
-  /// `Settings::trial_fraction` of all demands.
+  /// Starts with all machines of the offers and the money that the ledger leaves under the spending limits.
+  /// All unproven offers of one market together get at most `Settings::trial_fraction` of the demanded units.
   RemainingBudget(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
                   const Settings& settings);
 
-  /// Takes the expense off; false if it does not fit, and then it may have been taken off in part.
+  /// Deducts the expense. Returns false if it does not fit; part of it may have been deducted then.
   bool reserve(const Expense& expense, const Offer& offer);
-  /// Machines that are left of an offer.
+  /// Remaining machines of an offer.
   std::uint32_t machines_left(std::size_t offer_index) const { return offers_[offer_index]; }
-  /// One above the highest number of a market that has offers.
+  /// One above the highest index of a market that has offers.
   std::size_t market_count() const { return unproven_.size(); }
-  /// Machines that may still be given to a market while it is unproven.
+  /// Machines that may still be bought from a market while it is unproven.
   std::uint32_t unproven_machines_left(std::size_t market) const { return unproven_[market]; }
 
  private:
@@ -48,11 +48,11 @@
   static bool spend(MoneyAmount& left, MoneyAmount cost);
   bool reserve_money(const Expense& expense, const Offer& offer);
 
-  std::vector<std::uint32_t> offers_;    // machines, by offer
-  std::vector<std::uint32_t> unproven_;  // machines, by market
+  std::vector<std::uint32_t> offers_;    // remaining machines by offer
+  std::vector<std::uint32_t> unproven_;  // remaining machines by market
   Money total_;
-  MoneyAmount starved_per_hour_ = unlimited;  // for work that starved
-  std::map<PartitionIndex, Money> teams_;     // those with limits of their own
+  MoneyAmount starved_per_hour_ = unlimited;  // for demands with the priority `starved`
+  std::map<PartitionIndex, Money> teams_;     // partitions with limits of their own
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/return_queue.h
+++ b/include/oxbowmill/market/return_queue.h
@@ -1,5 +1,5 @@
-// Machines on their way back to their markets, until each market has confirmed their return. Owns the queue;
-// used on the controller's thread only.
+// Queue of machines that are being returned to their markets. A machine stays queued until its market
+// confirms the return. Used on the controller's thread only.
 #pragma once
 
 #include <map>
@@ -14,10 +14,10 @@
 
 namespace oxbowmill::market {
 
-/// Returns machines and repeats it until the market confirms.
+/// Returns machines to their markets and retries until each return is confirmed.
 class ReturnQueue {
  public:
-  /// All of them must outlive it; `on_returned` may be set later.
+  /// All arguments must outlive this object; `on_returned` may be set later.
   ReturnQueue(const ClusterState& state, const MarketRegistry& markets, BidBook& bids,
               CallTracker& call_tracker, const ReturnHandler& on_returned)
       : state_(state),
@@ -26,18 +26,18 @@
         call_tracker_(call_tracker),
         on_returned_(on_returned) {}
 
-  /// Queues a machine; nothing changes if it is queued already. `machine` is invalid if it has no record.
+  /// Queues a machine; has no effect if it is already queued. `machine` is invalid if it has no record.
   void add(const std::string& host, MachineIndex machine, Seconds now);
-  /// Sends what is due, one call for each market at most.
+  /// Sends the returns that are due, with at most one outstanding call for each market.
   void send(Seconds now, std::vector<Call>& calls);
-  /// Takes confirmed machines out of the queue and reports them.
+  /// Removes confirmed machines from the queue and reports them; schedules a retry for the others.
   void on_answer(const Call& call, const Answer& answer, Seconds now);
-  /// Empties the queue at the end of a leadership and reports its machines as not confirmed.
+  /// Clears the queue at the end of a leadership and reports its machines as unconfirmed.
   void end_leadership();
 
  private:
   struct PendingReturn {
-    MachineIndex machine;  // invalid: it never got a record
+    MachineIndex machine;  // invalid: the machine has no record
     Seconds next_at = 0;
     bool in_flight = false;
   };
@@ -48,7 +48,7 @@
   BidBook& bids_;
   CallTracker& call_tracker_;
   const ReturnHandler& on_returned_;
-  std::map<std::string, PendingReturn> pending_;  // by name of the machine
+  std::map<std::string, PendingReturn> pending_;  // by machine name
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/state_set.h
+++ b/include/oxbowmill/market/state_set.h
@@ -1,4 +1,4 @@
-// A set of states of an enumeration, for tables of allowed transitions. A constant value.
+// A constant set of enumerators, used in tables of allowed state transitions.
 #pragma once
 
 #include <cstdint>
@@ -6,15 +6,15 @@
 
 namespace oxbowmill::market {
 
-/// A set of enumerators, which must lie between 0 and 31.
+/// A set of enumerators, whose values must lie between 0 and 31.
 template <class State>
 class StateSet {
  public:
-  /// The set of these states.
+  /// Creates the set of the given states.
   constexpr StateSet(std::initializer_list<State> states) {
     for (State state : states) bits_ |= bit(state);
   }
-  /// Whether the state is one of the set.
+  /// Whether the set contains the state.
   [[nodiscard]] constexpr bool contains(State state) const { return (bits_ & bit(state)) != 0; }
 
  private:
--- a/include/oxbowmill/market/unmet_capacity.h
+++ b/include/oxbowmill/market/unmet_capacity.h
@@ -1,5 +1,4 @@
-// What the last plan left unserved, why, and its log line. Owns these figures; used on the controller's
-// thread only.
+// Tracks and logs the demand that the last plan left unserved. Used on the controller's thread only.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +9,21 @@
 
 namespace oxbowmill::market {
 
-/// Machines that the last plan did not buy.
+/// Demand that the last plan left unserved, and its probable reason.
 class UnmetCapacity {
  public:
-  /// The settings must outlive it.
+  /// `settings` must outlive this object.
   explicit UnmetCapacity(const Settings& settings) : settings_(settings) {}
 
-  /// Takes the result of a plan; logs it now and then. `reference`: ordinary price of a machine, in the
-  /// currency per hour.
+  /// Evaluates a plan and logs unserved demand at a limited rate. `reference`: the cloud's lowest posted
+  /// price of a machine, in the currency per hour.
   void update(const std::vector<Demand>& demands, const Plan& plan, const Ledger& ledger, double reference,
               Seconds now);
-  /// Nothing is needed.
+  /// Resets the figures when there is no unmet demand.
   void clear();
-  /// Machines within guarantees that the last plan left unserved.
+  /// Number of machines within guarantees that the last plan left unserved.
   std::uint32_t guaranteed_machines() const { return guaranteed_machines_; }
-  /// Whether money lacked for one of these.
+  /// Whether the remaining money does not cover the unserved machines of a guaranteed demand.
   bool budget_exhausted() const { return budget_exhausted_; }
 
  private:
--- a/src/market/bid.cpp
+++ b/src/market/bid.cpp
@@ -14,7 +14,7 @@
 using State = BidState;
 constexpr std::size_t state_count = static_cast<std::size_t>(State::closed) + 1;
 
-/// By state: its successors.
+/// Allowed successors of each state.
 constexpr std::array<StateSet<State>, state_count> allowed_transitions = {{
     /* committing  */ {State::committed, State::closed},
     /* committed   */ {State::submitted, State::settling},
--- a/src/market/bid_accounting.cpp
+++ b/src/market/bid_accounting.cpp
@@ -100,7 +100,7 @@
     set_state(*bid, BidState::committed, "its worst case is durable");
     return;
   }
-  // Never durable, so never sent.
+  // The record never became durable, so the bid was never sent.
   set_state(*bid, BidState::closed, "its commitment was refused");
   ledger_.release(bid_name);
   bids_.remove(bid_name);
@@ -128,7 +128,7 @@
 }
 
 void BidAccounting::add_finished_bids(Settlement& settlement, double wall) {
-  // One change is the ledger's, the others are bids and markets.
+  // One change of the transaction is left for the ledger record.
   const std::size_t capacity = state_.settings.max_transaction_ops - 1;
   settlement.ledger = state_.accounting.ledger.record;
   Ledger running_total(settings_);
@@ -148,7 +148,7 @@
   for (MarketClient* client : markets_.clients()) {
     if (!client->has_unsaved_changes() || settlement.bids.size() + settlement.markets.size() >= capacity)
       continue;
-    // Reputation alone is written along with the next bid's end; a suspension at once.
+    // A suspension is written at once; a changed reputation is written together with the next ended bid.
     if (settlement.bids.empty() && client->state() != MarketState::suspended) continue;
     MarketIndex market = client->market_settings().index;
     auto entry = state_.accounting.markets.find(market);
@@ -165,7 +165,7 @@
   settling_ = false;
   bool applied = bid_names.empty() || state_.accounting.bids.count(bid_names.front()) == 0;
   for (MarketIndex market : markets) {
-    // Written again if the transaction was refused; writing the same twice does no harm.
+    // The record is written again if the transaction was refused; writing it twice is harmless.
     MarketClient& client = markets_.at(market);
     auto entry = state_.accounting.markets.find(market);
     bool stored = entry != state_.accounting.markets.end() &&
--- a/src/market/bid_book.cpp
+++ b/src/market/bid_book.cpp
@@ -35,11 +35,13 @@
   std::vector<MachineSource::ExpectedMachines> out;
   for (const auto& [name, bid] : bids_) {
     std::uint32_t missing = missing_machines(bid);
-    // Machines that are late or given up are bought again, so that a demand cannot wait for ever.
+    // Machines that are late or given up are not counted on, so that they are bought again and the demand
+    // cannot wait forever.
     if (missing == 0 || is_delivery_late(bid, now)) continue;
     auto own = bid.record.machines.find(partition);
     if (own == bid.record.machines.end()) continue;
-    // Deliveries go to the partitions in order; this partition's share of what is missing.
+    // Delivered machines are assigned to the partitions in their order, so the machines of earlier partitions
+    // are subtracted to find how many this partition has received.
     std::uint32_t before = 0;
     for (auto it = bid.record.machines.begin(); it != own; ++it) before += it->second;
     std::uint32_t received = bid.usable > before ? std::min(bid.usable - before, own->second) : 0;
--- a/src/market/bid_lifecycle.cpp
+++ b/src/market/bid_lifecycle.cpp
@@ -11,22 +11,23 @@
 
 namespace {
 constexpr Seconds status_interval_s = 1, running_status_interval_s = 10;
-constexpr Seconds min_retry_s = 0.5, max_retry_s = 8;  // after a call without an answer
+constexpr Seconds min_retry_s = 0.5, max_retry_s = 8;  // exponential backoff after calls without an answer
 constexpr int max_retry_doublings = 8;
-constexpr Seconds final_charge_timeout_s = 120;  // a market has to state its charge by then
+// Time after the last paid second for the market to report its charge.
+constexpr Seconds final_charge_timeout_s = 120;
 
 Seconds retry_delay(int unanswered_calls) {
   return std::min(max_retry_s, min_retry_s * std::exp2(std::min(unanswered_calls, max_retry_doublings)));
 }
 
-/// Whether the bid is on its way to being won but not won yet.
+/// Whether the bid has been sent or is about to be, is not won, and no raise of it is being confirmed.
 bool is_undecided(BidState state) {
   return state == BidState::committed || state == BidState::submitted || state == BidState::open ||
          state == BidState::raised;
 }
 
-/// Whether a requested withdrawal is due in this state. A bid that is not confirmed to be at the market is
-/// asked for first; a raise is given up by a transition of its own.
+/// Whether a requested withdrawal can be sent in this state. The status of an unconfirmed bid is requested
+/// first; `advance` withdraws a raised bid itself.
 bool may_withdraw(BidState state) {
   return state == BidState::submitted || state == BidState::open || state == BidState::won ||
          state == BidState::confirming;
@@ -57,10 +58,10 @@
 
 void BidLifecycle::advance(Bid& bid, GuaranteeBudget budget, Clock clock, std::vector<Call>& calls) {
   MarketClient* client = markets_.find(bid.record.market);
-  // Its market was taken out of the settings: the money stays committed until it is put back.
+  // The market was removed from the settings. The money stays reserved until the market is configured again.
   if (client == nullptr) return;
   bool overdue = check_overdue(bid, clock.now);
-  // A bid that is not won yet gives way to a guarantee that lacks money, and to the market's suspension.
+  // Undecided bids are withdrawn if guaranteed work lacks money or the market is suspended.
   bool yields = budget == GuaranteeBudget::exhausted && bid.priority != BidPriority::guaranteed;
   if ((yields || client->state() == MarketState::suspended) && is_undecided(bid.state))
     bid.withdraw_requested = true;
@@ -165,7 +166,8 @@
 
 void BidLifecycle::on_not_found(Bid& bid, Seconds now) const {
   bid.unanswered_calls = 0;
-  // The market never received the bid, or not yet: the withdrawal uses the name up either way.
+  // The market has not received the bid, or will receive it later. In both cases the withdrawal marks the
+  // name as used, so that a late bid under it is rejected.
   if (bid.state == BidState::withdrawing) {
     bid.next_action_at = now + min_retry_s;
     return;
@@ -177,7 +179,7 @@
 void BidLifecycle::on_rejected(Bid& bid, CallKind kind, Seconds now) const {
   bid.unanswered_calls = 0;
   if (kind == CallKind::bid && bid.state == BidState::submitted) {
-    // Definite for this request only: an earlier copy without an answer may still be on its way.
+    // The rejection is definite for this request only: an earlier, unanswered copy may still arrive.
     bid.withdraw_requested = true;
     set_state(bid, BidState::withdrawing, "rejected by the market");
   }
@@ -235,8 +237,8 @@
   }
   bid.raise_round = update.round;
   bid.requested_rate = update.raised_rate;
-  // A raise within the limit while confirming is a newer one, or the confirmation has not arrived yet: it is
-  // confirmed again, under the raise's present number.
+  // While confirming, a raise within the limit is either a newer one, or the confirmation has not arrived
+  // yet. It is confirmed again with its current number.
   if (bid.state == BidState::confirming && update.raised_rate <= bid.record.price_limit) return;
   if (!set_state(bid, BidState::raised, "raised to " + std::to_string(to_currency(update.raised_rate))))
     return;
@@ -249,7 +251,7 @@
                 to_currency(bid.record.price_limit), to_currency(update.raised_rate));
     return;
   }
-  // The worst case at the limit is committed already.
+  // The worst-case cost at the price limit is already reserved.
   set_state(bid, BidState::confirming, "within the limit");
   bid.next_action_at = 0;
 }
--- a/src/market/bidding_service.cpp
+++ b/src/market/bidding_service.cpp
@@ -30,7 +30,7 @@
   }
   Revision revision = state_.ownership(idle_pool).revision;
   if (accounting_.leadership_revision() != revision) {
-    // Another leader may have been in between: what is known of bids here is void, the records hold them all.
+    // Another controller may have led in between, so the bids in memory are stale; the records hold all bids.
     release_leadership();
     accounting_.begin_leadership(revision);
     markets_.load_records(state_);
--- a/src/market/charge_guard.cpp
+++ b/src/market/charge_guard.cpp
@@ -8,9 +8,9 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr std::size_t max_settled_bids = 5000;   // remembered
-constexpr MoneyAmount rounding_tolerance = 100;  // millionths, in sums of charges
-constexpr Seconds min_charged_s = 60;            // a market may charge at least that long for a machine
+constexpr std::size_t max_settled_bids = 5000;   // bids whose final cost is kept
+constexpr MoneyAmount rounding_tolerance = 100;  // millionths; charges are sums of rounded amounts
+constexpr Seconds min_charged_s = 60;            // minimum time that a market may charge for a machine
 
 std::string amount_text(MoneyAmount amount) {
   return std::to_string(to_currency(amount));
@@ -21,7 +21,8 @@
   if (bid.disputed) return;
   MoneyAmount most = worst_case(bid.record);
   if (bid.charged_since >= 0) {
-    // How long its machines have been there shows an excess long before the worst case is passed.
+    // Limiting the charge by the time since the first delivery detects an overcharge long before the worst
+    // case is exceeded.
     double longest_s = now - bid.charged_since + min_charged_s;
     most = std::min(most, worst_case(bid.record.price_limit, longest_s, bid.record.count()));
   }
@@ -66,7 +67,7 @@
   for (const std::string& host : bid.hosts) {
     MachineIndex machine = state_.find_recorded(host);
     if (!machine.valid()) continue;
-    // A machine that reported before the market named it has a record without a bid.
+    // The record of a machine that reported before the market listed it names no bid.
     const MachineRecord& record = state_.machine(machine).record;
     if (record.market == bid.record.market && (record.bid.empty() || record.bid == bid.name))
       machines.push_back(machine);
--- a/src/market/cloud_offer_source.cpp
+++ b/src/market/cloud_offer_source.cpp
@@ -5,8 +5,8 @@
 namespace oxbowmill::market {
 
 namespace {
-/// The cloud states when machines are usually up and mostly keeps to it: a spread of a fifth around a promise
-/// of 10 s, with the weight of 20 deliveries.
+/// Assumed delivery times of the cloud, which mostly keeps to its stated boot time: deviations of a fifth
+/// around a promise of 10 s, with the weight of 20 deliveries.
 Reputation punctual_reputation() {
   constexpr int deliveries = 20;
   constexpr Seconds promised_s = 10, early_s = 8, late_s = 12;
@@ -35,7 +35,7 @@
 
 void CloudOfferSource::buy(const Award& award, const Offer& offer, const Demand& demand,
                            const std::vector<UnmetDemand>& unmet_demands, double, Purchases& out) const {
-  // The most urgent of the grouped demands first.
+  // The most urgent demands of the group come first.
   std::uint32_t tasks = award.machines * demand.per_machine[offer.type.value];
   for (std::size_t index : demand.unmet_demands) {
     std::uint32_t wanted = unmet_demands[index].tasks;
--- a/src/market/delivery_deadlines.cpp
+++ b/src/market/delivery_deadlines.cpp
@@ -5,8 +5,9 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr double late_probability = 0.8;      // late once this share of such deliveries would have come ...
-constexpr double overdue_probability = 0.95;  // ... and overdue once this share would
+// A delivery is late, or overdue, when this fraction of comparable deliveries would have been made.
+constexpr double late_probability = 0.8;
+constexpr double overdue_probability = 0.95;
 }  // namespace
 
 void set_delivery_deadlines(Bid& bid, const MarketClient* client, const Settings& settings) {
--- a/src/market/delivery_intake.cpp
+++ b/src/market/delivery_intake.cpp
@@ -7,7 +7,8 @@
 namespace oxbowmill::market {
 
 namespace {
-/// Partition of the usable machine number `nth` (from 0); the partitions get theirs in order.
+/// Partition that gets the usable machine with the index `nth` (from 0). Machines fill the partitions in
+/// order.
 PartitionIndex partition_of(const BidRecord& record, std::uint32_t nth) {
   for (const auto& [partition, machines] : record.machines) {
     if (nth < machines) return partition;
@@ -51,7 +52,7 @@
   bids_.set_host(host.name, bid.name);
   bool surplus = bid.delivered >= bid.record.count();
   if (!surplus) ++bid.delivered;
-  // It had no machine when the market last reported on it, so that it cannot charge from before then.
+  // The bid had no machine at the market's previous report, so nothing can be charged for the time before it.
   if (bid.charged_since < 0 && !bid.adopted)
     bid.charged_since = std::max(bid.last_status_at, bid.first_sent_at);
   if (!surplus && !bid.adopted) client.record_delivery(kind, bid.record.delivery_s, now - bid.first_sent_at);
@@ -72,7 +73,8 @@
   if (bid.evaluated) return;
   bid.evaluated = true;
   MarketClient* client = markets_.find(bid.record.market);
-  // An auction that was lost broke no promise; one that was won, or went on beyond its time, did.
+  // A lost auction breaks no promise. A bid that was won, that got machines or that became overdue does, if
+  // machines are missing.
   bool promised = bid.state == BidState::won || bid.delivered > 0 || bid.late;
   if (client == nullptr || !promised || bid.first_sent_at < 0) return;
   double missing = bid.record.count() - std::min(bid.record.count(), bid.usable);
--- a/src/market/demand_groups.cpp
+++ b/src/market/demand_groups.cpp
@@ -8,12 +8,12 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr Seconds late_slack_s = 5;             // demands with less are late, and all alike
-constexpr double slack_steps_per_doubling = 5;  // slack is alike within a fifth of a doubling
-constexpr double run_steps_per_doubling = 2;    // run times are alike within half a doubling
+constexpr Seconds late_slack_s = 5;             // demands with less slack are late and form one step
+constexpr double slack_steps_per_doubling = 5;  // slack in the same fifth of a doubling is similar
+constexpr double run_steps_per_doubling = 2;    // run times in the same half of a doubling are similar
 constexpr double no_deadline = 1e9;
 
-/// Demands that are equal in all of this are planned as one.
+/// Demands with equal keys are planned as one group.
 struct GroupKey {
   BidPriority priority;
   PartitionIndex partition;
@@ -48,7 +48,7 @@
           run_step(unmet_demand.estimated_run_s)};
 }
 
-/// A group without units yet.
+/// Creates a group without units.
 Demand make_group(const UnmetDemand& unmet_demand, BidPriority priority) {
   Demand demand;
   demand.priority = priority;
--- a/src/market/extra_machines.cpp
+++ b/src/market/extra_machines.cpp
@@ -9,7 +9,8 @@
 namespace {
 using MachinesByPartition = std::map<PartitionIndex, std::uint32_t>;
 
-/// Machines of bids that are late, by partition; the last partitions of a bid are those that lack theirs.
+/// Late machines of all bids by partition. Deliveries fill the partitions of a bid in order, so the last ones
+/// lack machines.
 MachinesByPartition late_machines(const std::map<std::string, Bid>& bids, Seconds now) {
   MachinesByPartition late;
   for (const auto& [name, bid] : bids) {
@@ -24,8 +25,8 @@
   return late;
 }
 
-/// How many machines of each partition may still be bought as extras. Late machines use up the allowance;
-/// what remains in `late` is beyond it.
+/// Number of extra machines that may still be bought for each partition. Late machines use up this allowance;
+/// those that exceed it remain in `late`.
 MachinesByPartition remaining_allowance(const std::vector<Demand>& demands, const Settings& settings,
                                         MachinesByPartition& late) {
   MachinesByPartition wanted, allowances;
--- a/src/market/ledger.cpp
+++ b/src/market/ledger.cpp
@@ -6,16 +6,16 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr std::uint32_t no_machine_limit = 1'000'000;  // more than any plan asks for
+constexpr std::uint32_t no_machine_limit = 1'000'000;  // above the machines of any plan
 
-/// Lowers `machines` to what a limit still allows at `each` for a machine; 0: no such limit.
+/// Lowers `machines` to the number that a limit still allows at the price `each`. A limit of 0 is unlimited.
 void limit_machines(std::uint32_t& machines, MoneyAmount limit, MoneyAmount used, MoneyAmount each) {
   if (limit <= 0 || each <= 0) return;
   MoneyAmount affordable = std::max<MoneyAmount>(0, limit - used) / each;
   machines = static_cast<std::uint32_t>(std::min<MoneyAmount>(machines, affordable));
 }
 
-/// Which limit would be exceeded by this much more; null: none.
+/// Name of the limit that additional money would exceed; null if it exceeds none.
 const char* exceeded_limit(const SpendingLimit& limit, const Ledger::Usage& usage, MoneyAmount per_hour,
                            MoneyAmount worst) {
   if (limit.per_hour > 0 && usage.per_hour + per_hour > limit.per_hour) return "per hour";
@@ -29,7 +29,7 @@
 }
 
 void Ledger::load(const LedgerRecord& record, double wall) {
-  // A clock that was set back must not clear the spending of a later window.
+  // A clock that was set back must not discard the spending of a later window.
   std::int64_t window = std::max(window_number(wall), record.window);
   spent_ = record.window == window ? record : LedgerRecord{window, {}};
 }
@@ -105,7 +105,7 @@
   MoneyAmount left = charged;
   auto machines = static_cast<MoneyAmount>(record.count());
   for (auto it = record.machines.begin(); it != record.machines.end() && machines > 0; ++it) {
-    // The last partition takes what rounding leaves, so that the shares add up to the whole.
+    // The last partition gets the rounding remainder, so that the parts add up to the charge.
     MoneyAmount partition_cost =
         std::next(it) == record.machines.end() ? left : charged * it->second / machines;
     ledger_record.spent[it->first] += partition_cost;
--- a/src/market/market_client.cpp
+++ b/src/market/market_client.cpp
@@ -8,16 +8,18 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr int unresponsive_after = 3;  // calls in a row without a readable answer
-constexpr Seconds min_pause_s = 2, max_pause_s = 60;
+constexpr int unresponsive_after = 3;                 // consecutive calls without a readable answer
+constexpr Seconds min_pause_s = 2, max_pause_s = 60;  // exponential backoff while unresponsive
 constexpr Seconds min_throttle_s = 0.5;
-constexpr Seconds first_quote_interval_s = 1;  // while a market has not answered yet
+constexpr Seconds first_quote_interval_s = 1;  // until the market answers for the first time
 constexpr Seconds charges_interval_s = 10;
-constexpr Seconds min_quote_remaining_s = 0.3;  // to commit and send a bid before the quote expires
-constexpr double price_limit_quantile = 0.9;    // the final price stays below the limit with this probability
-constexpr double proven_fraction = 0.8;         // a proven market delivers at least this fraction, ...
-constexpr double proven_quantile = 0.2;         // ... with at most this probability of less
-constexpr double min_fraction = 0.05;           // below this expected fraction nothing is bought
+constexpr Seconds min_quote_remaining_s = 0.3;  // time to write and send a bid before the quote expires
+constexpr double price_limit_quantile = 0.9;    // probability that the final price stays below the limit
+// A market is proven if it delivers less than `proven_fraction` with a probability of at most
+// `proven_quantile`.
+constexpr double proven_fraction = 0.8;
+constexpr double proven_quantile = 0.2;
+constexpr double min_fraction = 0.05;  // offers with a lower expected delivered fraction are ignored
 }  // namespace
 
 bool MarketClient::set_state(MarketState to, const std::string& why) {
@@ -67,14 +69,15 @@
   if (answer.implausible_quotes > 0) {
     SPDLOG_ERROR("implausible quotes dropped market={} quotes={}", market_settings_.name,
                  answer.implausible_quotes);
-    // Counted against the whole market: its quotes for the other kinds are no more credible.
+    // Counts against the whole market because its quotes for other kinds are no more credible.
     overall_reputation_.record_machines(0, answer.implausible_quotes);
     has_unsaved_changes_ = true;
   }
   quotes_.clear();
   for (const QuoteUpdate& quote : answer.quotes) {
     if (quote.kind.type.value >= names.types.size() || quote.kind.zone.value >= names.zones.size()) continue;
-    // From the time of the request: the market counts its validity from a later moment.
+    // Validity is counted from the request, since the market starts to count it later; no quote is used too
+    // long.
     quotes_.push_back({quote, requested_at + quote.valid_s});
   }
 }
@@ -82,7 +85,7 @@
 bool MarketClient::quotes_wanted(Seconds now, bool needed) const {
   if (state_ == MarketState::suspended || now < paused_until_) return false;
   if (state_ == MarketState::unresponsive || state_ == MarketState::throttled)
-    return true;  // a probe, to see whether it answers again
+    return true;  // one probe, to find out whether the market answers again
   Seconds interval = state_ == MarketState::untried ? first_quote_interval_s : settings_.quote_interval_s;
   return needed && now - quotes_requested_at_ >= interval;
 }
@@ -171,7 +174,7 @@
 
 const DeliveryDistribution& MarketClient::delivery_distribution(const QuoteUpdate& quote,
                                                                 const Reputation& reputation) const {
-  // Recomputed only when a delivery has been counted since: plans ask for it several times a second.
+  // Recomputed only after another delivery has been counted, because plans use it several times a second.
   int promised_s = static_cast<int>(std::lround(quote.deliver_s));
   CachedDistribution& cached = distribution_cache_[{quote.kind, promised_s}];
   if (cached.evidence_version != evidence_version_) {
--- a/src/market/market_poller.cpp
+++ b/src/market/market_poller.cpp
@@ -6,8 +6,8 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr Seconds first_quotes_timeout_s = 1;   // so long demand waits for quotes before the cloud gets it
-constexpr Seconds quote_refresh_window_s = 15;  // quotes are kept up to date so long after the last demand
+constexpr Seconds first_quotes_timeout_s = 1;   // longest wait for quotes before the cloud is used
+constexpr Seconds quote_refresh_window_s = 15;  // quotes are refreshed for this long after the last demand
 }  // namespace
 
 void MarketPoller::on_demand(const std::vector<UnmetDemand>& unmet_demands, Seconds now) {
--- a/src/market/market_state.cpp
+++ b/src/market/market_state.cpp
@@ -11,7 +11,7 @@
 using State = MarketState;
 constexpr std::size_t state_count = static_cast<std::size_t>(State::suspended) + 1;
 
-/// By state: its successors.
+/// Allowed successors of each state.
 constexpr std::array<StateSet<State>, state_count> allowed_transitions = {{
     /* untried      */ {State::trading, State::throttled, State::unresponsive, State::suspended},
     /* trading      */ {State::throttled, State::unresponsive, State::suspended},
--- a/src/market/min_cost_flow.cpp
+++ b/src/market/min_cost_flow.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr double unreached = std::numeric_limits<double>::infinity();
-constexpr double cost_tolerance = 1e-12;  // rounding must not make a path look shorter for ever
+constexpr double cost_tolerance = 1e-12;  // prevents endless improvements by rounding errors
 }  // namespace
 
 std::size_t MinCostFlow::add_edge(std::size_t from, std::size_t to, std::uint32_t capacity, double cost) {
@@ -22,7 +22,7 @@
   while (auto incoming_edge = find_path(source, sink)) augment(*incoming_edge, source, sink);
 }
 
-/// By node, the edge through which the cheapest path enters it; nothing if no path lowers the cost.
+/// For each node, the edge by which the cheapest path enters it; empty if no path lowers the total cost.
 std::optional<std::vector<std::size_t>> MinCostFlow::find_path(std::size_t source, std::size_t sink) const {
   std::vector<double> distance(outgoing_.size(), unreached);
   std::vector<std::size_t> incoming_edge(outgoing_.size(), 0);
--- a/src/market/planner.cpp
+++ b/src/market/planner.cpp
@@ -12,9 +12,10 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr int price_steps = 14;       // bisections of the price of money
-constexpr int max_price_raises = 40;  // of the price of money, until the flow fits
-constexpr double price_growth = 4;
+// Search for the penalty on committed money with which the flow fits the spending limits.
+constexpr int price_steps = 14;              // bisection steps
+constexpr int max_price_raises = 40;         // increases before the bisection
+constexpr double price_growth = 4;           // factor of each increase
 constexpr double rounding_tolerance = 1e-9;  // in machines
 constexpr std::size_t source_node = 0, sink_node = 1, first_inner_node = 2;
 
@@ -22,17 +23,17 @@
                                                             BidPriority::high, BidPriority::standard,
                                                             BidPriority::best_effort};
 
-/// Whether awards serve the demands or come on top of them.
+/// Whether awards serve the demands or are bought in addition.
 enum class AwardKind : std::uint8_t { ordinary, extra };
 
-/// A demand and an offer that could serve it.
+/// A demand, an offer that can serve it, and the units assigned to both.
 struct Match {
   std::size_t demand, offer;
   double machines_per_unit;
-  double cost;           // expected, of one unit
-  double gain;           // of one unit, over leaving it unserved
-  MoneyAmount limit;     // millionths per machine and hour
-  std::size_t edge = 0;  // in the flow network
+  double cost;           // expected cost of one unit
+  double gain;           // expected saving per unit compared with leaving it unserved
+  MoneyAmount limit;     // price limit, in millionths per machine and hour
+  std::size_t edge = 0;  // index in the flow network
   std::uint32_t units = 0;
 
   std::uint32_t machines(std::uint32_t unit_count) const {
@@ -40,7 +41,7 @@
   }
 };
 
-/// Deals out the offers of one plan.
+/// Computes one plan.
 class Solver {
  public:
   Solver(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
@@ -63,16 +64,16 @@
   }
 
  private:
-  /// Numbers of the nodes in the flow network; 0: none.
+  /// Indices of the nodes in the flow network; 0: no node.
   struct NetworkNodes {
     std::vector<std::size_t> by_demand, by_offer;
-    std::vector<std::size_t> by_market;  // of unproven ones, whose offers share one bound
+    std::vector<std::size_t> by_market;  // unproven markets only; their offers share one bound
     std::size_t count = first_inner_node;
   };
 
   bool is_unproven(const Offer& offer) const { return offer.market.valid() && !offer.proven; }
 
-  /// Wants again what is not expected to come in time.
+  /// Sets the extra units to the machines of unproven markets that are not expected in time.
   void set_extra_demand() {
     std::vector<double> expected_missing(demands_.size(), 0);
     for (const Award& award : plan_.awards) {
@@ -114,8 +115,9 @@
     return matches;
   }
 
-  /// Without a spending limit in the way the flow is the answer. With one, money gets a price of its own that
-  /// is raised until the flow fits.
+  /// Solves the flow without regard to money. If the result exceeds a spending limit, adds a penalty on
+  /// committed money (a Lagrange multiplier), increases it until the flow fits, and bisects to the lowest
+  /// such penalty.
   void solve_within_budget(std::vector<Match>& matches) const {
     const std::vector<Match> unsolved = matches;
     solve_flow(matches, 0);
@@ -139,7 +141,8 @@
     }
   }
 
-  /// Sets the units of all matches to the least-cost flow, with `price` on each unit of money committed.
+  /// Sets the units of all matches to the minimum-cost flow with the penalty `price` per committed unit of
+  /// the currency.
   void solve_flow(std::vector<Match>& matches, double price) const {
     NetworkNodes nodes = number_nodes(matches);
     MinCostFlow network(nodes.count);
@@ -174,7 +177,7 @@
     return nodes;
   }
 
-  /// Edges that bound the flow by what is wanted, offered and allowed for unproven markets.
+  /// Adds the edges that bound the flow by the demands, the offers and the allowance of unproven markets.
   void add_bounds(MinCostFlow& network, const NetworkNodes& nodes) const {
     for (std::size_t i = 0; i < demands_.size(); ++i) {
       if (nodes.by_demand[i] != 0) network.add_edge(source_node, nodes.by_demand[i], wanted_[i], 0);
@@ -191,9 +194,9 @@
   }
 
   std::uint32_t max_units(const Match& match) const {
-    // A unit that takes several machines of the offer is bounded by the offer in those machines.
+    // The offer bounds machines, of which one unit may take several.
     auto most = static_cast<std::uint32_t>(remaining_.machines_left(match.offer) / match.machines_per_unit);
-    // No demand relies on an unproven market alone.
+    // Prevents a demand from relying on an unproven market alone.
     if (is_unproven(offers_[match.offer]))
       most = std::min(most, static_cast<std::uint32_t>(
                                 std::ceil(settings_.trial_fraction * demands_[match.demand].machines)));
@@ -214,7 +217,7 @@
     });
   }
 
-  /// Removes units that do not fit, and adds single units where they still fit, the best of them first.
+  /// Removes units that do not fit, then adds single units that still fit, those with the highest gain first.
   void round_up(std::vector<Match>& matches) const {
     RemainingBudget budget = remaining_;
     std::vector<std::uint32_t> unserved = wanted_;
@@ -229,7 +232,7 @@
     for (std::size_t i : order) grow(matches[i], budget, unserved[matches[i].demand]);
   }
 
-  /// Units of several demands may round up to more machines than an offer has.
+  /// Removes units until the match fits. Rounding up to whole machines for each match may exceed an offer.
   void shrink_to_fit(Match& match, RemainingBudget& budget) const {
     for (; match.units > 0; --match.units) {
       RemainingBudget trial = budget;
@@ -239,8 +242,8 @@
     }
   }
 
-  /// Adds units for as long as they fit. Machines are rounded up once for the whole match, so that a unit may
-  /// need no machine of its own.
+  /// Adds units while they fit. Machines are rounded up once for the whole match, so a unit may need no
+  /// additional machine.
   void grow(Match& match, RemainingBudget& budget, std::uint32_t& unserved) const {
     while (unserved > 0) {
       RemainingBudget trial = budget;
--- a/src/market/pricing.cpp
+++ b/src/market/pricing.cpp
@@ -6,10 +6,11 @@
 namespace oxbowmill::market {
 
 namespace {
-/// How much of a machine's value is lost when the deadline is missed; the rest is lost beyond the tolerance.
+/// Fraction of a machine's value that depends on meeting the deadline; the rest is lost only by a delivery
+/// after a longer time, which includes the delivery tolerance.
 constexpr double deadline_weight = 0.7;
 
-/// What a machine that does not come in time costs, in machine-hours of the reference price.
+/// Cost of a machine that does not come in time, as a multiple of its running cost at the reference price.
 double lateness_weight(BidPriority priority) {
   switch (priority) {
     case BidPriority::guaranteed:
@@ -45,17 +46,17 @@
 double Pricing::bid_limit(const Demand& demand, const Offer& offer, double reference,
                           const Settings& settings) {
   if (!offer.market.valid()) return offer.price_limit;
-  // Best-effort work takes what is quoted and never outbids.
+  // Best-effort work, starved or not, bids at most the quoted price, so that it never outbids other work.
   if (demand.priority == BidPriority::best_effort || demand.priority == BidPriority::starved)
     return std::min(offer.quoted_price, settings.limit_factor * reference);
-  // No more is paid than it costs to leave the work unserved.
+  // The price must not exceed the cost of leaving the work unserved.
   return std::min(
       {offer.price_limit, lateness_weight(demand.priority) * reference, settings.limit_factor * reference});
 }
 
 double Pricing::on_time_probability(const Demand& demand, const Offer& offer, const Settings& settings) {
   double slack = std::isfinite(demand.slack_s) ? demand.slack_s : settings.delivery_tolerance_s;
-  // Work that is late already still gains from a machine soon: it is not left unserved for ever.
+  // Work past its deadline still gains from a machine that comes soon; otherwise it would never be served.
   double later = std::max(slack, 0.0) + offer.promised_delivery_s + settings.delivery_tolerance_s;
   double on_time_weight = deadline_weight * std::clamp(slack / settings.delivery_tolerance_s, 0.0, 1.0);
   double probability = on_time_weight * offer.delivery_distribution.probability_within(slack) +
@@ -65,7 +66,7 @@
 
 double Pricing::expected_cost(const Demand& demand, const Offer& offer, double reference,
                               const Settings& settings) {
-  // What comes is paid for, also when late; what never comes costs only what lateness costs.
+  // A machine is paid for even if it comes late; one that never comes only causes the cost of lateness.
   return offer.delivered_fraction * offer.expected_price * run_hours(demand) +
          (1 - on_time_probability(demand, offer, settings)) * unserved_cost(demand, reference);
 }
--- a/src/market/reputation.cpp
+++ b/src/market/reputation.cpp
@@ -8,15 +8,16 @@
 namespace oxbowmill::market {
 
 namespace {
-// Priors: what is expected of a market that nobody has dealt with.
+// Priors for a market without evidence.
 constexpr double prior_delivered = 2, prior_undelivered = 1;
 constexpr double prior_weight = 4;
 constexpr double prior_delay_sd = 0.25, prior_drift_sd = 0.1;
-// A market may change: the weight of evidence halves with so many more machines, or deliveries.
+// A market may change, so older evidence is discounted: its weight halves after this many newer machines, or
+// after this many newer deliveries or prices.
 constexpr double half_life_machines = 60, half_life_events = 25;
-constexpr double overall_weight =
-    6;  // machines that the whole market's evidence counts for at most in a kind's
-constexpr double min_ratio = 0.02, max_ratio = 50;  // ratios are cut off there
+// Limit on the weight of the whole market's evidence in the reputation of one kind of machine, in machines.
+constexpr double overall_weight = 6;
+constexpr double min_ratio = 0.02, max_ratio = 50;  // ratios are clamped to this range
 constexpr double min_quoted = 1e-9;
 constexpr Seconds min_delay_s = 1;
 constexpr double lower_decile = 0.1, upper_decile = 0.9;
@@ -25,7 +26,8 @@
   return std::exp2(-sample_weight / half_life);
 }
 
-/// Running mean and sum of squared deviations, with the old evidence faded.
+/// Updates a running mean and sum of squared deviations (Welford's algorithm) after discounting older
+/// evidence.
 void add_observation(double& sample_weight, double& mean, double& m2, double value) {
   double keep = fading(1, half_life_events);
   sample_weight = sample_weight * keep + 1;
@@ -35,7 +37,7 @@
   m2 += deviation * (value - mean);
 }
 
-/// Student t of the next value, from a prior around 0.
+/// Student t distribution of the next value, with a prior mean of 0.
 struct PredictiveDistribution {
   double center, scale, degrees_of_freedom;
   PredictiveDistribution(double sample_weight, double mean, double m2, double prior_sd) {
@@ -136,7 +138,7 @@
 }
 
 Reputation Reputation::combined_with(const Reputation& whole) const {
-  // The kind's own machines count fully, those of the whole market as `overall_weight` machines at most.
+  // Machines of this kind count fully, those of the whole market as at most `overall_weight` machines.
   Evidence evidence = whole.evidence_;
   double overall = evidence.delivered + evidence.undelivered;
   double scale = overall > overall_weight ? overall_weight / overall : 1;
--- a/src/market/return_queue.cpp
+++ b/src/market/return_queue.cpp
@@ -6,7 +6,7 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr Seconds retry_interval_s = 8;  // for machines whose return was not confirmed
+constexpr Seconds retry_interval_s = 8;  // between attempts to return a machine
 constexpr std::size_t max_machines_per_call = 100;
 }  // namespace
 
@@ -17,7 +17,7 @@
 MarketIndex ReturnQueue::market_of(const std::string& host, const PendingReturn& pending) const {
   MarketIndex market;
   if (pending.machine.valid()) market = state_.machine(pending.machine).record.market;
-  // A machine that is returned before it had a record: its name begins with its market's.
+  // A machine without a record is identified by its name, which has the market's name as its prefix.
   if (!market.valid()) market = state_.names.markets.find(host.substr(0, host.find('.')));
   return market;
 }
@@ -57,7 +57,8 @@
                                                    host) == answer.returned_hosts.end())
       continue;
     if (pending.machine.valid()) returned.push_back(pending.machine);
-    // With its last machine the bid may be closed and its money free: asked at once.
+    // Requests the status at once: the market may have closed the bid with its last machine, which frees its
+    // money.
     Bid* bid = bids_.find_by_host(host);
     if (bid != nullptr && bid->state == BidState::running) bid->next_action_at = now;
     pending_.erase(it);
--- a/src/market/unmet_capacity.cpp
+++ b/src/market/unmet_capacity.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr Seconds log_interval_s = 30;
-/// A limit counts as reached from 95% on: what is left of it is often less than one machine's cost.
+/// Whether at least 95 % of a limit is used. The rest is often less than the cost of one machine.
 bool is_reached(MoneyAmount used, MoneyAmount limit) {
   return limit > 0 && used * 20 >= limit * 19;
 }
--- a/tests/bench/market_bench.cpp
+++ b/tests/bench/market_bench.cpp
@@ -1,4 +1,4 @@
-// Cost of trading for a leader: cycles with 1,200 machines and 100 demands, without markets and with eight.
+// Benchmarks the leader's cycle with 1,200 machines and 100 demands, without markets and with eight markets.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 #include <spdlog/spdlog.h>
@@ -25,7 +25,7 @@
     for (std::uint32_t p = 0; p < cluster_state.partition_count(); ++p)
       cluster_state.apply({OwnershipKey{PartitionIndex{p}}, OwnershipRecord{"node-0", 1}, 1}, ++revision,
                           now);
-    // Every machine is full with a task that keeps running.
+    // Every machine is filled by a task that keeps running.
     JobIndex running = cluster_state.intern_job("run-0");
     JobSpec spec = simulation::test_job("run-0", machine_count, 4);
     cluster_state.apply({JobKey{running}, JobRecord{spec, JobPhase::open}}, ++revision, now);
@@ -82,7 +82,7 @@
         bidding_service->on_answer(
             call, market_simulators[call.market.value].call(call, cluster_state.names, now), {now, now});
     }
-    // Nothing is written and nothing rented, so that every cycle has the same work.
+    // No transaction and no scale-out succeeds, so that every cycle does the same work.
     for (const Write& w : out.writes) scheduler.on_outcome(w.id, TransactionOutcome::not_executed, 0, now);
     for (const ScaleOutRequest& r : out.scale_outs)
       autoscaler.on_scale_out_result(r.request_id, true, {}, now);
--- a/tests/bidding_service_test.cpp
+++ b/tests/bidding_service_test.cpp
@@ -1,5 +1,5 @@
-// The bidding service against simulated markets on the simulated clock: the hard cases, each caused, and
-// random mixtures.
+// Tests of the bidding service against simulated markets on a simulated clock: individual faults, and random
+// sequences of faults.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -11,7 +11,7 @@
 using market::BidState;
 using market::MarketState;
 
-/// One job that needs four machines at once, and markets of this behaviour.
+/// A scenario with the given markets, without cloud capacity and without jobs; tests add their own jobs.
 MarketScenario market_scenario(std::vector<MarketBehavior> markets) {
   MarketScenario scenario;
   scenario.jobs = 0;
@@ -44,7 +44,7 @@
     arrival.priority = rank;
     arrivals.push_back(arrival);
   }
-  /// Steps until the first bid is in the state; false if it never is.
+  /// Advances the simulation until a bid is in the state; false if none is within `most` steps.
   bool run_until(BidState state, int most = 400) {
     for (int i = 0; i < most; ++i) {
       step();
@@ -73,13 +73,12 @@
 }
 
 TEST(BiddingService, BidSurvivesLeaderCrashAtEveryStep) {
-  // Ended before sending, between sending and the response, after the response, during the auction, after
-  // deliveries: the money stays committed, the bid's name is never used again, and the job completes with
-  // four machines bought, or eight where the first bid had to be given up and its market delivered all the
-  // same.
+  // The leader is ended before sending a bid, between sending and the response, during the auction and after
+  // the deliveries. In each case the money stays reserved, the bid's name is never reused, and the job
+  // completes with the expected number of machines.
   struct Case {
     BidState crash_state;
-    bool response_lost;  // the market gets the bid, its response is lost with the leader
+    bool response_lost;  // the market receives the bid, but its response is lost with the leader
     std::uint32_t min_machines, max_machines;
   };
   const Case cases[] = {
@@ -98,14 +97,14 @@
     world.end_leader();
     if (committing) {
       world.run_steps(3);
-      world.release_writes();  // late: its guard on the earlier ownership fails
+      world.release_writes();  // applied late: its guard on the earlier ownership fails
     }
     world.run_steps(400);
     world.expect_invariants();
     EXPECT_GE(delivered_machines(world), test_case.min_machines) << market::name_of(test_case.crash_state);
     EXPECT_LE(delivered_machines(world), test_case.max_machines) << market::name_of(test_case.crash_state);
     EXPECT_EQ(world.result().in_time, 1U) << market::name_of(test_case.crash_state);
-    world.run_steps(4000);  // and in the end no money is reserved
+    world.run_steps(4000);  // finally no money is reserved
     ASSERT_NE(world.bidding_service(), nullptr);
     EXPECT_EQ(world.bidding_service()->ledger().usage().per_hour, 0)
         << market::name_of(test_case.crash_state);
@@ -117,14 +116,15 @@
   world.add_job(5, 4);
   world.delay_calls(true);
   ASSERT_FALSE(world.run_until(BidState::won, 40));
-  world.delay_calls(false);  // nothing has arrived yet, not even quotes
+  world.delay_calls(false);  // no call has arrived so far, not even a request for quotes
   ASSERT_TRUE(world.run_until(BidState::committed));
   world.delay_calls(true);
   ASSERT_TRUE(world.run_until(BidState::submitted));
   std::string name = world.bidding_service()->bids().begin()->first;
   world.end_leader();
   world.delay_calls(false);
-  // The new leader queries the bid, learns that the market does not know its name, and uses the name up.
+  // The new leader requests the bid's status, learns that the market does not know the bid, and withdraws it,
+  // which marks its name as used.
   world.run_steps(20);
   world.release_calls();
   world.run_steps(500);
@@ -142,8 +142,8 @@
   world.set_state_down(true);
   std::size_t names = world.bid_names.size();
   world.run_steps(60);
-  EXPECT_EQ(world.bid_names.size(), names);  // no new one
-  EXPECT_EQ(delivered_machines(world), 4U);  // the open one came
+  EXPECT_EQ(world.bid_names.size(), names);  // no new bid was made
+  EXPECT_EQ(delivered_machines(world), 4U);  // the open bid was delivered
   world.set_state_down(false);
   world.run_steps(200);
   EXPECT_EQ(delivered_machines(world), 7U);
@@ -156,8 +156,8 @@
     Priority rank;
     bool accepted;
   };
-  // The platform's price is 10; limits are at most 1.5 times that, and initially about 1.2 times the quote of
-  // 8.
+  // The cloud's price is 10. Price limits are at most 1.5 times that, and initially about 1.2 times the quote
+  // of 8.
   const Case cases[] = {
       {1.1, Priority::high, true}, {1.25, Priority::high, false}, {1.1, Priority::low, false}};
   for (const Case& test_case : cases) {
@@ -181,8 +181,8 @@
 }
 
 TEST(BiddingService, CeilingReachedWithUnmetGuarantee) {
-  // The ceiling covers five machines at their price limits; best-effort work bids first, guaranteed work
-  // comes later.
+  // The hourly spending limit covers five machines at their price limits. Best-effort work bids first;
+  // guaranteed work arrives later.
   MarketScenario s = market_scenario({market_named("north")});
   s.settings.total_limit = {market::to_money_amount(50), market::to_money_amount(400)};
   TestMarketWorld world(s);
@@ -191,10 +191,10 @@
   world.arrivals.back().due_s = 500;
   world.run_steps(160);
   ASSERT_NE(world.bidding_service(), nullptr);
-  EXPECT_GT(world.bidding_service()->unmet_guarantee(), 0U);  // the shortfall is reported
-  world.expect_invariants();                                  // and no invariant is violated
+  EXPECT_GT(world.bidding_service()->unmet_guarantee(), 0U);  // the unmet guarantee is reported
+  world.expect_invariants();
   EXPECT_GT(world.max_hourly_spend, 0.6);
-  world.run_steps(1200);  // once committed money is released, the guarantee is met after all
+  world.run_steps(1200);  // the guarantee is met once reserved money is released
   EXPECT_EQ(world.result().guaranteed_in_time, 1U);
 }
 
@@ -237,9 +237,9 @@
   world.run_steps(1500);
   EXPECT_EQ(world.bidding_service()->market_client(MarketIndex{0}).state(), MarketState::unresponsive);
   EXPECT_GE(world.bidding_service()->ledger().usage().in_window,
-            reserved_amount);  // no market reported its cost: nothing is released
+            reserved_amount);  // no market has reported a final cost, so nothing is released
   EXPECT_EQ(world.result().in_time, 2U);
-  world.run_steps(5000);  // paid time and billing are over: booked at the worst case, as spent in the window
+  world.run_steps(5000);  // after the final deadline the bids are booked at their worst-case cost
   EXPECT_EQ(world.bidding_service()->ledger().usage().per_hour, 0);
   EXPECT_GE(world.bidding_service()->ledger().usage().in_window, reserved_amount);
   world.expect_invariants();
@@ -267,7 +267,7 @@
               test_case.excluded)
         << test_case.description;
     EXPECT_EQ(world.result().in_time, 3U) << test_case.description;
-    // The next leader knows of the suspension.
+    // The next leader loads the suspension from the market's record.
     world.end_leader();
     world.add_job(360, 3);
     world.run_steps(300);
@@ -335,7 +335,7 @@
   world.expect_invariants();
 }
 
-// --- Random mixtures.
+// --- Random sequences of faults
 
 RC_GTEST_PROP(BiddingServiceProperties, InvariantsHoldUnderAnyMixtureOfFaults, ()) {
   MarketScenario scenario;
@@ -412,7 +412,7 @@
     }
     run_steps(count);
   }
-  // When all faults are over and every paid time has ended, no money is reserved any more.
+  // After all faults and the paid time of every machine have ended, no money is reserved.
   world.set_state_down(false);
   world.release_writes();
   world.release_calls();
--- a/tests/market_safety_test.cpp
+++ b/tests/market_safety_test.cpp
@@ -1,4 +1,5 @@
-// Rented machines of markets with jobs, leases and failovers: a market's statement proves no machine empty.
+// Safety of jobs on machines bought on markets, with agent leases and failovers. A market's statement that a
+// machine was returned does not prove that no task runs on it.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -35,7 +36,8 @@
     for (double t = 0; t < within && running_on(task) == nullptr; t += 0.5) run(0.5);
     return running_on(task) != nullptr;
   }
-  /// The machine on which a job of one task that needs a whole machine has started; empty if it has not.
+  /// Submits a job with one task that needs a whole machine. Returns the machine on which it has started;
+  /// empty if it has not started within 60 s.
   std::string machine_of_first_job() {
     submit(test_job("run-1", 1, 4));
     return starts_within("run-1/0", 60) ? *running_on("run-1/0") : "";
@@ -52,7 +54,7 @@
   EXPECT_EQ(cluster.phase("run-1"), "done");
   EXPECT_TRUE(cluster.markets[0].hosts().at(machine_name).returned);
   EXPECT_EQ(cluster.store.keys().count("o/m/" + machine_name), 0U);
-  // The bid is closed, and its cost is in the ledger.
+  // The bid's record is deleted and its cost is in the ledger.
   for (const auto& [key, e] : cluster.store.keys()) EXPECT_NE(key.rfind("o/b/", 0), 0U) << key;
   ASSERT_EQ(cluster.store.keys().count("o/l/ledger"), 1U);
   double paid = cluster.store.keys().at("o/l/ledger").value.at("spent").at("red").get<double>() / 1e6;
@@ -61,9 +63,9 @@
 }
 
 TEST(MarketSafety, ReturnedMachineStillRunningBlocksItsTaskFromStartingElsewhere) {
-  // Its record is marked for return while a task may be on it, and the market states that it has been
-  // returned. The machine keeps running and its agent is unreachable: only the agent's lease proves that the
-  // task is gone.
+  // The record of a machine is marked for deletion while a task may run on it, and the market states that the
+  // machine has been returned. The machine keeps running and its agent is unreachable, so only the expiry of
+  // the agent's lease proves that the task has stopped.
   simulation::MarketBehavior liar = north_market();
   liar.runs_after_return = true;
   MarketCluster cluster(liar);
@@ -80,8 +82,8 @@
     cluster.run(0.5);
     ASSERT_EQ(cluster.run_log.starts["run-1/0"], 1) << t;
   }
-  EXPECT_TRUE(cluster.markets[0].hosts().at(machine_name).returned);  // that is what the market states
-  EXPECT_EQ(cluster.store.keys().count("o/m/" + machine_name), 1U);   // and it proves nothing
+  EXPECT_TRUE(cluster.markets[0].hosts().at(machine_name).returned);  // the market states the return
+  EXPECT_EQ(cluster.store.keys().count("o/m/" + machine_name), 1U);   // the record stays nevertheless
   cluster.run(60);
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 2);
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
@@ -97,8 +99,8 @@
   cluster.run(60);
   ASSERT_TRUE(cluster.markets[0].hosts().at(machine_name).returned);
   ASSERT_TRUE(cluster.markets[0].hosts().at(machine_name).alive);
-  // The same leader knows that it returned the machine; for the next one it is unregistered, and is either
-  // used or returned again: under a new record, and so with a new fencing token.
+  // The leader that returned the machine still knows this. To the next leader the machine is unregistered: it
+  // is used or returned again under a new record, which has a new fencing token.
   cluster.submit(test_job("run-2", 2, 4));
   cluster.run(20);
   cluster.kill_controller(0);
@@ -109,7 +111,7 @@
 }
 
 TEST(MarketSafety, MachineInAWrongZoneStartsNothing) {
-  // The market states zone a, the machine reports b: a job restricted to a must not start there.
+  // The market states zone a and the machine reports zone b. A job restricted to zone a must not start there.
   MarketCluster cluster(north_market());
   JobSpec spec = test_job("run-1", 1, 4);
   spec.zone = ZoneIndex{0};
@@ -130,7 +132,7 @@
   EXPECT_FALSE(cluster.worker("north.x1").has("run-1/0"));
   ASSERT_TRUE(cluster.starts_within("run-1/0", 60));
   EXPECT_NE(*cluster.running_on("run-1/0"), "north.x1");
-  EXPECT_EQ(cluster.store.keys().count("o/m/north.x1"), 0U);  // it was returned
+  EXPECT_EQ(cluster.store.keys().count("o/m/north.x1"), 0U);  // the machine was returned
 }
 
 TEST(MarketSafety, FailoverDuringAnAuctionNeitherLosesTheMachineNorRunsTwice) {
@@ -139,7 +141,7 @@
   slow.delivery_s = 10;
   MarketCluster cluster(slow);
   cluster.submit(test_job("run-1", 2, 4));
-  cluster.run(5);  // bids have been sent, nothing is decided
+  cluster.run(5);  // the bid has been sent and its auction is in progress
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   std::size_t by_both = cluster.markets[0].hosts().size();
@@ -150,7 +152,7 @@
     cluster.run(1, 1);
   EXPECT_NE(cluster.running_on("run-1/0"), nullptr);
   EXPECT_NE(cluster.running_on("run-1/1"), nullptr);
-  EXPECT_EQ(cluster.markets[0].hosts().size(), 2U);  // the bid was resumed, not placed again
+  EXPECT_EQ(cluster.markets[0].hosts().size(), 2U);  // the new leader resumed the bid and placed no other
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
@@ -209,7 +211,7 @@
       case 1:
         cluster.withdraw("run-" + std::to_string(which));
         break;
-      case 2:  // the other controller takes over; the first one learns of it when it can
+      case 2:  // the other controller takes over; the first one finds out later
         cluster.kill_controller(owner);
         owner = 1 - owner;
         cluster.controller(owner).lease.on_lost();
@@ -231,7 +233,7 @@
         cluster.controller(owner).write_outcome = WriteOutcome::not_arrived;
         break;
       case 8: {
-        // A delayed transaction arrives.
+        // A transaction that was thought lost arrives late.
         auto& lost = cluster.controller(owner).lost_writes;
         if (!lost.empty()) cluster.store.txn(lost[static_cast<std::size_t>(which) % lost.size()]);
         break;
--- a/tests/market_test.cpp
+++ b/tests/market_test.cpp
@@ -1,5 +1,5 @@
-// The classes of the market package on their own: states of bids, money, reputation, plans, and decoded
-// answers.
+// Unit tests of the market package: states of bids and markets, ledger, reputation, planner and message
+// codec.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -28,15 +28,15 @@
   };
   const Case cases[] = {
       {State::committing, State::committed, true},
-      {State::committing, State::submitted, false},  // nothing is sent before it is durable
+      {State::committing, State::submitted, false},  // a bid must be durable before it is sent
       {State::committed, State::submitted, true},
       {State::committed, State::won, false},
       {State::submitted, State::settling, true},
-      {State::unconfirmed, State::submitted, false},  // a new leader never sends it
+      {State::unconfirmed, State::submitted, false},  // a new leader never sends an adopted bid
       {State::raised, State::confirming, true},
-      {State::open, State::confirming, false},  // nothing is confirmed that the market did not ask about
+      {State::open, State::confirming, false},  // only a raise is confirmed
       {State::won, State::open, false},
-      {State::won, State::raised, false},  // an accepted bid is not raised
+      {State::won, State::raised, false},  // an accepted bid cannot be raised
       {State::running, State::withdrawing, false},
       {State::withdrawing, State::running, true},
       {State::withdrawing, State::submitted, false},
@@ -51,7 +51,7 @@
         << name_of(test_case.from) << " -> " << name_of(test_case.to);
     EXPECT_EQ(bid.state, test_case.allowed ? test_case.to : test_case.from);
   }
-  // Money is released through one state only, and only `closed` has no further step.
+  // A bid that may have been sent is closed, which releases its money, only from `settling`.
   for (int from = 0; from <= static_cast<int>(State::closed); ++from) {
     bool closes = may_follow(static_cast<State>(from), State::closed);
     EXPECT_EQ(closes,
@@ -78,7 +78,7 @@
   EXPECT_EQ(client.state(), State::trading);
   for (int i = 0; i < 3; ++i) client.on_answer(none, 2 + i);
   EXPECT_EQ(client.state(), State::unresponsive);
-  EXPECT_FALSE(client.try_acquire_request(4.5));  // not tried for a while
+  EXPECT_FALSE(client.try_acquire_request(4.5));  // requests are paused
   EXPECT_TRUE(client.try_acquire_request(100));
   client.on_answer(ok, 101);
   EXPECT_EQ(client.state(), State::trading);
@@ -109,7 +109,7 @@
     std::uint32_t machines;
     double limit, term_s;
     PartitionIndex partition;
-    const char* refusal;  // empty: accepted
+    const char* refusal;  // part of the expected reason; empty: accepted
   };
   const Case cases[] = {
       {10, 10, 1800, red_partition, ""},  // 100 per hour, 50 in the worst case
@@ -134,13 +134,13 @@
   EXPECT_EQ(ledger.usage().per_hour, to_money_amount(40));
   EXPECT_EQ(ledger.usage().in_window, to_money_amount(40));  // 20 paid, 20 in the worst case
   EXPECT_EQ(ledger.affordable_machines(red_partition, to_money_amount(10), 1800),
-            4U);  // limited by the window: 20 left, 5 each
+            4U);  // limited by the window: 20 remaining, 5 per machine
   EXPECT_FALSE(ledger.rejection_reason(make_bid_record(4, 10, 1800)).has_value());
   EXPECT_TRUE(ledger.rejection_reason(make_bid_record(5, 10, 1800)).has_value());
   ledger.release("a");
   EXPECT_EQ(ledger.usage().per_hour, 0);
-  // A new window releases what was paid in the old one, but not what is still open; a clock set back releases
-  // nothing.
+  // In a new window the amount paid in the old one no longer counts, but open bids still do. A clock that is
+  // set back releases nothing.
   ledger.reserve("b", make_bid_record(4, 10, 1800));
   ledger.load({0, {{red_partition, to_money_amount(20)}}}, 1500);
   EXPECT_EQ(ledger.usage().in_window, to_money_amount(20));
@@ -157,7 +157,8 @@
   MoneyAmount sum = 0;
   for (const auto& [partition, m] : after.spent) sum += m;
   EXPECT_EQ(sum, 1'000'000);
-  EXPECT_EQ(worst_case(to_money_amount(10), 1, 1), 2778);  // rounded up: never less than what can be charged
+  EXPECT_EQ(worst_case(to_money_amount(10), 1, 1),
+            2778);  // rounded up, so it is never below a possible charge
 }
 
 TEST(MarketReputation, LearnsDeliveryRatesDelaysAndPrices) {
@@ -181,7 +182,7 @@
   for (double s : {10.0, 45.0, 60.0, 120.0})
     EXPECT_NEAR(p.probability_within(s), reputation.on_time_probability(50, s), 0.08) << s;
   EXPECT_EQ(p.probability_within(0), 0);
-  // A market that turns bad is detected within two dozen machines.
+  // A market that stops delivering is detected within 24 machines.
   reputation.record_machines(0, 24);
   EXPECT_LT(reputation.delivered_fraction(), 0.7);
   reputation.record_machines(0, 60);
@@ -195,7 +196,7 @@
   EXPECT_GT(Reputation().combined_with(whole).delivered_fraction(), 0.8);
 }
 
-// --- Plans.
+// --- Planner
 
 struct PlanningInput {
   std::vector<Demand> demands;
@@ -221,8 +222,8 @@
   return offer;
 }
 
-/// The least cost over all assignments of machines to demands, within the ceiling; for demands of one class
-/// only.
+/// Lowest expected cost over all assignments of machines to demands that stay within the hourly spending
+/// limit. All demands must have the same priority.
 double least_cost_by_enumeration(const PlanningInput& input, double reference) {
   Ledger l(input.settings);
   std::vector<std::uint32_t> left;
@@ -287,8 +288,8 @@
 }
 
 TEST(MarketPlan, NearOptimalAgainstEnumeration) {
-  // Without a ceiling the flow is exact. With one, the bounds on the gap are stated here and in
-  // docs/markets-design.md; a case beyond them is a regression.
+  // Without a spending limit the flow is optimal. With one, the cost may exceed the optimum by the bounds
+  // below, which are also stated in docs/markets-design.md.
   std::mt19937_64 random(11);
   double worst = 0, sum = 0, gaps = 0;
   for (int i = 0; i < 400; ++i) {
@@ -355,7 +356,7 @@
     double waited_s;
     std::uint32_t first_machines, second_machines;
   };
-  // Five machines, six needed by each demand.
+  // Five machines are on offer and each of the two demands needs six.
   const Case cases[] = {
       {"a guarantee before all", BidPriority::guaranteed, BidPriority::high, 0, 5, 0},
       {"rank before rank", BidPriority::high, BidPriority::standard, 0, 5, 0},
@@ -368,7 +369,7 @@
     Settings settings;
     settings.extra_fraction = 0;
     settings.total_limit = {to_money_amount(100), 0};
-    settings.starvation_fraction = 0.1;  // one machine at 10
+    settings.starvation_fraction = 0.1;  // pays for one machine at the price of 10
     std::vector<Demand> demands(2);
     for (int i = 0; i < 2; ++i) {
       demands[i].priority = i == 0 ? test_case.first_class : test_case.second_class;
@@ -406,25 +407,25 @@
     return counts;
   };
   using MachineCounts = std::vector<std::uint32_t>;
-  // Slightly cheaper, but half of the machines never come.
+  // A market that is slightly cheaper but delivers only half of the machines gets nothing.
   EXPECT_EQ(bought({make_offer(north_market, 8, 20, 30, 0.5), make_offer(south_market, 9, 20, 30, 0.95)},
                    market_demand),
             (MachineCounts{0, 10}));
-  // Cheaper but too late for this deadline, in time for a later one.
+  // A cheaper, slower market gets nothing under an early deadline and all machines under a later one.
   std::vector<Offer> slow = {make_offer(north_market, 6, 20, 110, 0.95),
                              make_offer(south_market, 9, 20, 30, 0.95)};
   EXPECT_EQ(bought(slow, market_demand), (MachineCounts{0, 10}));
   Demand later = market_demand;
   later.slack_s = 600;
   EXPECT_EQ(bought(slow, later), (MachineCounts{10, 0}));
-  // An unproven market gets its trial fraction of a plan and no more.
+  // An unproven market gets at most the trial fraction of a plan.
   std::vector<Offer> trial = {make_offer(north_market, 6, 20, 30, 0.95),
                               make_offer(south_market, 9, 20, 30, 0.95)};
   trial[0].proven = false;
   EXPECT_EQ(bought(trial, market_demand), (MachineCounts{3, 7}));
-  // Above the price limit: not bought at all.
+  // An offer above the price limit is not bought.
   EXPECT_EQ(bought({make_offer(north_market, 16, 20, 30, 0.95)}, market_demand), (MachineCounts{0}));
-  // Best-effort work bids the quote and no more.
+  // Best-effort work bids at most the quoted price.
   Demand best_effort_demand = market_demand;
   best_effort_demand.priority = BidPriority::best_effort;
   Offer drifting = make_offer(north_market, 8, 20, 30, 0.95);
@@ -434,7 +435,8 @@
 }
 
 TEST(MarketPlan, OverdueWorkIsStillBought) {
-  // Valued by its last moment alone, such work was once worth nothing any more, and waited for ever.
+  // Regression test: when its value depended on the deadline alone, overdue work had no value and was never
+  // served.
   for (BidPriority demand_class : {BidPriority::guaranteed, BidPriority::high, BidPriority::standard,
                                    BidPriority::starved, BidPriority::best_effort}) {
     for (double slack : {-1000.0, -1.0, 10.0}) {
@@ -478,7 +480,7 @@
   EXPECT_EQ(demands[2].priority, BidPriority::starved);
 }
 
-// --- The wire.
+// --- Message codec
 
 Names wire_names() {
   Names names;
@@ -522,7 +524,7 @@
       {with(quote, "valid_ms", nan), 0, 1},
       {with(quote, "deliver_s", -1), 0, 1},
       {with(quote, "quote", "two words"), 0, 1},
-      {with(quote, "rig", "unheard-of"), 0, 0},  // a type that is not bought here, yet not malformed
+      {with(quote, "rig", "unheard-of"), 0, 0},  // an unknown type is ignored but not implausible
       {with(quote, "count", 0), 0, 0},
   };
   for (const QuoteCase& quote_case : cases) {
@@ -557,13 +559,14 @@
       {&bid_call, 200, "", AnswerKind::malformed},
       {&bid_call, 200, std::string(wire::max_market_body_size + 1, '\0'), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "bid", "n0-1-b2")),
-       AnswerKind::malformed},  // an answer to a different request
+       AnswerKind::malformed},  // answer about a different bid
       {&bid_call, 200, encoded(with(won_bid, "phase", "perhaps")), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "charged", nan)), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "charged", -1.0)), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "rate", -1.0)), AnswerKind::malformed},
       {&bid_call, 200, encoded(with(won_bid, "expects", -1)), AnswerKind::malformed},
-      {&bid_call, 200, encoded(with(won_bid, "phase", "raised")), AnswerKind::malformed},  // without a price
+      {&bid_call, 200, encoded(with(won_bid, "phase", "raised")),
+       AnswerKind::malformed},  // a raise without a price
       {&bid_call, 200, encoded(with(won_bid, "hosts", "all")), AnswerKind::malformed},
       {&bid_call, 404, "", AnswerKind::not_found},
       {&bid_call, 409, "", AnswerKind::rejected},
@@ -610,7 +613,7 @@
     EXPECT_EQ(state::encode_value(*back, model), value) << key;
     EXPECT_EQ(state::encode_key(back->key, model), key);
   }
-  // Money that cannot be decoded must not be taken for none.
+  // A bid record that cannot be decoded must be refused, because its money must not be read as none.
   for (const char* malformed :
        {R"({"market":"north"})", R"({"market":"north","type":"std","zone":"a","limit":-4,"term":9,"n":{}})",
         R"({"market":"north","type":"std","zone":"a","limit":4,"term":9,"n":{"red":"two"}})"}) {
