--- a/include/oxbowmill/market/bid.h
+++ b/include/oxbowmill/market/bid.h
@@ -61,22 +61,22 @@
   std::uint64_t raise_round = 0;   ///< number of the market's latest raise
   MoneyAmount requested_rate = 0;  ///< rate that the raise asks for, in millionths per machine and hour
   MoneyAmount agreed_rate = 0;     ///< agreed rate, in millionths per machine and hour
-  MoneyAmount charged = 0;         ///< amount charged so far, in millionths, as the market states
-  std::uint32_t delivered = 0;     ///< number of delivered machines, at most the number that was bid for
-  std::uint32_t usable = 0;        ///< number of delivered machines of the requested kind
-  std::set<std::string> hosts;     ///< names of all machines that were delivered under this bid
-  bool withdraw_requested = false;  ///< to be withdrawn as soon as its state allows
-  bool disputed = false;            ///< the market broke the agreement; its bids are no longer checked
-  bool late = false;                ///< machines were still missing at `abandon_at`
-  bool evaluated = false;           ///< its deliveries have been counted in the market's reputation
-  bool adopted = false;             ///< loaded from the records instead of created by this leadership
-  Revision revision = 0;            ///< revision of its record
-  int unanswered_calls = 0;         ///< number of consecutive calls without an answer
+  MoneyAmount charged_amount = 0;  ///< amount charged so far, in millionths, as the market states
+  std::uint32_t delivered_machines = 0;  ///< delivered machines, without any surplus
+  std::uint32_t usable_machines = 0;     ///< number of delivered machines of the requested kind
+  std::set<std::string> hosts;           ///< names of all machines that were delivered under this bid
+  bool withdraw_requested = false;       ///< to be withdrawn as soon as its state allows
+  bool is_disputed = false;              ///< the market broke the agreement on this bid
+  bool was_overdue = false;              ///< machines were still missing at `abandon_at`
+  bool outcome_counted = false;          ///< its deliveries have been counted in the market's reputation
+  bool loaded_from_records = false;      ///< loaded from the records instead of created by this leadership
+  Revision revision = 0;                 ///< revision of its record
+  int unanswered_calls = 0;              ///< number of consecutive calls without an answer
 };
 
 /// Changes the state of a bid; the only place that does. Returns false and changes nothing if the transition
 /// is not allowed.
-bool set_state(Bid& bid, BidState to, const std::string& why);
+bool set_state(Bid& bid, BidState to, const std::string& reason);
 
 /// Common prefix of the names of all bids of one leadership. The revision makes it unique, because no other
 /// leadership has the same one.
@@ -90,9 +90,9 @@
 bool is_delivery_late(const Bid& bid, Seconds now);
 
 /// Highest possible cost of a bid, in millionths: all machines at the price limit for the longest paid time.
-MoneyAmount worst_case(const BidRecord& record);
+MoneyAmount worst_case_cost(const BidRecord& record);
 /// Highest possible cost of `machines` at `limit` (millionths per machine and hour) for `max_paid_s` seconds
 /// each, in millionths.
-MoneyAmount worst_case(MoneyAmount limit, double max_paid_s, std::uint32_t machines);
+MoneyAmount worst_case_cost(MoneyAmount limit, double max_paid_s, std::uint32_t machines);
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/bid_accounting.h
+++ b/include/oxbowmill/market/bid_accounting.h
@@ -55,9 +55,9 @@
   /// One transaction that closes bids and updates market records.
   struct Settlement {
     Transaction transaction;
-    LedgerRecord ledger;               // record after the costs of all these bids
-    std::vector<std::string> bids;     // names of the bids that it closes
-    std::vector<MarketIndex> markets;  // markets whose records it writes
+    LedgerRecord ledger;                 // record after the costs of all these bids
+    std::vector<std::string> bid_names;  // names of the bids that it closes
+    std::vector<MarketIndex> markets;    // markets whose records it writes
   };
   BidRecord make_record(const Purchases::BidDraft& draft, Clock clock) const;
   void log_created(const Bid& bid, double limit) const;
@@ -77,7 +77,7 @@
   Ledger ledger_;
   Revision leadership_revision_ = 0;
   std::uint64_t last_bid_number_ = 0;
-  bool settling_ = false;  // the outcome of a settlement is pending
+  bool settlement_pending_ = false;  // its transaction has no outcome yet
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/bid_lifecycle.h
+++ b/include/oxbowmill/market/bid_lifecycle.h
@@ -42,13 +42,13 @@
   void book_worst_case(Bid& bid);
   void submit(Bid& bid, const MarketClient& client, Clock clock, std::vector<Call>& calls);
   bool send(const Bid& bid, CallKind kind, Clock clock, std::vector<Call>& calls);
-  void withdraw(Bid& bid, const std::string& why) const;
+  void withdraw(Bid& bid, const std::string& reason) const;
   void on_not_found(Bid& bid, Seconds now) const;
   void on_rejected(Bid& bid, CallKind kind, Seconds now) const;
   void apply_update(Bid& bid, const BidUpdate& update, Clock clock);
   void on_won(Bid& bid, const BidUpdate& update);
   void decide_raise(Bid& bid, const BidUpdate& update) const;
-  void finish(Bid& bid, MoneyAmount charged, const std::string& why) const;
+  void finish(Bid& bid, MoneyAmount charged, const std::string& reason) const;
   Seconds final_deadline(const Bid& bid) const;
 
   const MarketRegistry& markets_;
--- a/include/oxbowmill/market/bidding_service.h
+++ b/include/oxbowmill/market/bidding_service.h
@@ -48,10 +48,10 @@
   /// Called when a market has confirmed the return of machines, or when the leadership ends before it has.
   ReturnHandler on_returned;
   /// Called with the machines of a disputed bid, which are to be drained.
-  OverpricedHandler on_overpriced;
+  DisputeHandler on_disputed;
   /// Assigns offers to demands; simulations replace it by baselines.
-  std::function<Plan(const std::vector<Demand>&, const std::vector<Offer>&, const Ledger&, double reference,
-                     const Settings&)>
+  std::function<Plan(const std::vector<Demand>&, const std::vector<Offer>&, const Ledger&,
+                     double reference_price, const Settings&)>
       planner = make_plan;
 
   /// Runs one cycle: advances bids and appends the calls that are due. Does nothing on a controller that is
@@ -67,13 +67,13 @@
   /// Amounts that were spent and that open bids may cost.
   const Ledger& ledger() const { return accounting_.ledger(); }
   /// Number of machines within guarantees that the last plan left unserved.
-  std::uint32_t unmet_guarantee() const { return unmet_.guaranteed_machines(); }
+  std::uint32_t unmet_guaranteed_machines() const { return unmet_.guaranteed_machines(); }
 
  private:
   bool acquire_leadership(Clock clock);
   void release_leadership();
   void buy(const std::vector<UnmetDemand>& unmet_demands, Clock clock, Purchases& purchases);
-  double reference_price() const;
+  double lowest_catalog_price() const;
 
   const ClusterState& state_;
   const Scheduler& scheduler_;
--- a/include/oxbowmill/market/calls.h
+++ b/include/oxbowmill/market/calls.h
@@ -28,7 +28,7 @@
   MarketIndex market;                ///< market that is called
   CallKind kind = CallKind::quotes;  ///< kind of the call
   std::vector<MachineKind> kinds;    ///< quotes: all kinds that are needed; calls about a bid: its one kind
-  std::string bid;                   ///< name of the bid; empty: the call concerns no single bid
+  std::string bid_name;              ///< name of the bid; empty: the call concerns no single bid
   std::string quote_id;              ///< bid: the market's id of the quote
   std::uint32_t count = 0;           ///< bid: number of machines
   MoneyAmount limit = 0;             ///< bid: highest acceptable rate, in millionths
@@ -37,7 +37,7 @@
   std::uint64_t round = 0;           ///< confirm: number of the raise
   MoneyAmount rate = 0;              ///< confirm: the raised rate, in millionths
   std::vector<std::string> hosts;    ///< release: names of the machines
-  std::uint64_t from = 0;            ///< charges: requests those with a higher number
+  std::uint64_t after_charge_number = 0;  ///< charges: requests those with a higher number
 };
 
 /// Outcome of a call.
@@ -85,13 +85,13 @@
   MoneyAmount raised_rate = 0;              ///< raised: rate that the market asks for, in millionths
   std::uint32_t expected_machines = 0;      ///< number of machines that are still to be delivered
   std::vector<HostUpdate> hosts;            ///< all machines delivered so far
-  MoneyAmount charged = 0;  ///< amount charged so far, in millionths; final if closed, lost or withdrawn
+  MoneyAmount charged_amount = 0;  ///< total charge in millionths; final once closed, lost or withdrawn
 };
 
 /// One entry of a market's list of charges.
 struct ChargeUpdate {
   std::uint64_t number = 0;  ///< increases from entry to entry
-  std::string bid;           ///< name of the bid
+  std::string bid_name;      ///< name of the bid
   MoneyAmount amount = 0;    ///< total charged for the bid so far, in millionths
 };
 
--- a/include/oxbowmill/market/charge_guard.h
+++ b/include/oxbowmill/market/charge_guard.h
@@ -17,19 +17,19 @@
 /// Detects charges that exceed the agreed price.
 class ChargeGuard {
  public:
-  /// All arguments must outlive this object; `on_overpriced` may be set later.
+  /// All arguments must outlive this object; `on_disputed` may be set later.
   ChargeGuard(const ClusterState& state, const MarketRegistry& markets, BidBook& bids,
-              const OverpricedHandler& on_overpriced)
-      : state_(state), markets_(markets), bids_(bids), on_overpriced_(on_overpriced) {}
+              const DisputeHandler& on_disputed)
+      : state_(state), markets_(markets), bids_(bids), on_disputed_(on_disputed) {}
 
   /// Disputes the bid if `charged` (total so far, in millionths) exceeds its highest possible cost at `now`.
   void check_charge(Bid& bid, MoneyAmount charged, Seconds now);
   /// Checks a market's list of charges. `leadership_revision` identifies the bids of this leadership by their
   /// name prefix.
   void on_charges(MarketClient& client, const Answer& answer, Revision leadership_revision, Seconds now);
-  /// Suspends the bid's market and reports the bid's machines to `on_overpriced`. The reason is stored with
+  /// Suspends the bid's market and reports the bid's machines to `on_disputed`. The reason is stored with
   /// the market's record.
-  void dispute(Bid& bid, const std::string& why);
+  void dispute(Bid& bid, const std::string& reason);
   /// Stores the final cost of a settled bid for later checks.
   void on_settled(const Bid& bid);
   /// Whether any bid was settled in this leadership.
@@ -43,7 +43,7 @@
   const ClusterState& state_;
   const MarketRegistry& markets_;
   BidBook& bids_;
-  const OverpricedHandler& on_overpriced_;
+  const DisputeHandler& on_disputed_;
   std::map<std::string, MoneyAmount> settled_costs_;  // by bid name
 };
 
--- a/include/oxbowmill/market/cloud_offer_source.h
+++ b/include/oxbowmill/market/cloud_offer_source.h
@@ -15,9 +15,10 @@
  public:
   /// Replaces the offers.
   void set_offers(const std::vector<CloudOffer>& offers) { offers_ = offers; }
-  void offers(Seconds now, std::vector<Offer>& out) const override;
-  void buy(const Award& award, const Offer& offer, const Demand& demand,
-           const std::vector<UnmetDemand>& unmet_demands, double reference, Purchases& out) const override;
+  void append_offers(Seconds now, std::vector<Offer>& out) const override;
+  void add_purchase(const Award& award, const Offer& offer, const Demand& demand,
+                    const std::vector<UnmetDemand>& unmet_demands, double reference_price,
+                    Purchases& out) const override;
 
  private:
   std::vector<CloudOffer> offers_;
--- a/include/oxbowmill/market/machine_callbacks.h
+++ b/include/oxbowmill/market/machine_callbacks.h
@@ -15,6 +15,6 @@
 /// its answer is unknown.
 using ReturnHandler = std::function<void(const std::vector<MachineIndex>&, bool confirmed)>;
 /// Called for machines of a disputed bid, which are to be drained and returned.
-using OverpricedHandler = std::function<void(const std::vector<MachineIndex>&)>;
+using DisputeHandler = std::function<void(const std::vector<MachineIndex>&)>;
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/market_client.h
+++ b/include/oxbowmill/market/market_client.h
@@ -21,13 +21,14 @@
   MarketClient(const MarketSettings& market_settings, const Settings& settings)
       : market_settings_(market_settings), settings_(settings) {}
 
-  void offers(Seconds now, std::vector<Offer>& out) const override;
-  void buy(const Award& award, const Offer& offer, const Demand& demand,
-           const std::vector<UnmetDemand>& unmet_demands, double reference, Purchases& out) const override;
+  void append_offers(Seconds now, std::vector<Offer>& out) const override;
+  void add_purchase(const Award& award, const Offer& offer, const Demand& demand,
+                    const std::vector<UnmetDemand>& unmet_demands, double reference_price,
+                    Purchases& out) const override;
 
   /// Changes the connection state; the only place that does. Returns false and changes nothing if the
   /// transition is not allowed.
-  bool set_state(MarketState to, const std::string& why);
+  bool set_state(MarketState to, const std::string& reason);
   /// Current connection state.
   MarketState state() const { return state_; }
   /// Whether new bids may be sent.
@@ -44,10 +45,10 @@
   /// The record to be stored.
   MarketRecord to_record() const;
   /// Suspends the market: no new bids until an operator reinstates it. The reason is stored in its record.
-  void suspend(const std::string& why);
+  void suspend(const std::string& reason);
 
-  /// Counts machines that were delivered as agreed (`kept`) and that were not (`broken`).
-  void record_machines(const MachineKind& kind, double kept, double broken);
+  /// Counts machines that were delivered as agreed (`delivered`) and that were not (`undelivered`).
+  void record_machines(const MachineKind& kind, double delivered, double undelivered);
   /// Counts a delivery that was promised within `promised_s` of the bid and made after `actual_s` (seconds).
   void record_delivery(const MachineKind& kind, Seconds promised_s, Seconds actual_s);
   /// Counts the ratio of a final price to the quoted one (both in the currency per machine and hour).
@@ -63,8 +64,8 @@
     overdue_machines_[kind] += machines;
   }
 
-  /// Whether quotes should be requested now. `needed`: there is unmet demand.
-  bool quotes_wanted(Seconds now, bool needed) const;
+  /// Whether quotes should be requested now. `has_demand`: there is unmet demand.
+  bool quotes_due(Seconds now, bool has_demand) const;
   /// Records that quotes have been requested.
   void on_quotes_requested(Seconds now) { quotes_requested_at_ = now; }
   /// Whether any quote is still valid.
@@ -78,7 +79,7 @@
   /// Records that the charge of this number was read.
   void on_charge_read(std::uint64_t number);
   /// Makes the next request start from the first charge.
-  void restart_charges() { last_charge_read_ = 0; }
+  void reset_last_charge_read() { last_charge_read_ = 0; }
 
   /// Whether reputation or suspension changed since the record was last written.
   bool has_unsaved_changes() const { return has_unsaved_changes_; }
@@ -93,8 +94,7 @@
     Seconds expires_at = 0;  // steady clock
   };
   struct CachedDistribution {
-    std::uint64_t evidence_version =
-        0;  // version of the evidence that it was computed from; 0: not computed yet
+    std::uint64_t evidence_version = 0;  // `evidence_version_` when computed; 0: never
     DeliveryDistribution distribution;
   };
   void on_no_answer(AnswerKind kind, Seconds now);
@@ -120,7 +120,7 @@
   Seconds quotes_requested_at_ = never;
   Seconds refilled_at_ = 0;  // when the tokens were last refilled
   double request_tokens_ = 1;
-  int failures_ = 0;  // consecutive calls without a readable answer
+  int consecutive_failures_ = 0;  // calls without a readable answer
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/market_poller.h
+++ b/include/oxbowmill/market/market_poller.h
@@ -1,4 +1,4 @@
-// Polls markets with requests that concern no single bid: quotes while machines are needed, and lists of
+// Polls markets with requests that concern no single bid: quotes while machines are has_demand, and lists of
 // charges while there are open or settled bids. Owns the list of kinds that quotes are requested for; used on
 // the controller's thread only.
 #pragma once
@@ -30,7 +30,7 @@
 
  private:
   void add_wanted_kinds(const UnmetDemand& unmet_demand);
-  void request_quotes(MarketClient& client, bool needed, Seconds now, std::vector<Call>& calls);
+  void request_quotes(MarketClient& client, bool has_demand, Seconds now, std::vector<Call>& calls);
   void request_charges(MarketClient& client, Seconds now, std::vector<Call>& calls);
 
   const ClusterState& state_;
@@ -39,8 +39,8 @@
   const ChargeGuard& charges_;
   CallTracker& call_tracker_;
   std::vector<MachineKind> wanted_kinds_;  // kinds that quotes are requested for
-  Seconds wanted_at_ = never;              // time of the latest unmet demand
-  Seconds wanted_since_ = 0;               // start of the current period of unmet demand
+  Seconds last_demand_at_ = never;         // time of the latest unmet demand
+  Seconds demand_since_ = 0;               // start of the current period of unmet demand
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/market_registry.h
+++ b/include/oxbowmill/market/market_registry.h
@@ -33,7 +33,7 @@
   /// Recomputes for each market the number of machines that are overdue now.
   void update_overdue_machines(const BidBook& bids, Seconds now);
   /// Appends the current offers of all markets.
-  void offers(Seconds now, std::vector<Offer>& out) const;
+  void append_offers(Seconds now, std::vector<Offer>& out) const;
 
  private:
   std::vector<std::unique_ptr<MarketClient>> by_index_;  // null: not configured
--- a/include/oxbowmill/market/offer.h
+++ b/include/oxbowmill/market/offer.h
@@ -30,7 +30,7 @@
   Seconds promised_delivery_s = 0;  ///< promised time from the bid to the delivery
   double delivered_fraction = 1;    ///< expected fraction of the requested machines that is delivered
   DeliveryDistribution delivery_distribution;  ///< delivery time of the machines that are delivered
-  bool proven = true;                          ///< market with enough good evidence to supply a whole plan
+  bool is_proven = true;                       ///< market with enough good evidence to supply a whole plan
   std::string quote_id;                        ///< the market's id of the quote
   Seconds quote_expires_at = 0;                ///< steady clock
 };
@@ -42,7 +42,7 @@
   PartitionIndex partition;                      ///< partition that gets the machines and pays for them
   bool spot = false;                             ///< spot machines are allowed
   ZoneIndex zone;                                ///< the only allowed zone; invalid: any
-  std::vector<std::uint32_t> per_machine;        ///< tasks that a machine holds, by type; 0: type not allowed
+  std::vector<std::uint32_t> tasks_per_machine;  ///< tasks that a machine holds, by type; 0: type not allowed
   std::uint32_t machines = 0;                    ///< needed units
   std::uint32_t extra_machines = 0;              ///< units that may be bought in addition
   Seconds run_s = 0;                             ///< estimated run time of a task
--- a/include/oxbowmill/market/offer_source.h
+++ b/include/oxbowmill/market/offer_source.h
@@ -27,11 +27,12 @@
  public:
   virtual ~OfferSource() = default;
   /// Appends the offers that can be bought at `now` (steady clock).
-  virtual void offers(Seconds now, std::vector<Offer>& out) const = 0;
-  /// Adds the award of one of this source's offers to the purchases. `reference` is the cloud's lowest posted
-  /// price of a machine, in the currency per hour.
-  virtual void buy(const Award& award, const Offer& offer, const Demand& demand,
-                   const std::vector<UnmetDemand>& unmet_demands, double reference, Purchases& out) const = 0;
+  virtual void append_offers(Seconds now, std::vector<Offer>& out) const = 0;
+  /// Adds the award of one of this source's offers to the purchases. `reference_price` is the cloud's lowest
+  /// posted price of a machine, in the currency per hour.
+  virtual void add_purchase(const Award& award, const Offer& offer, const Demand& demand,
+                            const std::vector<UnmetDemand>& unmet_demands, double reference_price,
+                            Purchases& out) const = 0;
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/remaining_budget.h
+++ b/include/oxbowmill/market/remaining_budget.h
@@ -33,26 +33,28 @@
   /// Deducts the expense. Returns false if it does not fit; part of it may have been deducted then.
   bool reserve(const Expense& expense, const Offer& offer);
   /// Remaining machines of an offer.
-  std::uint32_t machines_left(std::size_t offer_index) const { return offers_[offer_index]; }
+  std::uint32_t machines_left(std::size_t offer_index) const { return machines_left_by_offer_[offer_index]; }
   /// One above the highest index of a market that has offers.
-  std::size_t market_count() const { return unproven_.size(); }
+  std::size_t market_count() const { return unproven_machines_left_by_market_.size(); }
   /// Machines that may still be bought from a market while it is unproven.
-  std::uint32_t unproven_machines_left(std::size_t market) const { return unproven_[market]; }
+  std::uint32_t unproven_machines_left(std::size_t market) const {
+    return unproven_machines_left_by_market_[market];
+  }
 
  private:
-  struct Money {
+  struct RemainingMoney {
     MoneyAmount per_hour = unlimited, in_window = unlimited;
   };
   static constexpr MoneyAmount unlimited = -1;
   static MoneyAmount remaining(MoneyAmount limit, MoneyAmount used);
-  static bool spend(MoneyAmount& left, MoneyAmount cost);
+  static bool spend(MoneyAmount& available, MoneyAmount cost);
   bool reserve_money(const Expense& expense, const Offer& offer);
 
-  std::vector<std::uint32_t> offers_;    // remaining machines by offer
-  std::vector<std::uint32_t> unproven_;  // remaining machines by market
-  Money total_;
-  MoneyAmount starved_per_hour_ = unlimited;  // for demands with the priority `starved`
-  std::map<PartitionIndex, Money> teams_;     // partitions with limits of their own
+  std::vector<std::uint32_t> machines_left_by_offer_;            // remaining machines by offer
+  std::vector<std::uint32_t> unproven_machines_left_by_market_;  // remaining machines by market
+  RemainingMoney total_money_;
+  MoneyAmount starved_per_hour_ = unlimited;             // for demands with the priority `starved`
+  std::map<PartitionIndex, RemainingMoney> team_money_;  // only of partitions with limits of their own
 };
 
 }  // namespace oxbowmill::market
--- a/include/oxbowmill/market/reputation.h
+++ b/include/oxbowmill/market/reputation.h
@@ -45,8 +45,8 @@
   /// Starts from stored evidence.
   explicit Reputation(const Evidence& evidence) : evidence_(evidence) {}
 
-  /// Counts machines that were delivered as agreed (`kept`) and that were not (`broken`).
-  void record_machines(double kept, double broken);
+  /// Counts machines that were delivered as agreed (`delivered`) and that were not (`undelivered`).
+  void record_machines(double delivered, double undelivered);
   /// Counts a delivery that was promised within `promised_s` of the bid and made after `actual_s`.
   void record_delivery(Seconds promised_s, Seconds actual_s);
   /// Counts the ratio of a final price to the quoted one (both in the currency per machine and hour).
--- a/include/oxbowmill/market/return_queue.h
+++ b/include/oxbowmill/market/return_queue.h
@@ -38,7 +38,7 @@
  private:
   struct PendingReturn {
     MachineIndex machine;  // invalid: the machine has no record
-    Seconds next_at = 0;
+    Seconds next_attempt_at = 0;
     bool in_flight = false;
   };
   MarketIndex market_of(const std::string& host, const PendingReturn& pending) const;
--- a/include/oxbowmill/market/settings.h
+++ b/include/oxbowmill/market/settings.h
@@ -30,17 +30,16 @@
 
 /// Limits on spending, in millionths; 0: unlimited.
 struct SpendingLimit {
-  MoneyAmount per_hour = 0;  ///< limit on the sum of the price limits of all machines of open bids
-  MoneyAmount per_window =
-      0;  ///< limit on the amount paid in the window plus the worst-case cost of open bids
+  MoneyAmount per_hour = 0;    ///< limit on the sum of the price limits of all machines of open bids
+  MoneyAmount per_window = 0;  ///< limit on the paid amount plus the worst-case cost of open bids
 };
 
 /// Settings of one market.
 struct MarketSettings {
-  std::string name;           ///< name; with a dot also the prefix of its machines' names
+  std::string name;           ///< name; machine names begin with it and a dot
   MarketIndex index;          ///< index of the name
   std::string address;        ///< "IPv4:port"
-  double requests_per_s = 4;  ///< limit on the rate of requests to it
+  double requests_per_s = 4;  ///< highest rate of requests to it
   bool paused = false;        ///< no new bids; open bids are still tracked and machines returned
   bool reinstate = false;     ///< ignore a stored suspension of the market
 };
--- a/include/oxbowmill/market/unmet_capacity.h
+++ b/include/oxbowmill/market/unmet_capacity.h
@@ -15,10 +15,10 @@
   /// `settings` must outlive this object.
   explicit UnmetCapacity(const Settings& settings) : settings_(settings) {}
 
-  /// Evaluates a plan and logs unserved demand at a limited rate. `reference`: the cloud's lowest posted
-  /// price of a machine, in the currency per hour.
-  void update(const std::vector<Demand>& demands, const Plan& plan, const Ledger& ledger, double reference,
-              Seconds now);
+  /// Evaluates a plan and logs unserved demand at a limited rate. `reference_price`: the cloud's lowest
+  /// posted price of a machine, in the currency per hour.
+  void update(const std::vector<Demand>& demands, const Plan& plan, const Ledger& ledger,
+              double reference_price, Seconds now);
   /// Resets the figures when there is no unmet demand.
   void clear();
   /// Number of machines within guarantees that the last plan left unserved.
--- a/src/market/bid.cpp
+++ b/src/market/bid.cpp
@@ -52,15 +52,15 @@
   return allowed_transitions.at(static_cast<std::size_t>(from)).contains(to);
 }
 
-bool set_state(Bid& bid, BidState to, const std::string& why) {
+bool set_state(Bid& bid, BidState to, const std::string& reason) {
   if (bid.state == to) return true;
   if (!may_follow(bid.state, to)) {
     SPDLOG_ERROR("bid state change refused bid={} from={} to={} reason=\"{}\"", bid.name, name_of(bid.state),
-                 name_of(to), why);
+                 name_of(to), reason);
     return false;
   }
   SPDLOG_INFO("bid state changed bid={} from={} to={} reason=\"{}\"", bid.name, name_of(bid.state),
-              name_of(to), why);
+              name_of(to), reason);
   bid.state = to;
   return true;
 }
@@ -76,7 +76,7 @@
     case State::closed:
       return 0;
     default:
-      return bid.record.count() - std::min(bid.record.count(), bid.delivered);
+      return bid.record.count() - std::min(bid.record.count(), bid.delivered_machines);
   }
 }
 
@@ -89,13 +89,13 @@
   return missing_machines(bid) > 0 && (given_up || (bid.first_sent_at >= 0 && now > bid.late_after));
 }
 
-MoneyAmount worst_case(MoneyAmount limit, double max_paid_s, std::uint32_t machines) {
+MoneyAmount worst_case_cost(MoneyAmount limit, double max_paid_s, std::uint32_t machines) {
   double per_machine = std::ceil(static_cast<double>(limit) * max_paid_s / seconds_per_hour);
   return static_cast<MoneyAmount>(per_machine) * static_cast<MoneyAmount>(machines);
 }
 
-MoneyAmount worst_case(const BidRecord& record) {
-  return worst_case(record.price_limit, record.max_paid_s, record.count());
+MoneyAmount worst_case_cost(const BidRecord& record) {
+  return worst_case_cost(record.price_limit, record.max_paid_s, record.count());
 }
 
 }  // namespace oxbowmill::market
--- a/src/market/bid_accounting.cpp
+++ b/src/market/bid_accounting.cpp
@@ -11,7 +11,7 @@
 
 void BidAccounting::end_leadership() {
   ledger_.clear();
-  settling_ = false;
+  settlement_pending_ = false;
   leadership_revision_ = 0;
 }
 
@@ -26,7 +26,7 @@
     bid.record = entry.record;
     bid.revision = entry.revision;
     bid.state = BidState::unconfirmed;
-    bid.adopted = true;
+    bid.loaded_from_records = true;
     bid.first_sent_at = clock.now;
     bid.due_at = clock.now + std::max(0.0, bid.record.send_before + bid.record.delivery_s - clock.wall);
     bid.agreed_rate = bid.record.price_limit;
@@ -53,9 +53,9 @@
 void BidAccounting::commit(const Purchases::BidDraft& draft, Clock clock, Effects& out) {
   Bid bid;
   bid.record = make_record(draft, clock);
-  if (auto why = ledger_.rejection_reason(bid.record)) {
+  if (auto reason = ledger_.rejection_reason(bid.record)) {
     SPDLOG_INFO("bid rejected by spending limits market={} machines={} reason=\"{}\"",
-                state_.names.markets.name(bid.record.market), bid.record.count(), *why);
+                state_.names.markets.name(bid.record.market), bid.record.count(), *reason);
     return;
   }
   bid.name = bid_name_prefix(state_.settings.controller_name, leadership_revision_) +
@@ -78,7 +78,7 @@
       "worst_case={:.2f}",
       bid.name, state_.names.markets.name(bid.record.market), bid.record.count(),
       state_.names.zones.name(bid.record.zone), bid.record.spot, bid.quoted_rate, limit,
-      name_of(bid.priority), to_currency(worst_case(bid.record)));
+      name_of(bid.priority), to_currency(worst_case_cost(bid.record)));
 }
 
 void BidAccounting::queue_commit(const Bid& bid, Effects& out) {
@@ -97,30 +97,30 @@
   auto entry = state_.accounting.bids.find(bid_name);
   if (entry != state_.accounting.bids.end()) {
     bid->revision = entry->second.revision;
-    set_state(*bid, BidState::committed, "its worst case is durable");
+    set_state(*bid, BidState::committed, "record is durable");
     return;
   }
   // The record never became durable, so the bid was never sent.
-  set_state(*bid, BidState::closed, "its commitment was refused");
+  set_state(*bid, BidState::closed, "writing its record was refused");
   ledger_.release(bid_name);
   bids_.remove(bid_name);
 }
 
 void BidAccounting::settle(Clock clock, Effects& out) {
-  if (settling_) return;
+  if (settlement_pending_) return;
   Settlement settlement;
   settlement.transaction.guards = {scheduler_.ownership_guard(idle_pool)};
   add_finished_bids(settlement, clock.wall);
   add_changed_markets(settlement);
   Transaction& transaction = settlement.transaction;
   if (transaction.changes.empty()) return;
-  if (!settlement.bids.empty()) {
+  if (!settlement.bid_names.empty()) {
     transaction.guards.push_back({LedgerKey{}, state_.accounting.ledger.revision});
     transaction.changes.push_back({LedgerKey{}, settlement.ledger});
   }
-  settling_ = true;
+  settlement_pending_ = true;
   scheduler_.queue_transaction(out, Urgency::done_mark, std::move(transaction), {}, {},
-                               [this, bid_names = settlement.bids, markets = settlement.markets,
+                               [this, bid_names = settlement.bid_names, markets = settlement.markets,
                                 leadership_revision = leadership_revision_] {
                                  if (leadership_revision == leadership_revision_)
                                    on_settlement_outcome(bid_names, markets);
@@ -134,22 +134,22 @@
   Ledger running_total(settings_);
   running_total.load(settlement.ledger, wall);
   for (const auto& [name, bid] : bids_.bids()) {
-    if (bid.state != BidState::settling || settlement.bids.size() + 1 >= capacity) continue;
-    settlement.ledger = running_total.after_settlement(bid.record, bid.charged, wall);
+    if (bid.state != BidState::settling || settlement.bid_names.size() + 1 >= capacity) continue;
+    settlement.ledger = running_total.after_settlement(bid.record, bid.charged_amount, wall);
     running_total.load(settlement.ledger, wall);
     settlement.transaction.guards.push_back({BidKey{name}, bid.revision});
     settlement.transaction.changes.push_back({BidKey{name}, {}});
-    settlement.bids.push_back(name);
+    settlement.bid_names.push_back(name);
   }
 }
 
 void BidAccounting::add_changed_markets(Settlement& settlement) const {
   const std::size_t capacity = state_.settings.max_transaction_ops - 1;
   for (MarketClient* client : markets_.clients()) {
-    if (!client->has_unsaved_changes() || settlement.bids.size() + settlement.markets.size() >= capacity)
+    if (!client->has_unsaved_changes() || settlement.bid_names.size() + settlement.markets.size() >= capacity)
       continue;
     // A suspension is written at once; a changed reputation is written together with the next ended bid.
-    if (settlement.bids.empty() && client->state() != MarketState::suspended) continue;
+    if (settlement.bid_names.empty() && client->state() != MarketState::suspended) continue;
     MarketIndex market = client->market_settings().index;
     auto entry = state_.accounting.markets.find(market);
     settlement.transaction.guards.push_back(
@@ -162,7 +162,7 @@
 
 void BidAccounting::on_settlement_outcome(const std::vector<std::string>& bid_names,
                                           const std::vector<MarketIndex>& markets) {
-  settling_ = false;
+  settlement_pending_ = false;
   bool applied = bid_names.empty() || state_.accounting.bids.count(bid_names.front()) == 0;
   for (MarketIndex market : markets) {
     // The record is written again if the transaction was refused; writing it twice is harmless.
@@ -176,7 +176,7 @@
   for (const std::string& name : bid_names) {
     Bid* bid = bids_.find(name);
     if (bid == nullptr) continue;
-    set_state(*bid, BidState::closed, "paid " + std::to_string(to_currency(bid->charged)));
+    set_state(*bid, BidState::closed, "paid " + std::to_string(to_currency(bid->charged_amount)));
     ledger_.release(name);
     charges_.on_settled(*bid);
     bids_.remove(name);
--- a/src/market/bid_book.cpp
+++ b/src/market/bid_book.cpp
@@ -44,7 +44,8 @@
     // are subtracted to find how many this partition has received.
     std::uint32_t before = 0;
     for (auto it = bid.record.machines.begin(); it != own; ++it) before += it->second;
-    std::uint32_t received = bid.usable > before ? std::min(bid.usable - before, own->second) : 0;
+    std::uint32_t received =
+        bid.usable_machines > before ? std::min(bid.usable_machines - before, own->second) : 0;
     std::uint32_t share = std::min(missing, own->second - received);
     if (share > 0)
       out.push_back(
--- a/src/market/bid_lifecycle.cpp
+++ b/src/market/bid_lifecycle.cpp
@@ -69,7 +69,7 @@
     return book_worst_case(bid);
   if (bid.state == BidState::committed) return submit(bid, *client, clock, calls);
   if (bid.state == BidState::raised) {
-    if (bid.withdraw_requested) withdraw(bid, "given up instead of confirming the raise");
+    if (bid.withdraw_requested) withdraw(bid, "withdrawn instead of confirming the raise");
     return;
   }
   if (bid.withdraw_requested && may_withdraw(bid.state)) withdraw(bid, overdue ? "overdue" : "given up");
@@ -82,7 +82,7 @@
   if (overdue && !bid.withdraw_requested) {
     SPDLOG_INFO("bid overdue bid={} missing={} machines={}", bid.name, missing_machines(bid),
                 bid.record.count());
-    bid.withdraw_requested = bid.late = true;
+    bid.withdraw_requested = bid.was_overdue = true;
   }
   return overdue;
 }
@@ -95,14 +95,17 @@
 void BidLifecycle::book_worst_case(Bid& bid) {
   if (bid.state == BidState::committed || bid.state == BidState::committing) return;
   deliveries_.evaluate(bid);
-  finish(bid, worst_case(bid.record), "no definite answer within its time: booked at its worst case");
+  finish(bid, worst_case_cost(bid.record),
+         "no definite answer before the final deadline, booked at its worst-case cost");
 }
 
 void BidLifecycle::submit(Bid& bid, const MarketClient& client, Clock clock, std::vector<Call>& calls) {
-  bool useless = bid.withdraw_requested || clock.now >= bid.quote_expires_at ||
-                 clock.wall > bid.record.send_before || client.state() == MarketState::suspended ||
-                 client.state() == MarketState::unresponsive;
-  if (useless) return finish(bid, 0, "never sent: quote expired, market not available, or given up");
+  bool must_not_send = bid.withdraw_requested || clock.now >= bid.quote_expires_at ||
+                       clock.wall > bid.record.send_before || client.state() == MarketState::suspended ||
+                       client.state() == MarketState::unresponsive;
+  if (must_not_send)
+    return finish(
+        bid, 0, "never sent because the quote expired, the market is not available, or the bid was given up");
   if (!send(bid, CallKind::bid, clock, calls)) return;
   bid.first_sent_at = clock.now;
   bid.due_at = clock.now + bid.record.delivery_s;
@@ -117,7 +120,7 @@
   Call call;
   call.market = bid.record.market;
   call.kind = kind;
-  call.bid = bid.name;
+  call.bid_name = bid.name;
   call.quote_id = bid.quote_id;
   call.kinds = {bid.record.kind()};
   call.count = bid.record.count();
@@ -130,13 +133,13 @@
   return true;
 }
 
-void BidLifecycle::withdraw(Bid& bid, const std::string& why) const {
-  set_state(bid, BidState::withdrawing, why);
+void BidLifecycle::withdraw(Bid& bid, const std::string& reason) const {
+  set_state(bid, BidState::withdrawing, reason);
   bid.next_action_at = 0;
 }
 
 void BidLifecycle::on_answer(const Call& call, const Answer& answer, Clock clock) {
-  Bid* found = bids_.find(call.bid);
+  Bid* found = bids_.find(call.bid_name);
   if (found == nullptr || found->state == BidState::settling) return;
   Bid& bid = *found;
   switch (answer.kind) {
@@ -173,7 +176,7 @@
     return;
   }
   bid.withdraw_requested = true;
-  withdraw(bid, "not known to the market: withdrawn so that its name is used up");
+  withdraw(bid, "unknown to the market, withdrawn to mark its name as used");
 }
 
 void BidLifecycle::on_rejected(Bid& bid, CallKind kind, Seconds now) const {
@@ -190,10 +193,10 @@
 
 void BidLifecycle::apply_update(Bid& bid, const BidUpdate& update, Clock clock) {
   deliveries_.adopt_hosts(bid, update, clock.now);
-  charges_.check_charge(bid, update.charged, clock.now);
-  bid.charged = std::max(bid.charged, update.charged);
+  charges_.check_charge(bid, update.charged_amount, clock.now);
+  bid.charged_amount = std::max(bid.charged_amount, update.charged_amount);
   bid.last_status_at = clock.now;
-  if (update.rate > bid.record.price_limit && !bid.disputed)
+  if (update.rate > bid.record.price_limit && !bid.is_disputed)
     charges_.dispute(bid, "its price stands above the limit");
   bool withdrawing = bid.state == BidState::withdrawing;
   switch (update.phase) {
@@ -208,10 +211,11 @@
     case AuctionPhase::lost:
     case AuctionPhase::withdrawn:
       deliveries_.evaluate(bid);
-      return finish(bid, update.charged, update.phase == AuctionPhase::lost ? "lost" : "withdrawn");
+      return finish(bid, update.charged_amount,
+                    update.phase == AuctionPhase::lost ? "auction lost" : "withdrawn");
     case AuctionPhase::closed:
       deliveries_.evaluate(bid);
-      return finish(bid, update.charged, "closed by the market, all machines returned");
+      return finish(bid, update.charged_amount, "closed by the market, all machines returned");
   }
 }
 
@@ -222,7 +226,7 @@
       markets_.find(bid.record.market)
           ->record_price(bid.record.kind(), bid.quoted_rate, to_currency(update.rate));
   }
-  if (update.expected_machines == 0 || bid.delivered >= bid.record.count()) {
+  if (update.expected_machines == 0 || bid.delivered_machines >= bid.record.count()) {
     deliveries_.evaluate(bid);
     set_state(bid, BidState::running, "deliveries complete");
   } else if (bid.state != BidState::withdrawing) {
@@ -256,10 +260,10 @@
   bid.next_action_at = 0;
 }
 
-void BidLifecycle::finish(Bid& bid, MoneyAmount charged, const std::string& why) const {
+void BidLifecycle::finish(Bid& bid, MoneyAmount charged, const std::string& reason) const {
   if (bid.state == BidState::settling || bid.state == BidState::closed) return;
-  bid.charged = std::max(bid.charged, charged);
-  set_state(bid, BidState::settling, why);
+  bid.charged_amount = std::max(bid.charged_amount, charged);
+  set_state(bid, BidState::settling, reason);
 }
 
 }  // namespace oxbowmill::market
--- a/src/market/bidding_service.cpp
+++ b/src/market/bidding_service.cpp
@@ -16,7 +16,7 @@
       settings_(settings),
       markets_(settings),
       returns_(state, markets_, bids_, call_tracker_, on_returned),
-      charges_(state, markets_, bids_, on_overpriced),
+      charges_(state, markets_, bids_, on_disputed),
       deliveries_(state, markets_, bids_, charges_, returns_, on_delivered),
       lifecycle_(markets_, bids_, call_tracker_, charges_, deliveries_, settings),
       accounting_(state, scheduler, markets_, bids_, charges_, settings),
@@ -59,7 +59,7 @@
   for (MachineIndex machine : machines) returns_.add(state_.names.machines.name(machine), machine, now);
 }
 
-double BiddingService::reference_price() const {
+double BiddingService::lowest_catalog_price() const {
   double price = 0;
   for (const MachineType& type : state_.catalog) {
     if (type.price > 0 && (price == 0 || type.price < price)) price = type.price;
@@ -92,20 +92,20 @@
 
 void BiddingService::buy(const std::vector<UnmetDemand>& unmet_demands, Clock clock, Purchases& purchases) {
   std::vector<Offer> offers;
-  cloud_.offers(clock.now, offers);
+  cloud_.append_offers(clock.now, offers);
   markets_.update_overdue_machines(bids_, clock.now);
-  markets_.offers(clock.now, offers);
+  markets_.append_offers(clock.now, offers);
   std::vector<Demand> demands = group_demands(unmet_demands, settings_);
   limit_extra_machines(demands, bids_.bids(), settings_, clock.now);
-  double reference = reference_price();
-  Plan plan = planner(demands, offers, accounting_.ledger(), reference, settings_);
+  double reference_price = lowest_catalog_price();
+  Plan plan = planner(demands, offers, accounting_.ledger(), reference_price, settings_);
   for (const Award& award : plan.awards) {
-    const Offer& offer = offers[award.offer];
+    const Offer& offer = offers[award.offer_index];
     const OfferSource& source =
         offer.market.valid() ? static_cast<const OfferSource&>(markets_.at(offer.market)) : cloud_;
-    source.buy(award, offer, demands[award.demand], unmet_demands, reference, purchases);
+    source.add_purchase(award, offer, demands[award.demand_index], unmet_demands, reference_price, purchases);
   }
-  unmet_.update(demands, plan, accounting_.ledger(), reference, clock.now);
+  unmet_.update(demands, plan, accounting_.ledger(), reference_price, clock.now);
 }
 
 void BiddingService::run_cycle(Clock clock, Effects& out, std::vector<Call>& calls) {
@@ -146,7 +146,7 @@
   bidding_service.on_returned = [&autoscaler](const std::vector<MachineIndex>& machines, bool confirmed) {
     autoscaler.on_deleted(machines, confirmed);
   };
-  bidding_service.on_overpriced = [&autoscaler](const std::vector<MachineIndex>& machines) {
+  bidding_service.on_disputed = [&autoscaler](const std::vector<MachineIndex>& machines) {
     autoscaler.drain(machines);
   };
   autoscaler.set_source(&bidding_service);
--- a/src/market/call_tracker.cpp
+++ b/src/market/call_tracker.cpp
@@ -7,10 +7,10 @@
 void CallTracker::send(Call call, Seconds now, std::vector<Call>& calls) {
   call.id = ++last_call_id_;
   sent_at_[call.id] = now;
-  if (call.bid.empty()) {
+  if (call.bid_name.empty()) {
     markets_with_call_.insert({call.market.value, call.kind});
   } else {
-    bids_with_call_.insert(call.bid);
+    bids_with_call_.insert(call.bid_name);
   }
   calls.push_back(std::move(call));
 }
@@ -20,10 +20,10 @@
   if (sent == sent_at_.end()) return std::nullopt;
   Seconds sent_at = sent->second;
   sent_at_.erase(sent);
-  if (call.bid.empty()) {
+  if (call.bid_name.empty()) {
     markets_with_call_.erase({call.market.value, call.kind});
   } else {
-    bids_with_call_.erase(call.bid);
+    bids_with_call_.erase(call.bid_name);
   }
   return sent_at;
 }
--- a/src/market/cloud_offer_source.cpp
+++ b/src/market/cloud_offer_source.cpp
@@ -16,7 +16,7 @@
 }
 }  // namespace
 
-void CloudOfferSource::offers(Seconds, std::vector<Offer>& out) const {
+void CloudOfferSource::append_offers(Seconds, std::vector<Offer>& out) const {
   static const Reputation punctual = punctual_reputation();
   for (const CloudOffer& cloud_offer : offers_) {
     Offer offer;
@@ -33,10 +33,11 @@
   }
 }
 
-void CloudOfferSource::buy(const Award& award, const Offer& offer, const Demand& demand,
-                           const std::vector<UnmetDemand>& unmet_demands, double, Purchases& out) const {
+void CloudOfferSource::add_purchase(const Award& award, const Offer& offer, const Demand& demand,
+                                    const std::vector<UnmetDemand>& unmet_demands, double,
+                                    Purchases& out) const {
   // The most urgent demands of the group come first.
-  std::uint32_t tasks = award.machines * demand.per_machine[offer.type.value];
+  std::uint32_t tasks = award.machines * demand.tasks_per_machine[offer.type.value];
   for (std::size_t index : demand.unmet_demands) {
     std::uint32_t wanted = unmet_demands[index].tasks;
     std::uint32_t served = std::min(tasks, wanted - std::min(wanted, out.cloud_tasks[index]));
--- a/src/market/delivery_deadlines.cpp
+++ b/src/market/delivery_deadlines.cpp
@@ -11,16 +11,18 @@
 }  // namespace
 
 void set_delivery_deadlines(Bid& bid, const MarketClient* client, const Settings& settings) {
-  Seconds promised = bid.due_at - bid.first_sent_at;
-  Seconds late = promised, overdue = promised;
+  Seconds promised_s = bid.due_at - bid.first_sent_at;
+  Seconds late_s = promised_s, overdue_s = promised_s;
   if (client != nullptr) {
     Reputation reputation = client->reputation(bid.record.kind());
-    Seconds longest = promised + settings.delivery_tolerance_s;
-    late = std::max(promised, std::min(reputation.delay_quantile(promised, late_probability), longest));
-    overdue = std::max(promised, std::min(reputation.delay_quantile(promised, overdue_probability), longest));
+    Seconds longest_s = promised_s + settings.delivery_tolerance_s;
+    late_s =
+        std::max(promised_s, std::min(reputation.delay_quantile(promised_s, late_probability), longest_s));
+    overdue_s =
+        std::max(promised_s, std::min(reputation.delay_quantile(promised_s, overdue_probability), longest_s));
   }
-  bid.late_after = bid.first_sent_at + late + settings.answer_timeout_s / 2;
-  bid.abandon_at = bid.first_sent_at + overdue + settings.answer_timeout_s;
+  bid.late_after = bid.first_sent_at + late_s + settings.answer_timeout_s / 2;
+  bid.abandon_at = bid.first_sent_at + overdue_s + settings.answer_timeout_s;
 }
 
 }  // namespace oxbowmill::market
--- a/src/market/delivery_intake.cpp
+++ b/src/market/delivery_intake.cpp
@@ -50,19 +50,20 @@
     return;
   }
   bids_.set_host(host.name, bid.name);
-  bool surplus = bid.delivered >= bid.record.count();
-  if (!surplus) ++bid.delivered;
+  bool is_surplus = bid.delivered_machines >= bid.record.count();
+  if (!is_surplus) ++bid.delivered_machines;
   // The bid had no machine at the market's previous report, so nothing can be charged for the time before it.
-  if (bid.charged_since < 0 && !bid.adopted)
+  if (bid.charged_since < 0 && !bid.loaded_from_records)
     bid.charged_since = std::max(bid.last_status_at, bid.first_sent_at);
-  if (!surplus && !bid.adopted) client.record_delivery(kind, bid.record.delivery_s, now - bid.first_sent_at);
-  if (surplus || !(host.kind == kind)) {
+  if (!is_surplus && !bid.loaded_from_records)
+    client.record_delivery(kind, bid.record.delivery_s, now - bid.first_sent_at);
+  if (is_surplus || !(host.kind == kind)) {
     SPDLOG_INFO("delivered machine returned bid={} machine={} reason=\"{}\"", bid.name, host.name,
-                surplus ? "more than was bid for" : "not of the kind that was bid for");
+                is_surplus ? "more than was bid for" : "not of the kind that was bid for");
     returns_.add(host.name, machine, now);
     return;
   }
-  PartitionIndex partition = partition_of(bid.record, bid.usable++);
+  PartitionIndex partition = partition_of(bid.record, bid.usable_machines++);
   if (machine.valid() || !on_delivered_) return;
   MachineRecord record{partition, kind.type, kind.zone,         kind.spot, MachineMark::none,
                        {},        false,     bid.record.market, bid.name};
@@ -70,15 +71,15 @@
 }
 
 void DeliveryIntake::evaluate(Bid& bid) {
-  if (bid.evaluated) return;
-  bid.evaluated = true;
+  if (bid.outcome_counted) return;
+  bid.outcome_counted = true;
   MarketClient* client = markets_.find(bid.record.market);
   // A lost auction breaks no promise. A bid that was won, that got machines or that became overdue does, if
   // machines are missing.
-  bool promised = bid.state == BidState::won || bid.delivered > 0 || bid.late;
-  if (client == nullptr || !promised || bid.first_sent_at < 0) return;
-  double missing = bid.record.count() - std::min(bid.record.count(), bid.usable);
-  client->record_machines(bid.record.kind(), bid.usable, missing);
+  bool made_promise = bid.state == BidState::won || bid.delivered_machines > 0 || bid.was_overdue;
+  if (client == nullptr || !made_promise || bid.first_sent_at < 0) return;
+  double missing = bid.record.count() - std::min(bid.record.count(), bid.usable_machines);
+  client->record_machines(bid.record.kind(), bid.usable_machines, missing);
 }
 
 }  // namespace oxbowmill::market
--- a/src/market/demand_groups.cpp
+++ b/src/market/demand_groups.cpp
@@ -55,7 +55,7 @@
   demand.partition = unmet_demand.partition;
   demand.spot = unmet_demand.spot;
   demand.zone = unmet_demand.zone;
-  demand.per_machine = unmet_demand.tasks_per_machine;
+  demand.tasks_per_machine = unmet_demand.tasks_per_machine;
   demand.run_s = unmet_demand.estimated_run_s;
   demand.slack_s = unmet_demand.slack_s;
   return demand;
--- a/src/market/extra_machines.cpp
+++ b/src/market/extra_machines.cpp
@@ -15,11 +15,11 @@
   MachinesByPartition late;
   for (const auto& [name, bid] : bids) {
     if (!is_delivery_late(bid, now)) continue;
-    std::uint32_t left = missing_machines(bid);
-    for (auto it = bid.record.machines.rbegin(); it != bid.record.machines.rend() && left > 0; ++it) {
-      std::uint32_t machines = std::min(left, it->second);
+    std::uint32_t missing = missing_machines(bid);
+    for (auto it = bid.record.machines.rbegin(); it != bid.record.machines.rend() && missing > 0; ++it) {
+      std::uint32_t machines = std::min(missing, it->second);
       late[it->first] += machines;
-      left -= machines;
+      missing -= machines;
     }
   }
   return late;
@@ -33,10 +33,10 @@
   for (const Demand& demand : demands) wanted[demand.partition] += demand.machines;
   for (const auto& [partition, machines] : wanted) {
     auto allowance = static_cast<std::uint32_t>(std::ceil(settings.extra_fraction * machines));
-    std::uint32_t& late_here = late[partition];
-    std::uint32_t covered = std::min(late_here, allowance);
+    std::uint32_t& late_in_partition = late[partition];
+    std::uint32_t covered = std::min(late_in_partition, allowance);
     allowances[partition] = allowance - covered;
-    late_here -= covered;
+    late_in_partition -= covered;
   }
   return allowances;
 }
--- a/src/market/market_client.cpp
+++ b/src/market/market_client.cpp
@@ -22,11 +22,11 @@
 constexpr double min_fraction = 0.05;  // offers with a lower expected delivered fraction are ignored
 }  // namespace
 
-bool MarketClient::set_state(MarketState to, const std::string& why) {
+bool MarketClient::set_state(MarketState to, const std::string& reason) {
   if (state_ == to) return true;
   if (!may_follow(state_, to)) return false;
   SPDLOG_INFO("market state changed market={} from={} to={} reason=\"{}\"", market_settings_.name,
-              name_of(state_), name_of(to), why);
+              name_of(state_), name_of(to), reason);
   state_ = to;
   return true;
 }
@@ -41,10 +41,11 @@
 }
 
 void MarketClient::on_no_answer(AnswerKind kind, Seconds now) {
-  ++failures_;
-  if (state_ != MarketState::probing && failures_ < unresponsive_after) return;
+  ++consecutive_failures_;
+  if (state_ != MarketState::probing && consecutive_failures_ < unresponsive_after) return;
   paused_until_ =
-      now + std::min(max_pause_s, min_pause_s * std::exp2(std::max(0, failures_ - unresponsive_after)));
+      now +
+      std::min(max_pause_s, min_pause_s * std::exp2(std::max(0, consecutive_failures_ - unresponsive_after)));
   set_state(MarketState::unresponsive, kind == AnswerKind::malformed ? "malformed answers" : "no answer");
 }
 
@@ -57,11 +58,11 @@
     case AnswerKind::throttled:
       paused_until_ =
           std::max(paused_until_, now + std::clamp(answer.retry_after_s, min_throttle_s, max_pause_s));
-      set_state(MarketState::throttled, "asks for a pause");
+      set_state(MarketState::throttled, "the market asked for a pause");
       return;
     default:
-      failures_ = 0;
-      set_state(MarketState::trading, "answers");
+      consecutive_failures_ = 0;
+      set_state(MarketState::trading, "the market answers");
   }
 }
 
@@ -82,12 +83,12 @@
   }
 }
 
-bool MarketClient::quotes_wanted(Seconds now, bool needed) const {
+bool MarketClient::quotes_due(Seconds now, bool has_demand) const {
   if (state_ == MarketState::suspended || now < paused_until_) return false;
   if (state_ == MarketState::unresponsive || state_ == MarketState::throttled)
     return true;  // one probe, to find out whether the market answers again
   Seconds interval = state_ == MarketState::untried ? first_quote_interval_s : settings_.quote_interval_s;
-  return needed && now - quotes_requested_at_ >= interval;
+  return has_demand && now - quotes_requested_at_ >= interval;
 }
 
 bool MarketClient::has_quotes(Seconds now) const {
@@ -108,18 +109,18 @@
   return {state_ == MarketState::suspended, suspension_reason_, overall_reputation_.evidence()};
 }
 
-void MarketClient::suspend(const std::string& why) {
+void MarketClient::suspend(const std::string& reason) {
   if (state_ == MarketState::suspended) return;
-  SPDLOG_ERROR("market suspended market={} reason=\"{}\"", market_settings_.name, why);
-  suspension_reason_ = why;
+  SPDLOG_ERROR("market suspended market={} reason=\"{}\"", market_settings_.name, reason);
+  suspension_reason_ = reason;
   has_unsaved_changes_ = true;
-  set_state(MarketState::suspended, why);
+  set_state(MarketState::suspended, reason);
 }
 
-void MarketClient::record_machines(const MachineKind& kind, double kept, double broken) {
-  if (kept + broken <= 0) return;
-  overall_reputation_.record_machines(kept, broken);
-  reputation_by_kind_[kind].record_machines(kept, broken);
+void MarketClient::record_machines(const MachineKind& kind, double delivered, double undelivered) {
+  if (delivered + undelivered <= 0) return;
+  overall_reputation_.record_machines(delivered, undelivered);
+  reputation_by_kind_[kind].record_machines(delivered, undelivered);
   has_unsaved_changes_ = true;
 }
 
@@ -166,7 +167,7 @@
   offer.price_limit = update.rate * std::max(1.0, reputation.price_drift_quantile(price_limit_quantile));
   offer.promised_delivery_s = update.deliver_s;
   offer.delivered_fraction = reputation.delivered_fraction();
-  offer.proven = reputation.delivered_fraction_quantile(proven_quantile) >= proven_fraction;
+  offer.is_proven = reputation.delivered_fraction_quantile(proven_quantile) >= proven_fraction;
   offer.quote_id = update.quote_id;
   offer.quote_expires_at = quote.expires_at;
   return offer;
@@ -184,7 +185,7 @@
   return cached.distribution;
 }
 
-void MarketClient::offers(Seconds now, std::vector<Offer>& out) const {
+void MarketClient::append_offers(Seconds now, std::vector<Offer>& out) const {
   if (!accepts_bids()) return;
   for (const Quote& quote : quotes_) {
     if (quote.expires_at < now + min_quote_remaining_s) continue;
@@ -196,9 +197,10 @@
   }
 }
 
-void MarketClient::buy(const Award& award, const Offer& offer, const Demand& demand,
-                       const std::vector<UnmetDemand>&, double reference, Purchases& out) const {
-  double limit = Pricing::bid_limit(demand, offer, reference, settings_);
+void MarketClient::add_purchase(const Award& award, const Offer& offer, const Demand& demand,
+                                const std::vector<UnmetDemand>&, double reference_price,
+                                Purchases& out) const {
+  double limit = Pricing::bid_limit(demand, offer, reference_price, settings_);
   auto same = std::find_if(out.drafts.begin(), out.drafts.end(), [&](const Purchases::BidDraft& draft) {
     return draft.offer.market == offer.market && draft.offer.quote_id == offer.quote_id &&
            draft.offer.type == offer.type && draft.offer.zone == offer.zone &&
--- a/src/market/market_poller.cpp
+++ b/src/market/market_poller.cpp
@@ -11,8 +11,8 @@
 }  // namespace
 
 void MarketPoller::on_demand(const std::vector<UnmetDemand>& unmet_demands, Seconds now) {
-  if (now - wanted_at_ > quote_refresh_window_s) wanted_since_ = now;
-  wanted_at_ = now;
+  if (now - last_demand_at_ > quote_refresh_window_s) demand_since_ = now;
+  last_demand_at_ = now;
   for (const UnmetDemand& unmet_demand : unmet_demands) add_wanted_kinds(unmet_demand);
 }
 
@@ -32,31 +32,32 @@
 }
 
 bool MarketPoller::awaits_first_quotes(Seconds now) const {
-  bool quoted = false, may_quote = false;
+  bool has_quote = false, may_quote = false;
   for (const MarketClient* client : markets_.clients()) {
-    quoted = quoted || (client->accepts_bids() && client->has_quotes(now));
+    has_quote = has_quote || (client->accepts_bids() && client->has_quotes(now));
     may_quote =
         may_quote || client->state() == MarketState::untried || client->state() == MarketState::trading;
   }
-  return !quoted && may_quote && now - wanted_since_ < first_quotes_timeout_s;
+  return !has_quote && may_quote && now - demand_since_ < first_quotes_timeout_s;
 }
 
 void MarketPoller::poll(Seconds now, std::vector<Call>& calls) {
-  bool needed = now - wanted_at_ < quote_refresh_window_s;
-  if (!needed) wanted_kinds_.clear();
+  bool has_demand = now - last_demand_at_ < quote_refresh_window_s;
+  if (!has_demand) wanted_kinds_.clear();
   for (MarketClient* client : markets_.clients()) {
-    request_quotes(*client, needed, now, calls);
+    request_quotes(*client, has_demand, now, calls);
     request_charges(*client, now, calls);
   }
 }
 
-void MarketPoller::request_quotes(MarketClient& client, bool needed, Seconds now, std::vector<Call>& calls) {
+void MarketPoller::request_quotes(MarketClient& client, bool has_demand, Seconds now,
+                                  std::vector<Call>& calls) {
   MarketIndex market = client.market_settings().index;
   if (wanted_kinds_.empty() || call_tracker_.has_market_call(market, CallKind::quotes) ||
-      !client.quotes_wanted(now, needed) || !client.try_acquire_request(now))
+      !client.quotes_due(now, has_demand) || !client.try_acquire_request(now))
     return;
   if (client.state() == MarketState::unresponsive || client.state() == MarketState::throttled)
-    client.set_state(MarketState::probing, "one request to see whether it answers again");
+    client.set_state(MarketState::probing, "one request to find out whether the market answers again");
   client.on_quotes_requested(now);
   Call call;
   call.market = market;
@@ -76,7 +77,7 @@
   Call call;
   call.market = market;
   call.kind = CallKind::charges;
-  call.from = client.last_charge_read();
+  call.after_charge_number = client.last_charge_read();
   call_tracker_.send(std::move(call), now, calls);
 }
 
--- a/src/market/market_registry.cpp
+++ b/src/market/market_registry.cpp
@@ -28,7 +28,7 @@
 void MarketRegistry::end_leadership() {
   for (MarketClient* client : configured_) {
     client->clear_overdue_machines();
-    client->restart_charges();
+    client->reset_last_charge_read();
   }
 }
 
@@ -36,13 +36,13 @@
   for (MarketClient* client : configured_) client->clear_overdue_machines();
   for (const auto& [name, bid] : bids.bids()) {
     MarketClient* client = find(bid.record.market);
-    if (client != nullptr && !bid.evaluated && is_overdue(bid, now))
+    if (client != nullptr && !bid.outcome_counted && is_overdue(bid, now))
       client->add_overdue_machines(bid.record.kind(), missing_machines(bid));
   }
 }
 
-void MarketRegistry::offers(Seconds now, std::vector<Offer>& out) const {
-  for (const MarketClient* client : configured_) client->offers(now, out);
+void MarketRegistry::append_offers(Seconds now, std::vector<Offer>& out) const {
+  for (const MarketClient* client : configured_) client->append_offers(now, out);
 }
 
 }  // namespace oxbowmill::market
--- a/src/market/planner.cpp
+++ b/src/market/planner.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 // Search for the penalty on committed money with which the flow fits the spending limits.
-constexpr int price_steps = 14;              // bisection steps
-constexpr int max_price_raises = 40;         // increases before the bisection
-constexpr double price_growth = 4;           // factor of each increase
+constexpr int bisection_steps = 14;
+constexpr int max_penalty_increases = 40;    // increases before the bisection
+constexpr double penalty_growth = 4;         // factor of each increase
 constexpr double rounding_tolerance = 1e-9;  // in machines
 constexpr std::size_t source_node = 0, sink_node = 1, first_inner_node = 2;
 
@@ -28,7 +28,7 @@
 
 /// A demand, an offer that can serve it, and the units assigned to both.
 struct Match {
-  std::size_t demand, offer;
+  std::size_t demand_index, offer_index;
   double machines_per_unit;
   double cost;           // expected cost of one unit
   double gain;           // expected saving per unit compared with leaving it unserved
@@ -45,21 +45,21 @@
 class Solver {
  public:
   Solver(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
-         double reference, const Settings& settings)
+         double reference_price, const Settings& settings)
       : demands_(demands),
         offers_(offers),
-        reference_price_(reference),
+        reference_price_(reference_price),
         settings_(settings),
         remaining_(demands, offers, ledger, settings) {}
 
   Plan solve() {
     for (const Demand& demand : demands_) wanted_.push_back(demand.machines);
-    plan_.unmet = wanted_;
+    plan_.unmet_units = wanted_;
     for (BidPriority priority : priorities_in_order) serve_priority(priority, AwardKind::ordinary);
     set_extra_demand();
     for (BidPriority priority : priorities_in_order) serve_priority(priority, AwardKind::extra);
     for (std::size_t i = 0; i < demands_.size(); ++i)
-      plan_.cost += plan_.unmet[i] * Pricing::unserved_cost(demands_[i], reference_price_);
+      plan_.cost += plan_.unmet_units[i] * Pricing::unserved_cost(demands_[i], reference_price_);
     return std::move(plan_);
   }
 
@@ -71,16 +71,16 @@
     std::size_t count = first_inner_node;
   };
 
-  bool is_unproven(const Offer& offer) const { return offer.market.valid() && !offer.proven; }
+  bool is_unproven(const Offer& offer) const { return offer.market.valid() && !offer.is_proven; }
 
   /// Sets the extra units to the machines of unproven markets that are not expected in time.
   void set_extra_demand() {
     std::vector<double> expected_missing(demands_.size(), 0);
     for (const Award& award : plan_.awards) {
-      const Offer& offer = offers_[award.offer];
+      const Offer& offer = offers_[award.offer_index];
       if (!is_unproven(offer)) continue;
-      expected_missing[award.demand] +=
-          award.machines * (1 - Pricing::on_time_probability(demands_[award.demand], offer, settings_));
+      expected_missing[award.demand_index] +=
+          award.machines * (1 - Pricing::on_time_probability(demands_[award.demand_index], offer, settings_));
     }
     for (std::size_t i = 0; i < demands_.size(); ++i)
       wanted_[i] =
@@ -92,7 +92,7 @@
     if (matches.empty()) return;
     solve_within_budget(matches);
     round_up(matches);
-    for (const Match& match : matches) award(match, kind);
+    for (const Match& match : matches) add_award(match, kind);
   }
 
   std::vector<Match> find_matches(BidPriority priority) const {
@@ -123,36 +123,36 @@
     solve_flow(matches, 0);
     if (fits(matches)) return;
     double low = 0, high = 1;
-    for (int i = 0; i < max_price_raises; ++i, high *= price_growth) {
+    for (int i = 0; i < max_penalty_increases; ++i, high *= penalty_growth) {
       solve_flow(matches, high);
       if (fits(matches)) break;
       low = high;
     }
-    for (int i = 0; i < price_steps; ++i) {
+    for (int i = 0; i < bisection_steps; ++i) {
       double middle = (low + high) / 2;
-      std::vector<Match> tried = unsolved;
-      solve_flow(tried, middle);
-      if (fits(tried)) {
+      std::vector<Match> candidate = unsolved;
+      solve_flow(candidate, middle);
+      if (fits(candidate)) {
         high = middle;
-        matches = std::move(tried);
+        matches = std::move(candidate);
       } else {
         low = middle;
       }
     }
   }
 
-  /// Sets the units of all matches to the minimum-cost flow with the penalty `price` per committed unit of
-  /// the currency.
-  void solve_flow(std::vector<Match>& matches, double price) const {
+  /// Sets the units of all matches to the minimum-cost flow with `penalty` on each committed unit of the
+  /// currency.
+  void solve_flow(std::vector<Match>& matches, double penalty) const {
     NetworkNodes nodes = number_nodes(matches);
     MinCostFlow network(nodes.count);
     add_bounds(network, nodes);
     for (Match& match : matches) {
-      const Offer& offer = offers_[match.offer];
+      const Offer& offer = offers_[match.offer_index];
       double committed_rate = offer.market.valid() ? match.machines_per_unit * to_currency(match.limit) : 0;
-      match.edge =
-          network.add_edge(nodes.by_demand[match.demand], nodes.by_offer[match.offer], max_units(match),
-                           -match.gain + price * committed_rate * settings_.max_paid_s / seconds_per_hour);
+      match.edge = network.add_edge(
+          nodes.by_demand[match.demand_index], nodes.by_offer[match.offer_index], max_units(match),
+          -match.gain + penalty * committed_rate * settings_.max_paid_s / seconds_per_hour);
     }
     network.run(source_node, sink_node);
     for (Match& match : matches) match.units = network.flow_through(match.edge);
@@ -167,11 +167,11 @@
       if (node == 0) node = nodes.count++;
     };
     for (const Match& match : matches) {
-      number(nodes.by_demand[match.demand]);
-      number(nodes.by_offer[match.offer]);
+      number(nodes.by_demand[match.demand_index]);
+      number(nodes.by_offer[match.offer_index]);
     }
     for (const Match& match : matches) {
-      const Offer& offer = offers_[match.offer];
+      const Offer& offer = offers_[match.offer_index];
       if (is_unproven(offer)) number(nodes.by_market[offer.market.value]);
     }
     return nodes;
@@ -195,19 +195,20 @@
 
   std::uint32_t max_units(const Match& match) const {
     // The offer bounds machines, of which one unit may take several.
-    auto most = static_cast<std::uint32_t>(remaining_.machines_left(match.offer) / match.machines_per_unit);
+    auto max_count =
+        static_cast<std::uint32_t>(remaining_.machines_left(match.offer_index) / match.machines_per_unit);
     // Prevents a demand from relying on an unproven market alone.
-    if (is_unproven(offers_[match.offer]))
-      most = std::min(most, static_cast<std::uint32_t>(
-                                std::ceil(settings_.trial_fraction * demands_[match.demand].machines)));
-    return std::min(most, wanted_[match.demand]);
+    if (is_unproven(offers_[match.offer_index]))
+      max_count = std::min(max_count, static_cast<std::uint32_t>(std::ceil(
+                                          settings_.trial_fraction * demands_[match.demand_index].machines)));
+    return std::min(max_count, wanted_[match.demand_index]);
   }
 
   bool reserve(RemainingBudget& budget, const Match& match, std::uint32_t machines) const {
-    const Demand& demand = demands_[match.demand];
+    const Demand& demand = demands_[match.demand_index];
     return budget.reserve(
-        {match.offer, machines, match.limit, settings_.max_paid_s, demand.priority, demand.partition},
-        offers_[match.offer]);
+        {match.offer_index, machines, match.limit, settings_.max_paid_s, demand.priority, demand.partition},
+        offers_[match.offer_index]);
   }
 
   bool fits(const std::vector<Match>& matches) const {
@@ -223,13 +224,13 @@
     std::vector<std::uint32_t> unserved = wanted_;
     for (Match& match : matches) {
       shrink_to_fit(match, budget);
-      unserved[match.demand] -= match.units;
+      unserved[match.demand_index] -= match.units;
     }
     std::vector<std::size_t> order(matches.size());
     std::iota(order.begin(), order.end(), 0);
     std::stable_sort(order.begin(), order.end(),
                      [&](std::size_t a, std::size_t b) { return matches[a].gain > matches[b].gain; });
-    for (std::size_t i : order) grow(matches[i], budget, unserved[matches[i].demand]);
+    for (std::size_t i : order) grow(matches[i], budget, unserved[matches[i].demand_index]);
   }
 
   /// Removes units until the match fits. Rounding up to whole machines for each match may exceed an offer.
@@ -247,21 +248,21 @@
   void grow(Match& match, RemainingBudget& budget, std::uint32_t& unserved) const {
     while (unserved > 0) {
       RemainingBudget trial = budget;
-      std::uint32_t more = match.machines(match.units + 1) - match.machines(match.units);
-      if (more != 0 && !reserve(trial, match, more)) return;
+      std::uint32_t additional = match.machines(match.units + 1) - match.machines(match.units);
+      if (additional != 0 && !reserve(trial, match, additional)) return;
       budget = std::move(trial);
       ++match.units;
       --unserved;
     }
   }
 
-  void award(const Match& match, AwardKind kind) {
+  void add_award(const Match& match, AwardKind kind) {
     if (match.units == 0) return;
     std::uint32_t machines = match.machines(match.units);
     reserve(remaining_, match, machines);
-    plan_.awards.push_back({match.demand, match.offer, machines, kind == AwardKind::extra});
+    plan_.awards.push_back({match.demand_index, match.offer_index, machines, kind == AwardKind::extra});
     if (kind == AwardKind::extra) return;
-    plan_.unmet[match.demand] -= match.units;
+    plan_.unmet_units[match.demand_index] -= match.units;
     plan_.cost += match.units * match.cost;
   }
 
@@ -277,8 +278,8 @@
 }  // namespace
 
 Plan make_plan(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
-               double reference, const Settings& settings) {
-  return Solver(demands, offers, ledger, reference, settings).solve();
+               double reference_price, const Settings& settings) {
+  return Solver(demands, offers, ledger, reference_price, settings).solve();
 }
 
 }  // namespace oxbowmill::market
--- a/src/market/pricing.cpp
+++ b/src/market/pricing.cpp
@@ -31,27 +31,28 @@
 }
 }  // namespace
 
-double Pricing::unserved_cost(const Demand& demand, double reference) {
-  return lateness_weight(demand.priority) * reference * run_hours(demand);
+double Pricing::unserved_cost(const Demand& demand, double reference_price) {
+  return lateness_weight(demand.priority) * reference_price * run_hours(demand);
 }
 
 double Pricing::machines_per_unit(const Demand& demand, const Offer& offer) {
   if (offer.spot && !demand.spot) return 0;
   if (demand.zone.valid() && demand.zone != offer.zone) return 0;
-  if (offer.type.value >= demand.per_machine.size() || demand.per_machine[offer.type.value] == 0) return 0;
-  double most_tasks = *std::max_element(demand.per_machine.begin(), demand.per_machine.end());
-  return most_tasks / demand.per_machine[offer.type.value];
+  if (offer.type.value >= demand.tasks_per_machine.size() || demand.tasks_per_machine[offer.type.value] == 0)
+    return 0;
+  double most_tasks = *std::max_element(demand.tasks_per_machine.begin(), demand.tasks_per_machine.end());
+  return most_tasks / demand.tasks_per_machine[offer.type.value];
 }
 
-double Pricing::bid_limit(const Demand& demand, const Offer& offer, double reference,
+double Pricing::bid_limit(const Demand& demand, const Offer& offer, double reference_price,
                           const Settings& settings) {
   if (!offer.market.valid()) return offer.price_limit;
   // Best-effort work, starved or not, bids at most the quoted price, so that it never outbids other work.
   if (demand.priority == BidPriority::best_effort || demand.priority == BidPriority::starved)
-    return std::min(offer.quoted_price, settings.limit_factor * reference);
+    return std::min(offer.quoted_price, settings.limit_factor * reference_price);
   // The price must not exceed the cost of leaving the work unserved.
-  return std::min(
-      {offer.price_limit, lateness_weight(demand.priority) * reference, settings.limit_factor * reference});
+  return std::min({offer.price_limit, lateness_weight(demand.priority) * reference_price,
+                   settings.limit_factor * reference_price});
 }
 
 double Pricing::on_time_probability(const Demand& demand, const Offer& offer, const Settings& settings) {
@@ -64,11 +65,11 @@
   return offer.delivered_fraction * probability;
 }
 
-double Pricing::expected_cost(const Demand& demand, const Offer& offer, double reference,
+double Pricing::expected_cost(const Demand& demand, const Offer& offer, double reference_price,
                               const Settings& settings) {
   // A machine is paid for even if it comes late; one that never comes only causes the cost of lateness.
   return offer.delivered_fraction * offer.expected_price * run_hours(demand) +
-         (1 - on_time_probability(demand, offer, settings)) * unserved_cost(demand, reference);
+         (1 - on_time_probability(demand, offer, settings)) * unserved_cost(demand, reference_price);
 }
 
 }  // namespace oxbowmill::market
--- a/src/market/reputation.cpp
+++ b/src/market/reputation.cpp
@@ -16,22 +16,22 @@
 // after this many newer deliveries or prices.
 constexpr double half_life_machines = 60, half_life_events = 25;
 // Limit on the weight of the whole market's evidence in the reputation of one kind of machine, in machines.
-constexpr double overall_weight = 6;
+constexpr double max_overall_machines = 6;
 constexpr double min_ratio = 0.02, max_ratio = 50;  // ratios are clamped to this range
 constexpr double min_quoted = 1e-9;
 constexpr Seconds min_delay_s = 1;
 constexpr double lower_decile = 0.1, upper_decile = 0.9;
 
-double fading(double sample_weight, double half_life) {
+double decay_factor(double sample_weight, double half_life) {
   return std::exp2(-sample_weight / half_life);
 }
 
 /// Updates a running mean and sum of squared deviations (Welford's algorithm) after discounting older
 /// evidence.
 void add_observation(double& sample_weight, double& mean, double& m2, double value) {
-  double keep = fading(1, half_life_events);
-  sample_weight = sample_weight * keep + 1;
-  m2 *= keep;
+  double decay = decay_factor(1, half_life_events);
+  sample_weight = sample_weight * decay + 1;
+  m2 *= decay;
   double deviation = value - mean;
   mean += deviation / sample_weight;
   m2 += deviation * (value - mean);
@@ -83,10 +83,10 @@
   return probabilities_[sample] * (1 - fraction) + probabilities_[sample + 1] * fraction;
 }
 
-void Reputation::record_machines(double kept, double broken) {
-  double keep = fading(kept + broken, half_life_machines);
-  evidence_.delivered = evidence_.delivered * keep + kept;
-  evidence_.undelivered = evidence_.undelivered * keep + broken;
+void Reputation::record_machines(double delivered, double undelivered) {
+  double decay = decay_factor(delivered + undelivered, half_life_machines);
+  evidence_.delivered = evidence_.delivered * decay + delivered;
+  evidence_.undelivered = evidence_.undelivered * decay + undelivered;
 }
 
 void Reputation::record_delivery(Seconds promised_s, Seconds actual_s) {
@@ -138,10 +138,10 @@
 }
 
 Reputation Reputation::combined_with(const Reputation& whole) const {
-  // Machines of this kind count fully, those of the whole market as at most `overall_weight` machines.
+  // Machines of this kind count fully, those of the whole market as at most `max_overall_machines` machines.
   Evidence evidence = whole.evidence_;
-  double overall = evidence.delivered + evidence.undelivered;
-  double scale = overall > overall_weight ? overall_weight / overall : 1;
+  double overall_machines = evidence.delivered + evidence.undelivered;
+  double scale = overall_machines > max_overall_machines ? max_overall_machines / overall_machines : 1;
   evidence.delivered = evidence.delivered * scale + evidence_.delivered;
   evidence.undelivered = evidence.undelivered * scale + evidence_.undelivered;
   return Reputation(evidence);
--- a/src/market/return_queue.cpp
+++ b/src/market/return_queue.cpp
@@ -25,7 +25,7 @@
 void ReturnQueue::send(Seconds now, std::vector<Call>& calls) {
   std::map<std::uint32_t, std::vector<std::string>> due_by_market;
   for (const auto& [host, pending] : pending_) {
-    if (pending.in_flight || now < pending.next_at) continue;
+    if (pending.in_flight || now < pending.next_attempt_at) continue;
     MarketIndex market = market_of(host, pending);
     if (markets_.find(market) == nullptr) continue;
     std::vector<std::string>& due = due_by_market[market.value];
@@ -52,7 +52,7 @@
     if (it == pending_.end()) continue;
     PendingReturn& pending = it->second;
     pending.in_flight = false;
-    pending.next_at = now + retry_interval_s;
+    pending.next_attempt_at = now + retry_interval_s;
     if (answer.kind != AnswerKind::ok || std::find(answer.returned_hosts.begin(), answer.returned_hosts.end(),
                                                    host) == answer.returned_hosts.end())
       continue;
--- a/src/market/unmet_capacity.cpp
+++ b/src/market/unmet_capacity.cpp
@@ -13,24 +13,25 @@
 }  // namespace
 
 void UnmetCapacity::update(const std::vector<Demand>& demands, const Plan& plan, const Ledger& ledger,
-                           double reference, Seconds now) {
+                           double reference_price, Seconds now) {
   clear();
-  std::uint32_t all = 0;
-  MoneyAmount price = to_money_amount(reference);
+  std::uint32_t unmet_machines = 0;
+  MoneyAmount price = to_money_amount(reference_price);
   for (std::size_t i = 0; i < demands.size(); ++i) {
-    all += plan.unmet[i];
+    unmet_machines += plan.unmet_units[i];
     if (demands[i].priority != BidPriority::guaranteed) continue;
-    guaranteed_machines_ += plan.unmet[i];
-    if (plan.unmet[i] > ledger.affordable_machines(demands[i].partition, price, settings_.max_paid_s))
+    guaranteed_machines_ += plan.unmet_units[i];
+    if (plan.unmet_units[i] > ledger.affordable_machines(demands[i].partition, price, settings_.max_paid_s))
       budget_exhausted_ = true;
   }
-  if (all == 0 || now - logged_at_ < log_interval_s) return;
+  if (unmet_machines == 0 || now - logged_at_ < log_interval_s) return;
   logged_at_ = now;
   Ledger::Usage usage = ledger.usage();
   SPDLOG_INFO(
-      "demand not bid for machines={} guaranteed={} reason=\"{}\" committed_per_hour={:.2f} "
+      "unmet demand machines={} guaranteed={} reason=\"{}\" committed_per_hour={:.2f} "
       "committed_in_window={:.2f}",
-      all, guaranteed_machines_, reason(usage), to_currency(usage.per_hour), to_currency(usage.in_window));
+      unmet_machines, guaranteed_machines_, reason(usage), to_currency(usage.per_hour),
+      to_currency(usage.in_window));
 }
 
 void UnmetCapacity::clear() {
@@ -42,7 +43,7 @@
   if (is_reached(usage.in_window, settings_.total_limit.per_window))
     return "spending limit of the window reached";
   if (is_reached(usage.per_hour, settings_.total_limit.per_hour)) return "spending limit per hour reached";
-  return "no offer is worth its price, or none is left";
+  return "no remaining offer is worth its price";
 }
 
 }  // namespace oxbowmill::market
--- a/src/simulation/market_baselines.cpp
+++ b/src/simulation/market_baselines.cpp
@@ -48,7 +48,7 @@
                                          : price_margin));
   offer.delivery_distribution = true_reputation(behavior, faulty, offer.promised_delivery_s)
                                     .delivery_distribution(offer.promised_delivery_s);
-  offer.proven = true;
+  offer.is_proven = true;
 }
 
 std::vector<market::Offer> oracle_offers(std::vector<market::Offer> offers,
@@ -82,7 +82,7 @@
     std::stable_sort(by_priority.begin(), by_priority.end(), [&](std::size_t a, std::size_t b) {
       return demands_[a].priority < demands_[b].priority;
     });
-    plan_.unmet.resize(demands_.size());
+    plan_.unmet_units.resize(demands_.size());
     for (std::size_t demand_index : by_priority) serve(policy, demand_index);
     return std::move(plan_);
   }
@@ -100,7 +100,7 @@
       if (policy == Policy::single_market && offer.market.valid() && offer.market.value != 0) continue;
       take(demand_index, offer_index, wanted, wanted);
     }
-    plan_.unmet[demand_index] = wanted;
+    plan_.unmet_units[demand_index] = wanted;
   }
 
   void take(std::size_t demand_index, std::size_t offer_index, std::uint32_t limit, std::uint32_t& wanted) {
--- a/src/simulation/market_simulation.cpp
+++ b/src/simulation/market_simulation.cpp
@@ -307,7 +307,7 @@
   for (const auto& [key, entry] : store_) {
     if (const auto* b = std::get_if<BidRecord>(&entry.change.value)) {
       hour += b->price_limit * static_cast<MoneyAmount>(b->count());
-      window += market::worst_case(*b);
+      window += market::worst_case_cost(*b);
     } else if (const auto* l = std::get_if<LedgerRecord>(&entry.change.value)) {
       for (const auto& [partition, paid] : l->spent) window += paid;
     }
@@ -366,7 +366,7 @@
   bidding_service.on_delivered = [this](const market::HostUpdate& delivery, const MachineRecord& record) {
     adopt_delivered(delivery, record);
   };
-  bidding_service.on_overpriced = [this](const std::vector<MachineIndex>& overpriced) {
+  bidding_service.on_disputed = [this](const std::vector<MachineIndex>& overpriced) {
     for (MachineIndex machine_index : overpriced) vacate(machine_index);
   };
   bidding_service.on_returned = [this](const std::vector<MachineIndex>& returned, bool said) {
@@ -386,12 +386,13 @@
     bool overdue = bid.first_sent_at >= 0 && (now > bid.late_after || bid.withdraw_requested);
     if (!overdue || bid.state >= market::BidState::running) continue;
     for (const auto& [partition, count] : bid.record.machines)
-      late[partition] += count * (bid.record.count() - bid.delivered) / bid.record.count();
+      late[partition] += count * (bid.record.count() - bid.delivered_machines) / bid.record.count();
   }
   market::Plan plan = baseline(policy_, scenario_.markets, now - start_s, demands, offers, ledger, reference,
                                planner_settings);
   for (const UnmetDemand& need : unmet_demand()) wanted[need.partition] += need.tasks;
-  for (const market::Award& award : plan.awards) awarded[demands[award.demand].partition] += award.machines;
+  for (const market::Award& award : plan.awards)
+    awarded[demands[award.demand_index].partition] += award.machines;
   for (const auto& [partition, count] : awarded) {
     double most = (1 + planner_settings.extra_fraction) * wanted[partition] + 2;
     most_bought = std::max(most_bought, (count + late[partition]) / most);
--- a/src/wire/market_codec.cpp
+++ b/src/wire/market_codec.cpp
@@ -168,7 +168,7 @@
   if (!phase) return false;
   market::BidUpdate update;
   update.phase = *phase;
-  update.charged = market::to_money_amount(*charged);
+  update.charged_amount = market::to_money_amount(*charged);
   if (is_present(body, field::rate)) {
     auto rate = read_amount(body, field::rate, market::max_rate);
     if (!rate) return false;
@@ -243,14 +243,14 @@
     case CallKind::status:
     case CallKind::confirm:
     case CallKind::withdraw:
-      return read_bid(body, call.bid, names, out);
+      return read_bid(body, call.bid_name, names, out);
   }
   return false;
 }
 }  // namespace
 
 MarketRequest write_market_call(const market::Call& call, const Names& names) {
-  const std::string bid_path = std::string(path::bids) + "/" + call.bid;
+  const std::string bid_path = std::string(path::bids) + "/" + call.bid_name;
   switch (call.kind) {
     case CallKind::quotes: {
       Json kinds = Json::array();
@@ -259,7 +259,7 @@
     }
     case CallKind::bid: {
       Json body = write_kind(call.kinds.at(0), names);
-      body[field::bid] = call.bid;
+      body[field::bid] = call.bid_name;
       body[field::quote_id] = call.quote_id;
       body[shared::count] = call.count;
       body[field::price_limit] = market::to_currency(call.limit);
@@ -278,7 +278,7 @@
     case CallKind::release:
       return {true, path::returns, {{shared::machines, call.hosts}}};
     case CallKind::charges:
-      return {false, path::charges_from + std::to_string(call.from), nullptr};
+      return {false, path::charges_from + std::to_string(call.after_charge_number), nullptr};
   }
   return {};
 }
--- a/tests/bench/market_bench.cpp
+++ b/tests/bench/market_bench.cpp
@@ -12,7 +12,7 @@
 constexpr double cycle_interval_s = 0.25;
 
 struct LeaderFixture {
-  explicit LeaderFixture(bool trading, double per_hour)
+  explicit LeaderFixture(bool has_markets, double limit_per_hour)
       : cluster_state(simulation::test_settings("node-0"), simulation::test_names()),
         lease(cluster_state.settings),
         scheduler(cluster_state, lease),
@@ -22,13 +22,13 @@
     cluster_state.catalog = simulation::test_catalog();
     lease.on_granted(1, now);
     Revision revision = 0;
-    for (std::uint32_t p = 0; p < cluster_state.partition_count(); ++p)
-      cluster_state.apply({OwnershipKey{PartitionIndex{p}}, OwnershipRecord{"node-0", 1}, 1}, ++revision,
-                          now);
+    for (std::uint32_t partition = 0; partition < cluster_state.partition_count(); ++partition)
+      cluster_state.apply({OwnershipKey{PartitionIndex{partition}}, OwnershipRecord{"node-0", 1}, 1},
+                          ++revision, now);
     // Every machine is filled by a task that keeps running.
-    JobIndex running = cluster_state.intern_job("run-0");
+    JobIndex running_job = cluster_state.intern_job("run-0");
     JobSpec spec = simulation::test_job("run-0", machine_count, 4);
-    cluster_state.apply({JobKey{running}, JobRecord{spec, JobPhase::open}}, ++revision, now);
+    cluster_state.apply({JobKey{running_job}, JobRecord{spec, JobPhase::open}}, ++revision, now);
     std::map<std::uint32_t, ChunkRecord> chunks;
     for (std::uint32_t i = 0; i < machine_count; ++i) {
       MachineIndex machine_index = cluster_state.intern_machine("host-" + std::to_string(i));
@@ -40,7 +40,8 @@
       cluster_state.apply({MachineKey{machine_index}, record}, ++revision, now);
       chunks[i / tasks_per_chunk].placements.push_back({i, machine_index, i + 1, false});
     }
-    for (auto& [c, rec] : chunks) cluster_state.apply({ChunkKey{running, c}, rec}, ++revision, now);
+    for (auto& [chunk, record] : chunks)
+      cluster_state.apply({ChunkKey{running_job, chunk}, record}, ++revision, now);
     for (std::uint32_t i = 1; i <= job_count; ++i) {
       std::string ref = "run-" + std::to_string(i);
       JobSpec job_spec = simulation::test_job(ref, 8, 4);
@@ -53,16 +54,16 @@
                           ++revision, now);
     }
     scheduler.applied_revision(revision);
-    if (!trading) return;
-    market_settings.total_limit = {market::to_money_amount(per_hour), 0};
+    if (!has_markets) return;
+    market_settings.total_limit = {market::to_money_amount(limit_per_hour), 0};
     for (std::uint32_t i = 0; i < market_count; ++i) {
-      simulation::MarketBehavior profile;
-      profile.name = "m" + std::to_string(i);
-      profile.price = 7 + 0.5 * i;
-      profile.capacity = 100;
+      simulation::MarketBehavior behavior;
+      behavior.name = "m" + std::to_string(i);
+      behavior.price = 7 + 0.5 * i;
+      behavior.capacity = 100;
       market_settings.markets.push_back(
-          {profile.name, cluster_state.names.markets.intern(profile.name), "127.0.0.1:1", 1000});
-      market_simulators.emplace_back(profile, i, std::vector<std::string>{"std"},
+          {behavior.name, cluster_state.names.markets.intern(behavior.name), "127.0.0.1:1", 1000});
+      market_simulators.emplace_back(behavior, i, std::vector<std::string>{"std"},
                                      std::vector<std::string>{"a", "b"});
     }
     bidding_service = std::make_unique<market::BiddingService>(cluster_state, scheduler, market_settings);
@@ -83,9 +84,10 @@
             call, market_simulators[call.market.value].call(call, cluster_state.names, now), {now, now});
     }
     // No transaction and no scale-out succeeds, so that every cycle does the same work.
-    for (const Write& w : out.writes) scheduler.on_outcome(w.id, TransactionOutcome::not_executed, 0, now);
-    for (const ScaleOutRequest& r : out.scale_outs)
-      autoscaler.on_scale_out_result(r.request_id, true, {}, now);
+    for (const Write& write : out.writes)
+      scheduler.on_outcome(write.id, TransactionOutcome::not_executed, 0, now);
+    for (const ScaleOutRequest& request : out.scale_outs)
+      autoscaler.on_scale_out_result(request.request_id, true, {}, now);
   }
   double now = 1000;
   ClusterState cluster_state;
@@ -97,10 +99,10 @@
   std::unique_ptr<market::BiddingService> bidding_service;
 };
 
-void measure_cycles(benchmark::State& state, bool trading, double per_hour) {
+void measure_cycles(benchmark::State& state, bool has_markets, double limit_per_hour) {
   spdlog::set_level(spdlog::level::off);
   auto before = mallinfo2().uordblks;
-  LeaderFixture leader(trading, per_hour);
+  LeaderFixture leader(has_markets, limit_per_hour);
   for (int i = 0; i < 20; ++i) leader.run_cycle();
   state.counters["bytes"] = static_cast<double>(mallinfo2().uordblks - before);
   for (auto _ : state) leader.run_cycle();
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -487,7 +487,7 @@
   market::Call call;
   call.kind = kind;
   call.kinds = {{TypeIndex{0}, ZoneIndex{1}, true}};
-  call.bid = "bid-1";
+  call.bid_name = "bid-1";
   call.quote_id = "quote-1";
   call.count = 3;
   call.limit = 12'500'000;
@@ -496,7 +496,7 @@
   call.round = 2;
   call.rate = 11'250'000;
   call.hosts = {"north.1", "north.2"};
-  call.from = 17;
+  call.after_charge_number = 17;
   return call;
 }
 
@@ -536,7 +536,7 @@
   ASSERT_EQ(charges.kind, market::AnswerKind::ok);
   ASSERT_EQ(charges.charges.size(), 1U);
   EXPECT_EQ(charges.charges[0].number, 18U);
-  EXPECT_EQ(charges.charges[0].bid, "bid-1");
+  EXPECT_EQ(charges.charges[0].bid_name, "bid-1");
   EXPECT_EQ(charges.charges[0].amount, 1'250'000);
   market::Answer returned = market_answer(market::CallKind::release, "returned");
   ASSERT_EQ(returned.kind, market::AnswerKind::ok);
@@ -553,7 +553,7 @@
     ASSERT_EQ(answer.kind, market::AnswerKind::ok) << name;
     ASSERT_TRUE(answer.bid) << name;
     EXPECT_EQ(answer.bid->phase, phase) << name;
-    EXPECT_EQ(answer.bid->charged, 500'000) << name;
+    EXPECT_EQ(answer.bid->charged_amount, 500'000) << name;
   }
   market::BidUpdate raised = *market_answer(market::CallKind::bid, "raised").bid;
   EXPECT_EQ(raised.round, 2U);
--- a/tests/market_safety_test.cpp
+++ b/tests/market_safety_test.cpp
@@ -13,27 +13,27 @@
 using simulation::WriteOutcome;
 
 simulation::MarketBehavior north_market() {
-  simulation::MarketBehavior profile;
-  profile.name = "north";
-  profile.price = 8;
-  profile.capacity = 20;
-  profile.delivery_s = 5;
-  profile.auction_s = 1;
-  return profile;
+  simulation::MarketBehavior behavior;
+  behavior.name = "north";
+  behavior.price = 8;
+  behavior.capacity = 20;
+  behavior.delivery_s = 5;
+  behavior.auction_s = 1;
+  return behavior;
 }
 
 struct MarketCluster : SimulatedCluster {
-  explicit MarketCluster(const simulation::MarketBehavior& c) {
+  explicit MarketCluster(const simulation::MarketBehavior& behavior) {
     market_settings.total_limit = {market::to_money_amount(1000), market::to_money_amount(1000)};
     market_settings.trial_fraction = 1;
-    add_market(c);
+    add_market(behavior);
   }
   const std::string* running_on(const std::string& task) {
     auto it = run_log.machines_by_task.find(task);
     return it == run_log.machines_by_task.end() || it->second.empty() ? nullptr : &*it->second.begin();
   }
-  bool starts_within(const std::string& task, double within) {
-    for (double t = 0; t < within && running_on(task) == nullptr; t += 0.5) run(0.5);
+  bool starts_within(const std::string& task, double timeout_s) {
+    for (double t = 0; t < timeout_s && running_on(task) == nullptr; t += 0.5) run(0.5);
     return running_on(task) != nullptr;
   }
   /// Submits a job with one task that needs a whole machine. Returns the machine on which it has started;
@@ -55,7 +55,7 @@
   EXPECT_TRUE(cluster.markets[0].hosts().at(machine_name).returned);
   EXPECT_EQ(cluster.store.keys().count("o/m/" + machine_name), 0U);
   // The bid's record is deleted and its cost is in the ledger.
-  for (const auto& [key, e] : cluster.store.keys()) EXPECT_NE(key.rfind("o/b/", 0), 0U) << key;
+  for (const auto& [key, entry] : cluster.store.keys()) EXPECT_NE(key.rfind("o/b/", 0), 0U) << key;
   ASSERT_EQ(cluster.store.keys().count("o/l/ledger"), 1U);
   double paid = cluster.store.keys().at("o/l/ledger").value.at("spent").at("red").get<double>() / 1e6;
   EXPECT_NEAR(paid, cluster.markets[0].charged(cluster.now), 1e-4);
@@ -66,9 +66,9 @@
   // The record of a machine is marked for deletion while a task may run on it, and the market states that the
   // machine has been returned. The machine keeps running and its agent is unreachable, so only the expiry of
   // the agent's lease proves that the task has stopped.
-  simulation::MarketBehavior liar = north_market();
-  liar.runs_after_return = true;
-  MarketCluster cluster(liar);
+  simulation::MarketBehavior market = north_market();
+  market.runs_after_return = true;
+  MarketCluster cluster(market);
   std::string machine_name = cluster.machine_of_first_job();
   ASSERT_NE(machine_name, "");
   cluster.silenced_workers.insert(machine_name);
@@ -77,8 +77,8 @@
   record.value["part"] = state::idle_pool_name;
   cluster.store.txn({{"guards", simulation::Json::array()},
                      {"apply", {{{"put", "o/m/" + machine_name}, {"value", record.value}}}}});
-  double lease = cluster.controller(0).cluster_state.settings.lease_s;
-  for (double t = 0; t + 1 < lease; t += 0.5) {
+  double lease_s = cluster.controller(0).cluster_state.settings.lease_s;
+  for (double t = 0; t + 1 < lease_s; t += 0.5) {
     cluster.run(0.5);
     ASSERT_EQ(cluster.run_log.starts["run-1/0"], 1) << t;
   }
@@ -90,9 +90,9 @@
 }
 
 TEST(MarketSafety, ReturnedMachineThatStillReportsIsNotUsedUnderItsOldRecord) {
-  simulation::MarketBehavior liar = north_market();
-  liar.runs_after_return = true;
-  MarketCluster cluster(liar);
+  simulation::MarketBehavior market = north_market();
+  market.runs_after_return = true;
+  MarketCluster cluster(market);
   std::string machine_name = cluster.machine_of_first_job();
   ASSERT_NE(machine_name, "");
   cluster.worker(machine_name).finish("run-1/0", EndCause::done);
@@ -106,11 +106,11 @@
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.run(120, 1);
-  for (const char* t : {"run-2/0", "run-2/1"}) EXPECT_GE(cluster.run_log.starts[t], 1) << t;
+  for (const char* task : {"run-2/0", "run-2/1"}) EXPECT_GE(cluster.run_log.starts[task], 1) << task;
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
-TEST(MarketSafety, MachineInAWrongZoneStartsNothing) {
+TEST(MarketSafety, MachineThatReportsAnotherZoneThanItsRecordStartsNoTask) {
   // The market states zone a and the machine reports zone b. A job restricted to zone a must not start there.
   MarketCluster cluster(north_market());
   JobSpec spec = test_job("run-1", 1, 4);
@@ -135,7 +135,7 @@
   EXPECT_EQ(cluster.store.keys().count("o/m/north.x1"), 0U);  // the machine was returned
 }
 
-TEST(MarketSafety, FailoverDuringAnAuctionNeitherLosesTheMachineNorRunsTwice) {
+TEST(MarketSafety, FailoverDuringAnAuctionKeepsTheBidAndRunsNoTaskTwice) {
   simulation::MarketBehavior slow = north_market();
   slow.auction_s = 6;
   slow.delivery_s = 10;
@@ -144,8 +144,8 @@
   cluster.run(5);  // the bid has been sent and its auction is in progress
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
-  std::size_t by_both = cluster.markets[0].hosts().size();
-  EXPECT_EQ(by_both, 0U);
+  std::size_t machines_at_failover = cluster.markets[0].hosts().size();
+  EXPECT_EQ(machines_at_failover, 0U);
   for (double t = 0;
        t < 80 && (cluster.running_on("run-1/0") == nullptr || cluster.running_on("run-1/1") == nullptr);
        t += 1)
@@ -156,10 +156,10 @@
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
-TEST(MarketSafety, MachinesOfAnOverchargingMarketAreVacatedAndReturned) {
-  simulation::MarketBehavior liar = north_market();
-  liar.overcharge_factor = 100;
-  MarketCluster cluster(liar);
+TEST(MarketSafety, MachinesOfAnOverchargingMarketAreDrainedAndReturned) {
+  simulation::MarketBehavior overcharging = north_market();
+  overcharging.overcharge_factor = 100;
+  MarketCluster cluster(overcharging);
   simulation::MarketBehavior honest = north_market();
   honest.name = "south";
   honest.price = 9;
@@ -170,46 +170,46 @@
   cluster.run(60);
   ASSERT_NE(cluster.running_on("run-1/0"), nullptr);
   EXPECT_EQ(cluster.running_on("run-1/0")->rfind("south.", 0), 0U);
-  for (const auto& [name, h] : cluster.markets[0].hosts()) EXPECT_TRUE(h.returned) << name;
+  for (const auto& [name, machine] : cluster.markets[0].hosts()) EXPECT_TRUE(machine.returned) << name;
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
-RC_GTEST_PROP(MarketSafetyProperties, NoTaskRunsTwiceUnderAnyMixtureOfFaults, ()) {
+RC_GTEST_PROP(MarketSafetyProperties, NoTaskRunsTwiceUnderRandomFaults, ()) {
   simulation::MarketBehavior first_market = north_market(), second_market = north_market();
   second_market.name = "south";
-  for (simulation::MarketBehavior* profile : {&first_market, &second_market}) {
-    profile->runs_after_return = *rc::gen::arbitrary<bool>();
-    profile->never_delivers_chance = *rc::gen::inRange(0, 3) / 5.0;
-    profile->late_chance = *rc::gen::inRange(0, 3) / 5.0;
-    profile->wrong_delivery_chance = *rc::gen::inRange(0, 3) / 5.0;
-    profile->double_delivery_chance = *rc::gen::inRange(0, 3) / 5.0;
-    profile->stall_chance = *rc::gen::inRange(0, 3) / 5.0;
-    profile->overcharge_factor = *rc::gen::element(1.0, 1.0, 100.0);
+  for (simulation::MarketBehavior* behavior : {&first_market, &second_market}) {
+    behavior->runs_after_return = *rc::gen::arbitrary<bool>();
+    behavior->never_delivers_chance = *rc::gen::inRange(0, 3) / 5.0;
+    behavior->late_chance = *rc::gen::inRange(0, 3) / 5.0;
+    behavior->wrong_delivery_chance = *rc::gen::inRange(0, 3) / 5.0;
+    behavior->double_delivery_chance = *rc::gen::inRange(0, 3) / 5.0;
+    behavior->stall_chance = *rc::gen::inRange(0, 3) / 5.0;
+    behavior->overcharge_factor = *rc::gen::element(1.0, 1.0, 100.0);
   }
   MarketCluster cluster(first_market);
   cluster.add_market(second_market);
   std::size_t owner = 0;
-  auto moves = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
+  auto actions = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
       rc::gen::tuple(rc::gen::inRange(0, 9), rc::gen::inRange(0, 8), rc::gen::inRange(1, 30)));
   int jobs = 0;
-  auto nth_machine = [&](int position) -> std::string {
+  auto nth_machine = [&](int index) -> std::string {
     std::vector<std::string> names;
-    for (const auto& m : cluster.markets) {
-      for (const auto& [name, h] : m.hosts()) {
-        if (h.alive) names.push_back(name);
+    for (const auto& market : cluster.markets) {
+      for (const auto& [name, machine] : market.hosts()) {
+        if (machine.alive) names.push_back(name);
       }
     }
-    return names.empty() ? "" : names[static_cast<std::size_t>(position) % names.size()];
+    return names.empty() ? "" : names[static_cast<std::size_t>(index) % names.size()];
   };
   cluster.submit(test_job("run-" + std::to_string(jobs++), 2, 4));
-  for (auto [what, which, steps] : moves) {
-    std::string host = nth_machine(which);
-    switch (what) {
+  for (auto [action, argument, steps] : actions) {
+    std::string host = nth_machine(argument);
+    switch (action) {
       case 0:
-        cluster.submit(test_job("run-" + std::to_string(jobs++), 1 + which % 2, 4));
+        cluster.submit(test_job("run-" + std::to_string(jobs++), 1 + argument % 2, 4));
         break;
       case 1:
-        cluster.withdraw("run-" + std::to_string(which));
+        cluster.withdraw("run-" + std::to_string(argument));
         break;
       case 2:  // the other controller takes over; the first one finds out later
         cluster.kill_controller(owner);
@@ -235,7 +235,7 @@
       case 8: {
         // A transaction that was thought lost arrives late.
         auto& lost = cluster.controller(owner).lost_writes;
-        if (!lost.empty()) cluster.store.txn(lost[static_cast<std::size_t>(which) % lost.size()]);
+        if (!lost.empty()) cluster.store.txn(lost[static_cast<std::size_t>(argument) % lost.size()]);
         break;
       }
     }
@@ -245,7 +245,7 @@
     }
     cluster.controller(owner).write_outcome = WriteOutcome::answered;
   }
-  RC_CLASSIFY(!cluster.run_log.starts.empty(), "something ran");
+  RC_CLASSIFY(!cluster.run_log.starts.empty(), "some task ran");
 }
 
 }  // namespace
--- a/tests/market_test.cpp
+++ b/tests/market_test.cpp
@@ -65,24 +65,24 @@
     EXPECT_FALSE(may_follow(State::suspended, static_cast<State>(to)));
   for (State from : {State::untried, State::trading, State::throttled, State::unresponsive, State::probing})
     EXPECT_TRUE(may_follow(from, State::suspended));
-  Settings s;
-  MarketSettings m{"north", north_market, "127.0.0.1:1", 10};
-  MarketClient client(m, s);
-  Answer ok, none, pause;
+  Settings settings;
+  MarketSettings market_settings{"north", north_market, "127.0.0.1:1", 10};
+  MarketClient client(market_settings, settings);
+  Answer ok, no_answer, throttled;
   ok.kind = AnswerKind::ok;
-  pause.kind = AnswerKind::throttled;
-  pause.retry_after_s = 5;
-  client.on_answer(none, 0);
+  throttled.kind = AnswerKind::throttled;
+  throttled.retry_after_s = 5;
+  client.on_answer(no_answer, 0);
   EXPECT_EQ(client.state(), State::untried);
   client.on_answer(ok, 1);
   EXPECT_EQ(client.state(), State::trading);
-  for (int i = 0; i < 3; ++i) client.on_answer(none, 2 + i);
+  for (int i = 0; i < 3; ++i) client.on_answer(no_answer, 2 + i);
   EXPECT_EQ(client.state(), State::unresponsive);
   EXPECT_FALSE(client.try_acquire_request(4.5));  // requests are paused
   EXPECT_TRUE(client.try_acquire_request(100));
   client.on_answer(ok, 101);
   EXPECT_EQ(client.state(), State::trading);
-  client.on_answer(pause, 102);
+  client.on_answer(throttled, 102);
   EXPECT_EQ(client.state(), State::throttled);
   EXPECT_FALSE(client.try_acquire_request(106));
   EXPECT_TRUE(client.try_acquire_request(108));
@@ -100,32 +100,33 @@
   return bid_record;
 }
 
-TEST(MarketLedger, EnforcesHourlyWindowAndTeamCeilings) {
+TEST(MarketLedger, EnforcesHourlyWindowAndTeamLimits) {
   Settings settings;
   settings.total_limit = {to_money_amount(100), to_money_amount(60)};
   settings.team_limits[blue_partition] = {to_money_amount(30), 0};
   settings.window_s = 1000;
   struct Case {
     std::uint32_t machines;
-    double limit, term_s;
+    double limit, max_paid_s;
     PartitionIndex partition;
-    const char* refusal;  // part of the expected reason; empty: accepted
+    const char* expected_reason;  // part of the expected reason; empty: accepted
   };
   const Case cases[] = {
       {10, 10, 1800, red_partition, ""},  // 100 per hour, 50 in the worst case
       {11, 10, 1800, red_partition, "per hour"},
       {10, 10, 2400, red_partition, "per window"},  // 66.7 in the worst case
       {3, 10, 1800, blue_partition, ""},
-      {4, 10, 1800, blue_partition, "team's ceiling per hour"},
+      {4, 10, 1800, blue_partition, "team's spending limit per hour"},
       {1, 101, 10, red_partition, "per hour"},
   };
   for (const Case& test_case : cases) {
-    Ledger l(settings);
-    auto why = l.rejection_reason(
-        make_bid_record(test_case.machines, test_case.limit, test_case.term_s, test_case.partition));
-    EXPECT_EQ(why.has_value(), *test_case.refusal != 0) << test_case.machines << " at " << test_case.limit;
-    if (why) {
-      EXPECT_NE(why->find(test_case.refusal), std::string::npos) << *why;
+    Ledger ledger(settings);
+    auto reason = ledger.rejection_reason(
+        make_bid_record(test_case.machines, test_case.limit, test_case.max_paid_s, test_case.partition));
+    EXPECT_EQ(reason.has_value(), *test_case.expected_reason != 0)
+        << test_case.machines << " at " << test_case.limit;
+    if (reason) {
+      EXPECT_NE(reason->find(test_case.expected_reason), std::string::npos) << *reason;
     }
   }
   Ledger ledger(settings);
@@ -149,22 +150,22 @@
 }
 
 TEST(MarketLedger, ChargesAreSplitWithoutRoundingLoss) {
-  Settings s;
-  Ledger l(s);
-  BidRecord r = make_bid_record(1, 10, 100);
-  r.machines = {{PartitionIndex{1}, 1}, {PartitionIndex{2}, 1}, {PartitionIndex{3}, 1}};
-  LedgerRecord after = l.after_settlement(r, 1'000'000, 5);
+  Settings settings;
+  Ledger ledger(settings);
+  BidRecord record = make_bid_record(1, 10, 100);
+  record.machines = {{PartitionIndex{1}, 1}, {PartitionIndex{2}, 1}, {PartitionIndex{3}, 1}};
+  LedgerRecord after = ledger.after_settlement(record, 1'000'000, 5);
   MoneyAmount sum = 0;
-  for (const auto& [partition, m] : after.spent) sum += m;
+  for (const auto& [partition, amount] : after.spent) sum += amount;
   EXPECT_EQ(sum, 1'000'000);
-  EXPECT_EQ(worst_case(to_money_amount(10), 1, 1),
+  EXPECT_EQ(worst_case_cost(to_money_amount(10), 1, 1),
             2778);  // rounded up, so it is never below a possible charge
 }
 
 TEST(MarketReputation, LearnsDeliveryRatesDelaysAndPrices) {
   Reputation reputation;
-  double fresh = reputation.uncertainty();
-  EXPECT_GT(fresh, 0.3);
+  double initial_uncertainty = reputation.uncertainty();
+  EXPECT_GT(initial_uncertainty, 0.3);
   EXPECT_GT(reputation.delivered_fraction(), 0.5);
   for (int i = 0; i < 10; ++i) {
     reputation.record_machines(4, 0);
@@ -172,16 +173,17 @@
     reputation.record_price(8, 8.8);
   }
   EXPECT_GT(reputation.delivered_fraction(), 0.9);
-  EXPECT_LT(reputation.uncertainty(), fresh / 3);
+  EXPECT_LT(reputation.uncertainty(), initial_uncertainty / 3);
   EXPECT_NEAR(reputation.price_drift(), 1.1, 0.05);
   EXPECT_GT(reputation.price_drift_quantile(0.9), reputation.price_drift());
   EXPECT_GT(reputation.on_time_probability(50, 70), 0.85);
   EXPECT_LT(reputation.on_time_probability(50, 30), 0.1);
   EXPECT_GT(reputation.delay_quantile(50, 0.95), 50);
-  DeliveryDistribution p = reputation.delivery_distribution(50);
-  for (double s : {10.0, 45.0, 60.0, 120.0})
-    EXPECT_NEAR(p.probability_within(s), reputation.on_time_probability(50, s), 0.08) << s;
-  EXPECT_EQ(p.probability_within(0), 0);
+  DeliveryDistribution distribution = reputation.delivery_distribution(50);
+  for (double within_s : {10.0, 45.0, 60.0, 120.0})
+    EXPECT_NEAR(distribution.probability_within(within_s), reputation.on_time_probability(50, within_s), 0.08)
+        << within_s;
+  EXPECT_EQ(distribution.probability_within(0), 0);
   // A market that stops delivering is detected within 24 machines.
   reputation.record_machines(0, 24);
   EXPECT_LT(reputation.delivered_fraction(), 0.7);
@@ -204,166 +206,172 @@
   Settings settings;
 };
 
-Offer make_offer(MarketIndex market, double price, std::uint32_t most, double promised_s, double share) {
-  static const Reputation usual = [] {
-    Reputation t;
-    for (int i = 0; i < 20; ++i) t.record_delivery(10, i % 2 == 0 ? 8 : 12);
-    return t;
+Offer make_offer(MarketIndex market, double price, std::uint32_t max_machines, double promised_s,
+                 double delivered_fraction) {
+  static const Reputation punctual = [] {
+    Reputation reputation;
+    for (int i = 0; i < 20; ++i) reputation.record_delivery(10, i % 2 == 0 ? 8 : 12);
+    return reputation;
   }();
   Offer offer;
   offer.market = market;
   offer.type = TypeIndex{0};
   offer.zone = ZoneIndex{0};
-  offer.max_machines = most;
+  offer.max_machines = max_machines;
   offer.expected_price = offer.quoted_price = offer.price_limit = price;
   offer.promised_delivery_s = promised_s;
-  offer.delivered_fraction = share;
-  offer.delivery_distribution = usual.delivery_distribution(promised_s);
+  offer.delivered_fraction = delivered_fraction;
+  offer.delivery_distribution = punctual.delivery_distribution(promised_s);
   return offer;
 }
 
 /// Lowest expected cost over all assignments of machines to demands that stay within the hourly spending
 /// limit. All demands must have the same priority.
-double least_cost_by_enumeration(const PlanningInput& input, double reference) {
-  Ledger l(input.settings);
-  std::vector<std::uint32_t> left;
-  for (const Offer& o : input.offers) left.push_back(o.max_machines);
-  double best = std::numeric_limits<double>::infinity();
-  MoneyAmount hour = input.settings.total_limit.per_hour;
-  std::function<void(std::size_t, std::size_t, std::uint32_t, double, MoneyAmount)> deal =
-      [&](std::size_t demand_index, std::size_t offer_index, std::uint32_t want, double cost,
-          MoneyAmount spent) {
-        if (cost >= best || (hour > 0 && spent > hour)) return;
+double least_cost_by_enumeration(const PlanningInput& input, double reference_price) {
+  Ledger ledger(input.settings);
+  std::vector<std::uint32_t> machines_left;
+  for (const Offer& offer : input.offers) machines_left.push_back(offer.max_machines);
+  double lowest_cost = std::numeric_limits<double>::infinity();
+  MoneyAmount hourly_limit = input.settings.total_limit.per_hour;
+  std::function<void(std::size_t, std::size_t, std::uint32_t, double, MoneyAmount)> assign =
+      [&](std::size_t demand_index, std::size_t offer_index, std::uint32_t wanted, double cost,
+          MoneyAmount committed_per_hour) {
+        if (cost >= lowest_cost || (hourly_limit > 0 && committed_per_hour > hourly_limit)) return;
         if (demand_index == input.demands.size()) {
-          best = cost;
+          lowest_cost = cost;
           return;
         }
         if (offer_index == input.offers.size()) {
-          double rest = cost + want * Pricing::unserved_cost(input.demands[demand_index], reference);
-          return deal(demand_index + 1, 0,
-                      demand_index + 1 < input.demands.size() ? input.demands[demand_index + 1].machines : 0,
-                      rest, spent);
+          double cost_with_unserved =
+              cost + wanted * Pricing::unserved_cost(input.demands[demand_index], reference_price);
+          return assign(
+              demand_index + 1, 0,
+              demand_index + 1 < input.demands.size() ? input.demands[demand_index + 1].machines : 0,
+              cost_with_unserved, committed_per_hour);
         }
-        double each = Pricing::expected_cost(input.demands[demand_index], input.offers[offer_index],
-                                             reference, input.settings);
-        double limit = Pricing::bid_limit(input.demands[demand_index], input.offers[offer_index], reference,
-                                          input.settings);
-        std::uint32_t most =
-            limit < input.offers[offer_index].quoted_price ? 0 : std::min(want, left[offer_index]);
-        for (std::uint32_t n = 0; n <= most; ++n) {
-          left[offer_index] -= n;
-          MoneyAmount more = input.offers[offer_index].market.valid()
-                                 ? to_money_amount(limit) * static_cast<MoneyAmount>(n)
-                                 : 0;
-          deal(demand_index, offer_index + 1, want - n, cost + n * each, spent + more);
-          left[offer_index] += n;
+        double cost_per_machine = Pricing::expected_cost(
+            input.demands[demand_index], input.offers[offer_index], reference_price, input.settings);
+        double limit = Pricing::bid_limit(input.demands[demand_index], input.offers[offer_index],
+                                          reference_price, input.settings);
+        std::uint32_t max_count =
+            limit < input.offers[offer_index].quoted_price ? 0 : std::min(wanted, machines_left[offer_index]);
+        for (std::uint32_t count = 0; count <= max_count; ++count) {
+          machines_left[offer_index] -= count;
+          MoneyAmount additional = input.offers[offer_index].market.valid()
+                                       ? to_money_amount(limit) * static_cast<MoneyAmount>(count)
+                                       : 0;
+          assign(demand_index, offer_index + 1, wanted - count, cost + count * cost_per_machine,
+                 committed_per_hour + additional);
+          machines_left[offer_index] += count;
         }
       };
-  deal(0, 0, input.demands.empty() ? 0 : input.demands[0].machines, 0, 0);
-  return best;
+  assign(0, 0, input.demands.empty() ? 0 : input.demands[0].machines, 0, 0);
+  return lowest_cost;
 }
 
-PlanningInput random_planning_input(std::mt19937_64& random, bool ceiling) {
+PlanningInput random_planning_input(std::mt19937_64& random, bool has_limit) {
   auto pick = [&random](double a, double b) { return std::uniform_real_distribution<>(a, b)(random); };
   PlanningInput input;
   input.settings.extra_fraction = 0;
-  input.settings.total_limit = {ceiling ? to_money_amount(pick(10, 60)) : 0, 0};
+  input.settings.total_limit = {has_limit ? to_money_amount(pick(10, 60)) : 0, 0};
   auto demands = 1 + random() % 3, offers = 1 + random() % 4;
   for (std::uint64_t i = 0; i < demands; ++i) {
-    Demand market_demand;
-    market_demand.priority = BidPriority::high;
-    market_demand.partition = i % 2 == 0 ? red_partition : blue_partition;
-    market_demand.per_machine = {1};
-    market_demand.machines = 1 + static_cast<std::uint32_t>(random() % 4);
-    market_demand.run_s = pick(60, 900);
-    market_demand.slack_s = pick(5, 200);
-    input.demands.push_back(market_demand);
+    Demand demand;
+    demand.priority = BidPriority::high;
+    demand.partition = i % 2 == 0 ? red_partition : blue_partition;
+    demand.tasks_per_machine = {1};
+    demand.machines = 1 + static_cast<std::uint32_t>(random() % 4);
+    demand.run_s = pick(60, 900);
+    demand.slack_s = pick(5, 200);
+    input.demands.push_back(demand);
   }
   for (std::uint64_t i = 0; i < offers; ++i) {
-    MarketIndex m = i == 0 ? MarketIndex{} : MarketIndex{static_cast<std::uint32_t>(i - 1)};
-    input.offers.push_back(make_offer(m, pick(4, 16), 1 + static_cast<std::uint32_t>(random() % 4),
+    MarketIndex market = i == 0 ? MarketIndex{} : MarketIndex{static_cast<std::uint32_t>(i - 1)};
+    input.offers.push_back(make_offer(market, pick(4, 16), 1 + static_cast<std::uint32_t>(random() % 4),
                                       pick(10, 120), pick(0.3, 1)));
   }
   return input;
 }
 
-TEST(MarketPlan, NearOptimalAgainstEnumeration) {
+TEST(MarketPlan, CostIsNearTheOptimumFoundByEnumeration) {
   // Without a spending limit the flow is optimal. With one, the cost may exceed the optimum by the bounds
   // below, which are also stated in docs/markets-design.md.
   std::mt19937_64 random(11);
-  double worst = 0, sum = 0, gaps = 0;
+  double worst_gap = 0, sum_of_gaps = 0, gap_count = 0;
   for (int i = 0; i < 400; ++i) {
-    bool ceiling = i % 2 == 1;
-    PlanningInput x = random_planning_input(random, ceiling);
-    Ledger l(x.settings);
-    Plan plan = make_plan(x.demands, x.offers, l, 10, x.settings);
-    double best = least_cost_by_enumeration(x, 10);
-    ASSERT_GE(plan.cost, best - 1e-6);
-    if (!ceiling) {
-      ASSERT_NEAR(plan.cost, best, 1e-6) << i;
+    bool has_limit = i % 2 == 1;
+    PlanningInput input = random_planning_input(random, has_limit);
+    Ledger ledger(input.settings);
+    Plan plan = make_plan(input.demands, input.offers, ledger, 10, input.settings);
+    double lowest_cost = least_cost_by_enumeration(input, 10);
+    ASSERT_GE(plan.cost, lowest_cost - 1e-6);
+    if (!has_limit) {
+      ASSERT_NEAR(plan.cost, lowest_cost, 1e-6) << i;
       continue;
     }
-    double gap = best > 0 ? plan.cost / best - 1 : 0;
-    worst = std::max(worst, gap);
-    sum += gap;
-    ++gaps;
+    double gap = lowest_cost > 0 ? plan.cost / lowest_cost - 1 : 0;
+    worst_gap = std::max(worst_gap, gap);
+    sum_of_gaps += gap;
+    ++gap_count;
   }
-  RecordProperty("worst_gap_percent", static_cast<int>(100 * worst));
-  RecordProperty("mean_gap_percent_x100", static_cast<int>(10000 * sum / gaps));
-  EXPECT_LT(worst, 0.25);
-  EXPECT_LT(sum / gaps, 0.01);
+  RecordProperty("worst_gap_percent", static_cast<int>(100 * worst_gap));
+  RecordProperty("mean_gap_percent_x100", static_cast<int>(10000 * sum_of_gaps / gap_count));
+  EXPECT_LT(worst_gap, 0.25);
+  EXPECT_LT(sum_of_gaps / gap_count, 0.01);
 }
 
-RC_GTEST_PROP(MarketPlanProperties, StaysWithinOffersCeilingsAndDemands, ()) {
+RC_GTEST_PROP(MarketPlanProperties, StaysWithinOffersSpendingLimitsAndDemands, ()) {
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
   PlanningInput input = random_planning_input(random, *rc::gen::arbitrary<bool>());
   input.settings.total_limit.per_window = to_money_amount(*rc::gen::inRange(1, 40));
   input.settings.team_limits[blue_partition] = {to_money_amount(*rc::gen::inRange(1, 40)), 0};
-  for (Demand& d : input.demands) {
-    d.priority = static_cast<BidPriority>(*rc::gen::inRange(0, 5));
-    d.extra_machines = *rc::gen::inRange(0U, 4U);
+  for (Demand& demand : input.demands) {
+    demand.priority = static_cast<BidPriority>(*rc::gen::inRange(0, 5));
+    demand.extra_machines = *rc::gen::inRange(0U, 4U);
   }
-  for (Offer& o : input.offers) o.proven = *rc::gen::arbitrary<bool>();
+  for (Offer& offer : input.offers) offer.is_proven = *rc::gen::arbitrary<bool>();
   Ledger ledger(input.settings);
   Plan plan = make_plan(input.demands, input.offers, ledger, 10, input.settings);
   std::vector<std::uint32_t> used(input.offers.size()), allocated(input.demands.size()),
-      spare_allocated(input.demands.size());
+      extra_allocated(input.demands.size());
   for (const Award& award : plan.awards) {
     RC_ASSERT(award.machines > 0U);
-    used[award.offer] += award.machines;
-    (award.is_extra ? spare_allocated : allocated)[award.demand] += award.machines;
-    if (!input.offers[award.offer].market.valid()) continue;
-    double limit =
-        Pricing::bid_limit(input.demands[award.demand], input.offers[award.offer], 10, input.settings);
-    RC_ASSERT(limit >= input.offers[award.offer].quoted_price);
-    BidRecord r = make_bid_record(award.machines, limit, input.settings.max_paid_s,
-                                  input.demands[award.demand].partition);
-    RC_ASSERT(!ledger.rejection_reason(r).has_value());
-    ledger.reserve(
-        std::to_string(award.demand) + "/" + std::to_string(award.offer) + (award.is_extra ? "s" : ""), r);
+    used[award.offer_index] += award.machines;
+    (award.is_extra ? extra_allocated : allocated)[award.demand_index] += award.machines;
+    if (!input.offers[award.offer_index].market.valid()) continue;
+    double limit = Pricing::bid_limit(input.demands[award.demand_index], input.offers[award.offer_index], 10,
+                                      input.settings);
+    RC_ASSERT(limit >= input.offers[award.offer_index].quoted_price);
+    BidRecord record = make_bid_record(award.machines, limit, input.settings.max_paid_s,
+                                       input.demands[award.demand_index].partition);
+    RC_ASSERT(!ledger.rejection_reason(record).has_value());
+    ledger.reserve(std::to_string(award.demand_index) + "/" + std::to_string(award.offer_index) +
+                       (award.is_extra ? "s" : ""),
+                   record);
   }
-  for (std::size_t o = 0; o < used.size(); ++o) RC_ASSERT(used[o] <= input.offers[o].max_machines);
-  for (std::size_t d = 0; d < allocated.size(); ++d) {
-    RC_ASSERT(allocated[d] + plan.unmet[d] == input.demands[d].machines);
-    RC_ASSERT(spare_allocated[d] <= input.demands[d].extra_machines);
+  for (std::size_t i = 0; i < used.size(); ++i) RC_ASSERT(used[i] <= input.offers[i].max_machines);
+  for (std::size_t i = 0; i < allocated.size(); ++i) {
+    RC_ASSERT(allocated[i] + plan.unmet_units[i] == input.demands[i].machines);
+    RC_ASSERT(extra_allocated[i] <= input.demands[i].extra_machines);
   }
 }
 
-TEST(MarketPlan, DemandClassesAreServedInOrder) {
+TEST(MarketPlan, PrioritiesAreServedInOrder) {
   struct Case {
     const char* description;
-    BidPriority first_class, second_class;
+    BidPriority first_priority, second_priority;
     double waited_s;
     std::uint32_t first_machines, second_machines;
   };
   // Five machines are on offer and each of the two demands needs six.
   const Case cases[] = {
-      {"a guarantee before all", BidPriority::guaranteed, BidPriority::high, 0, 5, 0},
-      {"rank before rank", BidPriority::high, BidPriority::standard, 0, 5, 0},
-      {"best effort last", BidPriority::standard, BidPriority::best_effort, 0, 5, 0},
-      {"but one that starved gets its share before others beyond guarantees", BidPriority::high,
+      {"guaranteed work is served before high priority", BidPriority::guaranteed, BidPriority::high, 0, 5, 0},
+      {"high priority is served before standard priority", BidPriority::high, BidPriority::standard, 0, 5, 0},
+      {"best-effort work is served last", BidPriority::standard, BidPriority::best_effort, 0, 5, 0},
+      {"starved work gets its fraction before other work beyond guarantees", BidPriority::high,
        BidPriority::starved, 0, 4, 1},
-      {"and never what a guarantee wants", BidPriority::guaranteed, BidPriority::starved, 0, 5, 0},
+      {"starved work gets nothing that guaranteed work needs", BidPriority::guaranteed, BidPriority::starved,
+       0, 5, 0},
   };
   for (const Case& test_case : cases) {
     Settings settings;
@@ -372,108 +380,107 @@
     settings.starvation_fraction = 0.1;  // pays for one machine at the price of 10
     std::vector<Demand> demands(2);
     for (int i = 0; i < 2; ++i) {
-      demands[i].priority = i == 0 ? test_case.first_class : test_case.second_class;
+      demands[i].priority = i == 0 ? test_case.first_priority : test_case.second_priority;
       demands[i].partition = red_partition;
-      demands[i].per_machine = {1};
+      demands[i].tasks_per_machine = {1};
       demands[i].machines = 6;
       demands[i].run_s = 300;
       demands[i].slack_s = 100;
     }
     std::vector<Offer> offers = {make_offer(north_market, 10, 5, 20, 1)};
-    Ledger l(settings);
-    Plan p = make_plan(demands, offers, l, 10, settings);
-    EXPECT_EQ(6 - p.unmet[0], test_case.first_machines) << test_case.description;
-    EXPECT_EQ(6 - p.unmet[1], test_case.second_machines) << test_case.description;
+    Ledger ledger(settings);
+    Plan plan = make_plan(demands, offers, ledger, 10, settings);
+    EXPECT_EQ(6 - plan.unmet_units[0], test_case.first_machines) << test_case.description;
+    EXPECT_EQ(6 - plan.unmet_units[1], test_case.second_machines) << test_case.description;
   }
 }
 
-TEST(MarketPlan, WeighsUncertaintyPriceAndRisk) {
+TEST(MarketPlan, WeighsPriceAgainstReliabilityAndDeliveryTime) {
   Settings settings;
   settings.total_limit = {to_money_amount(1000), 0};
   settings.trial_fraction = 0.3;
-  Demand market_demand;
-  market_demand.priority = BidPriority::high;
-  market_demand.partition = red_partition;
-  market_demand.per_machine = {1};
-  market_demand.machines = 10;
-  market_demand.run_s = 300;
-  market_demand.slack_s = 60;
-  auto bought = [&](const std::vector<Offer>& offers, const Demand& demand) {
-    Ledger l(settings);
+  Demand demand;
+  demand.priority = BidPriority::high;
+  demand.partition = red_partition;
+  demand.tasks_per_machine = {1};
+  demand.machines = 10;
+  demand.run_s = 300;
+  demand.slack_s = 60;
+  auto bought = [&](const std::vector<Offer>& offers, const Demand& single_demand) {
+    Ledger ledger(settings);
     std::vector<std::uint32_t> counts(offers.size());
-    for (const Award& a : make_plan({demand}, offers, l, 10, settings).awards) {
-      if (!a.is_extra) counts[a.offer] += a.machines;
+    for (const Award& award : make_plan({single_demand}, offers, ledger, 10, settings).awards) {
+      if (!award.is_extra) counts[award.offer_index] += award.machines;
     }
     return counts;
   };
   using MachineCounts = std::vector<std::uint32_t>;
   // A market that is slightly cheaper but delivers only half of the machines gets nothing.
-  EXPECT_EQ(bought({make_offer(north_market, 8, 20, 30, 0.5), make_offer(south_market, 9, 20, 30, 0.95)},
-                   market_demand),
-            (MachineCounts{0, 10}));
+  EXPECT_EQ(
+      bought({make_offer(north_market, 8, 20, 30, 0.5), make_offer(south_market, 9, 20, 30, 0.95)}, demand),
+      (MachineCounts{0, 10}));
   // A cheaper, slower market gets nothing under an early deadline and all machines under a later one.
-  std::vector<Offer> slow = {make_offer(north_market, 6, 20, 110, 0.95),
-                             make_offer(south_market, 9, 20, 30, 0.95)};
-  EXPECT_EQ(bought(slow, market_demand), (MachineCounts{0, 10}));
-  Demand later = market_demand;
-  later.slack_s = 600;
-  EXPECT_EQ(bought(slow, later), (MachineCounts{10, 0}));
+  std::vector<Offer> slow_and_fast = {make_offer(north_market, 6, 20, 110, 0.95),
+                                      make_offer(south_market, 9, 20, 30, 0.95)};
+  EXPECT_EQ(bought(slow_and_fast, demand), (MachineCounts{0, 10}));
+  Demand later_deadline = demand;
+  later_deadline.slack_s = 600;
+  EXPECT_EQ(bought(slow_and_fast, later_deadline), (MachineCounts{10, 0}));
   // An unproven market gets at most the trial fraction of a plan.
-  std::vector<Offer> trial = {make_offer(north_market, 6, 20, 30, 0.95),
-                              make_offer(south_market, 9, 20, 30, 0.95)};
-  trial[0].proven = false;
-  EXPECT_EQ(bought(trial, market_demand), (MachineCounts{3, 7}));
+  std::vector<Offer> unproven_and_proven = {make_offer(north_market, 6, 20, 30, 0.95),
+                                            make_offer(south_market, 9, 20, 30, 0.95)};
+  unproven_and_proven[0].is_proven = false;
+  EXPECT_EQ(bought(unproven_and_proven, demand), (MachineCounts{3, 7}));
   // An offer above the price limit is not bought.
-  EXPECT_EQ(bought({make_offer(north_market, 16, 20, 30, 0.95)}, market_demand), (MachineCounts{0}));
+  EXPECT_EQ(bought({make_offer(north_market, 16, 20, 30, 0.95)}, demand), (MachineCounts{0}));
   // Best-effort work bids at most the quoted price.
-  Demand best_effort_demand = market_demand;
+  Demand best_effort_demand = demand;
   best_effort_demand.priority = BidPriority::best_effort;
   Offer drifting = make_offer(north_market, 8, 20, 30, 0.95);
   drifting.price_limit = 11;
   EXPECT_DOUBLE_EQ(Pricing::bid_limit(best_effort_demand, drifting, 10, settings), 8);
-  EXPECT_DOUBLE_EQ(Pricing::bid_limit(market_demand, drifting, 10, settings), 11);
+  EXPECT_DOUBLE_EQ(Pricing::bid_limit(demand, drifting, 10, settings), 11);
 }
 
-TEST(MarketPlan, OverdueWorkIsStillBought) {
+TEST(MarketPlan, MachinesAreBoughtForOverdueWork) {
   // Regression test: when its value depended on the deadline alone, overdue work had no value and was never
   // served.
-  for (BidPriority demand_class : {BidPriority::guaranteed, BidPriority::high, BidPriority::standard,
-                                   BidPriority::starved, BidPriority::best_effort}) {
+  for (BidPriority priority : {BidPriority::guaranteed, BidPriority::high, BidPriority::standard,
+                               BidPriority::starved, BidPriority::best_effort}) {
     for (double slack : {-1000.0, -1.0, 10.0}) {
       Settings settings;
       settings.total_limit = {to_money_amount(1000), 0};
-      Demand market_demand;
-      market_demand.priority = demand_class;
-      market_demand.partition = red_partition;
-      market_demand.per_machine = {1};
-      market_demand.machines = 3;
-      market_demand.run_s = 300;
-      market_demand.slack_s = slack;
-      Ledger l(settings);
-      Plan p =
-          make_plan({market_demand},
-                    {make_offer(MarketIndex{}, 10, 10, 60, 1), make_offer(north_market, 9, 10, 90, 0.95)}, l,
-                    10, settings);
-      EXPECT_EQ(p.unmet[0], 0U) << name_of(demand_class) << " " << slack;
+      Demand demand;
+      demand.priority = priority;
+      demand.partition = red_partition;
+      demand.tasks_per_machine = {1};
+      demand.machines = 3;
+      demand.run_s = 300;
+      demand.slack_s = slack;
+      Ledger ledger(settings);
+      Plan plan = make_plan(
+          {demand}, {make_offer(MarketIndex{}, 10, 10, 60, 1), make_offer(north_market, 9, 10, 90, 0.95)},
+          ledger, 10, settings);
+      EXPECT_EQ(plan.unmet_units[0], 0U) << name_of(priority) << " " << slack;
     }
   }
 }
 
 TEST(MarketPlan, SimilarDemandsAreGrouped) {
   Settings settings;
-  std::vector<UnmetDemand> needs(4);
-  for (UnmetDemand& unmet_demand : needs) {
+  std::vector<UnmetDemand> unmet_demands(4);
+  for (UnmetDemand& unmet_demand : unmet_demands) {
     unmet_demand.partition = red_partition;
     unmet_demand.tasks = 5;
     unmet_demand.tasks_per_machine = {4};
     unmet_demand.estimated_run_s = 300;
     unmet_demand.slack_s = 100;
   }
-  needs[1].slack_s = 101;
-  needs[2].slack_s = 900;
-  needs[3].priority = Priority::low;
-  needs[3].waited_s = settings.starvation_threshold_s + 1;
-  auto demands = group_demands(needs, settings);
+  unmet_demands[1].slack_s = 101;
+  unmet_demands[2].slack_s = 900;
+  unmet_demands[3].priority = Priority::low;
+  unmet_demands[3].waited_s = settings.starvation_threshold_s + 1;
+  auto demands = group_demands(unmet_demands, settings);
   ASSERT_EQ(demands.size(), 3U);
   EXPECT_EQ(demands[0].machines, 4U);  // two unmet demands of two machines each
   EXPECT_EQ(demands[0].unmet_demands, (std::vector<std::size_t>{0, 1}));
@@ -494,22 +501,22 @@
 
 TEST(MarketCodec, RejectsInvalidValues) {
   Names names = wire_names();
-  Call quotes, bid_call, returns, charges;
+  Call quotes, bid_call, release_call, charges;
   bid_call.kind = CallKind::status;
-  bid_call.bid = "n0-1-b1";
-  returns.kind = CallKind::release;
+  bid_call.bid_name = "n0-1-b1";
+  release_call.kind = CallKind::release;
   charges.kind = CallKind::charges;
   Json quote = {{"quote", "q1"}, {"rig", "std"}, {"yard", "a"},      {"loaners", false},
                 {"count", 4},    {"rate", 8.0},  {"valid_ms", 5000}, {"deliver_s", 30}};
-  auto with = [](Json json, const char* key, Json v) {
-    json[key] = std::move(v);
+  auto with = [](Json json, const char* key, Json value) {
+    json[key] = std::move(value);
     return json;
   };
   double nan = std::numeric_limits<double>::quiet_NaN(), inf = std::numeric_limits<double>::infinity();
   struct QuoteCase {
     Json quote;
     std::size_t accepted_quotes;
-    std::uint32_t invalid_quotes;
+    std::uint32_t implausible_quotes;
   };
   const QuoteCase cases[] = {
       {quote, 1, 0},
@@ -528,11 +535,11 @@
       {with(quote, "count", 0), 0, 0},
   };
   for (const QuoteCase& quote_case : cases) {
-    Answer a =
+    Answer answer =
         wire::read_market_answer(quotes, 200, wire::encode({{"quotes", {quote_case.quote}}}), 0, names);
-    EXPECT_EQ(a.kind, AnswerKind::ok) << quote_case.quote;
-    EXPECT_EQ(a.quotes.size(), quote_case.accepted_quotes) << quote_case.quote;
-    EXPECT_EQ(a.implausible_quotes, quote_case.invalid_quotes) << quote_case.quote;
+    EXPECT_EQ(answer.kind, AnswerKind::ok) << quote_case.quote;
+    EXPECT_EQ(answer.quotes.size(), quote_case.accepted_quotes) << quote_case.quote;
+    EXPECT_EQ(answer.implausible_quotes, quote_case.implausible_quotes) << quote_case.quote;
   }
   Json won_bid = {{"bid", "n0-1-b1"},
                   {"phase", "won"},
@@ -575,24 +582,25 @@
       {&bid_call, 500, "", AnswerKind::malformed},
       {&bid_call, 302, "", AnswerKind::malformed},
       {&bid_call, 0, "", AnswerKind::no_answer},
-      {&returns, 200, encoded({{"returned", {"north.m1"}}}), AnswerKind::ok},
-      {&returns, 200, encoded({{"returned", {1}}}), AnswerKind::malformed},
+      {&release_call, 200, encoded({{"returned", {"north.m1"}}}), AnswerKind::ok},
+      {&release_call, 200, encoded({{"returned", {1}}}), AnswerKind::malformed},
       {&charges, 200, encoded({{"charges", {{{"no", 1}, {"bid", "x"}, {"amount", 2.0}}}}}), AnswerKind::ok},
       {&charges, 200, encoded({{"charges", {{{"no", 1}, {"bid", "x"}, {"amount", 1e12}}}}}),
        AnswerKind::malformed},
       {&charges, 200, encoded({{"charges", 3}}), AnswerKind::malformed},
   };
-  for (const Case& c : bodies) {
-    Answer a = wire::read_market_answer(*c.call, c.status, c.body, 0, names);
-    EXPECT_EQ(static_cast<int>(a.kind), static_cast<int>(c.kind)) << c.status << " " << c.body.size();
+  for (const Case& test_case : bodies) {
+    Answer answer = wire::read_market_answer(*test_case.call, test_case.status, test_case.body, 0, names);
+    EXPECT_EQ(static_cast<int>(answer.kind), static_cast<int>(test_case.kind))
+        << test_case.status << " " << test_case.body.size();
   }
 }
 
 TEST(MarketCodec, RecordsRoundTrip) {
   Settings none;
-  oxbowmill::Settings s;
-  s.teams.resize(2);
-  ClusterState model(s, wire_names());
+  oxbowmill::Settings settings;
+  settings.teams.resize(2);
+  ClusterState cluster_state(settings, wire_names());
   BidRecord bid = make_bid_record(3, 12.5, 900);
   bid.spot = true;
   bid.send_before = 1234.5;
@@ -604,21 +612,21 @@
   const Change changes[] = {{BidKey{"n0-1-b1"}, bid},
                             {LedgerKey{}, ledger},
                             {MarketKey{north_market}, market},
-                            {MachineKey{model.intern_machine("north.m1")}, machine}};
-  for (const Change& c : changes) {
-    std::string key = state::encode_key(c.key, model);
-    Json value = state::encode_value(c, model);
-    auto back = state::decode(key, &value, model);
-    ASSERT_TRUE(back.has_value()) << key;
-    EXPECT_EQ(state::encode_value(*back, model), value) << key;
-    EXPECT_EQ(state::encode_key(back->key, model), key);
+                            {MachineKey{cluster_state.intern_machine("north.m1")}, machine}};
+  for (const Change& change : changes) {
+    std::string key = state::encode_key(change.key, cluster_state);
+    Json value = state::encode_value(change, cluster_state);
+    auto decoded = state::decode(key, &value, cluster_state);
+    ASSERT_TRUE(decoded.has_value()) << key;
+    EXPECT_EQ(state::encode_value(*decoded, cluster_state), value) << key;
+    EXPECT_EQ(state::encode_key(decoded->key, cluster_state), key);
   }
   // A bid record that cannot be decoded must be refused, because its money must not be read as none.
   for (const char* malformed :
        {R"({"market":"north"})", R"({"market":"north","type":"std","zone":"a","limit":-4,"term":9,"n":{}})",
         R"({"market":"north","type":"std","zone":"a","limit":4,"term":9,"n":{"red":"two"}})"}) {
     Json value = Json::parse(malformed);
-    EXPECT_FALSE(state::decode("o/b/x", &value, model).has_value()) << malformed;
+    EXPECT_FALSE(state::decode("o/b/x", &value, cluster_state).has_value()) << malformed;
   }
 }
 
