--- a/src/market/bid_lifecycle.cpp
+++ b/src/market/bid_lifecycle.cpp
@@ -11,22 +11,23 @@
 
 namespace {
 constexpr Seconds status_interval_s = 1, running_status_interval_s = 10;
-constexpr Seconds min_retry_s = 0.5, max_retry_s = 8;  // after a call without an answer
+constexpr Seconds min_retry_s = 0.5, max_retry_s = 8;  // exponential backoff after calls without an answer
 constexpr int max_retry_doublings = 8;
-constexpr Seconds final_charge_timeout_s = 120;  // a market has to state its charge by then
+// Time after the last paid second for the market to report its charge.
+constexpr Seconds final_charge_timeout_s = 120;
 
 Seconds retry_delay(int unanswered_calls) {
   return std::min(max_retry_s, min_retry_s * std::exp2(std::min(unanswered_calls, max_retry_doublings)));
 }
 
-/// Whether the bid is on its way to being won but not won yet.
+/// Whether the bid has been sent or is about to be, is not won, and no raise of it is being confirmed.
 bool is_undecided(BidState state) {
   return state == BidState::committed || state == BidState::submitted || state == BidState::open ||
          state == BidState::raised;
 }
 
-/// Whether a requested withdrawal is due in this state. A bid that is not confirmed to be at the market is
-/// asked for first; a raise is given up by a transition of its own.
+/// Whether a requested withdrawal can be sent in this state. The status of an unconfirmed bid is requested
+/// first; `advance` withdraws a raised bid itself.
 bool may_withdraw(BidState state) {
   return state == BidState::submitted || state == BidState::open || state == BidState::won ||
          state == BidState::confirming;
@@ -57,10 +58,10 @@
 
 void BidLifecycle::advance(Bid& bid, GuaranteeBudget budget, Clock clock, std::vector<Call>& calls) {
   MarketClient* client = markets_.find(bid.record.market);
-  // Its market was taken out of the settings: the money stays committed until it is put back.
+  // The market was removed from the settings. The money stays reserved until the market is configured again.
   if (client == nullptr) return;
   bool overdue = check_overdue(bid, clock.now);
-  // A bid that is not won yet gives way to a guarantee that lacks money, and to the market's suspension.
+  // Undecided bids are withdrawn if guaranteed work lacks money or the market is suspended.
   bool yields = budget == GuaranteeBudget::exhausted && bid.priority != BidPriority::guaranteed;
   if ((yields || client->state() == MarketState::suspended) && is_undecided(bid.state))
     bid.withdraw_requested = true;
@@ -68,7 +69,7 @@
     return book_worst_case(bid);
   if (bid.state == BidState::committed) return submit(bid, *client, clock, calls);
   if (bid.state == BidState::raised) {
-    if (bid.withdraw_requested) withdraw(bid, "given up instead of confirming the raise");
+    if (bid.withdraw_requested) withdraw(bid, "withdrawn instead of confirming the raise");
     return;
   }
   if (bid.withdraw_requested && may_withdraw(bid.state)) withdraw(bid, overdue ? "overdue" : "given up");
@@ -81,7 +82,7 @@
   if (overdue && !bid.withdraw_requested) {
     SPDLOG_INFO("bid overdue bid={} missing={} machines={}", bid.name, missing_machines(bid),
                 bid.record.count());
-    bid.withdraw_requested = bid.late = true;
+    bid.withdraw_requested = bid.was_overdue = true;
   }
   return overdue;
 }
@@ -94,14 +95,17 @@
 void BidLifecycle::book_worst_case(Bid& bid) {
   if (bid.state == BidState::committed || bid.state == BidState::committing) return;
   deliveries_.evaluate(bid);
-  finish(bid, worst_case(bid.record), "no definite answer within its time: booked at its worst case");
+  finish(bid, worst_case_cost(bid.record),
+         "no definite answer before the final deadline, booked at its worst-case cost");
 }
 
 void BidLifecycle::submit(Bid& bid, const MarketClient& client, Clock clock, std::vector<Call>& calls) {
-  bool useless = bid.withdraw_requested || clock.now >= bid.quote_expires_at ||
-                 clock.wall > bid.record.send_before || client.state() == MarketState::suspended ||
-                 client.state() == MarketState::unresponsive;
-  if (useless) return finish(bid, 0, "never sent: quote expired, market not available, or given up");
+  bool must_not_send = bid.withdraw_requested || clock.now >= bid.quote_expires_at ||
+                       clock.wall > bid.record.send_before || client.state() == MarketState::suspended ||
+                       client.state() == MarketState::unresponsive;
+  if (must_not_send)
+    return finish(
+        bid, 0, "never sent because the quote expired, the market is not available, or the bid was given up");
   if (!send(bid, CallKind::bid, clock, calls)) return;
   bid.first_sent_at = clock.now;
   bid.due_at = clock.now + bid.record.delivery_s;
@@ -116,7 +120,7 @@
   Call call;
   call.market = bid.record.market;
   call.kind = kind;
-  call.bid = bid.name;
+  call.bid_name = bid.name;
   call.quote_id = bid.quote_id;
   call.kinds = {bid.record.kind()};
   call.count = bid.record.count();
@@ -129,13 +133,13 @@
   return true;
 }
 
-void BidLifecycle::withdraw(Bid& bid, const std::string& why) const {
-  set_state(bid, BidState::withdrawing, why);
+void BidLifecycle::withdraw(Bid& bid, const std::string& reason) const {
+  set_state(bid, BidState::withdrawing, reason);
   bid.next_action_at = 0;
 }
 
 void BidLifecycle::on_answer(const Call& call, const Answer& answer, Clock clock) {
-  Bid* found = bids_.find(call.bid);
+  Bid* found = bids_.find(call.bid_name);
   if (found == nullptr || found->state == BidState::settling) return;
   Bid& bid = *found;
   switch (answer.kind) {
@@ -165,19 +169,20 @@
 
 void BidLifecycle::on_not_found(Bid& bid, Seconds now) const {
   bid.unanswered_calls = 0;
-  // The market never received the bid, or not yet: the withdrawal uses the name up either way.
+  // The market has not received the bid, or will receive it later. In both cases the withdrawal marks the
+  // name as used, so that a late bid under it is rejected.
   if (bid.state == BidState::withdrawing) {
     bid.next_action_at = now + min_retry_s;
     return;
   }
   bid.withdraw_requested = true;
-  withdraw(bid, "not known to the market: withdrawn so that its name is used up");
+  withdraw(bid, "unknown to the market, withdrawn to mark its name as used");
 }
 
 void BidLifecycle::on_rejected(Bid& bid, CallKind kind, Seconds now) const {
   bid.unanswered_calls = 0;
   if (kind == CallKind::bid && bid.state == BidState::submitted) {
-    // Definite for this request only: an earlier copy without an answer may still be on its way.
+    // The rejection is definite for this request only: an earlier, unanswered copy may still arrive.
     bid.withdraw_requested = true;
     set_state(bid, BidState::withdrawing, "rejected by the market");
   }
@@ -188,10 +193,10 @@
 
 void BidLifecycle::apply_update(Bid& bid, const BidUpdate& update, Clock clock) {
   deliveries_.adopt_hosts(bid, update, clock.now);
-  charges_.check_charge(bid, update.charged, clock.now);
-  bid.charged = std::max(bid.charged, update.charged);
+  charges_.check_charge(bid, update.charged_amount, clock.now);
+  bid.charged_amount = std::max(bid.charged_amount, update.charged_amount);
   bid.last_status_at = clock.now;
-  if (update.rate > bid.record.price_limit && !bid.disputed)
+  if (update.rate > bid.record.price_limit && !bid.is_disputed)
     charges_.dispute(bid, "its price stands above the limit");
   bool withdrawing = bid.state == BidState::withdrawing;
   switch (update.phase) {
@@ -206,10 +211,11 @@
     case AuctionPhase::lost:
     case AuctionPhase::withdrawn:
       deliveries_.evaluate(bid);
-      return finish(bid, update.charged, update.phase == AuctionPhase::lost ? "lost" : "withdrawn");
+      return finish(bid, update.charged_amount,
+                    update.phase == AuctionPhase::lost ? "auction lost" : "withdrawn");
     case AuctionPhase::closed:
       deliveries_.evaluate(bid);
-      return finish(bid, update.charged, "closed by the market, all machines returned");
+      return finish(bid, update.charged_amount, "closed by the market, all machines returned");
   }
 }
 
@@ -220,7 +226,7 @@
       markets_.find(bid.record.market)
           ->record_price(bid.record.kind(), bid.quoted_rate, to_currency(update.rate));
   }
-  if (update.expected_machines == 0 || bid.delivered >= bid.record.count()) {
+  if (update.expected_machines == 0 || bid.delivered_machines >= bid.record.count()) {
     deliveries_.evaluate(bid);
     set_state(bid, BidState::running, "deliveries complete");
   } else if (bid.state != BidState::withdrawing) {
@@ -235,8 +241,8 @@
   }
   bid.raise_round = update.round;
   bid.requested_rate = update.raised_rate;
-  // A raise within the limit while confirming is a newer one, or the confirmation has not arrived yet: it is
-  // confirmed again, under the raise's present number.
+  // While confirming, a raise within the limit is either a newer one, or the confirmation has not arrived
+  // yet. It is confirmed again with its current number.
   if (bid.state == BidState::confirming && update.raised_rate <= bid.record.price_limit) return;
   if (!set_state(bid, BidState::raised, "raised to " + std::to_string(to_currency(update.raised_rate))))
     return;
@@ -249,15 +255,15 @@
                 to_currency(bid.record.price_limit), to_currency(update.raised_rate));
     return;
   }
-  // The worst case at the limit is committed already.
+  // The worst-case cost at the price limit is already reserved.
   set_state(bid, BidState::confirming, "within the limit");
   bid.next_action_at = 0;
 }
 
-void BidLifecycle::finish(Bid& bid, MoneyAmount charged, const std::string& why) const {
+void BidLifecycle::finish(Bid& bid, MoneyAmount charged, const std::string& reason) const {
   if (bid.state == BidState::settling || bid.state == BidState::closed) return;
-  bid.charged = std::max(bid.charged, charged);
-  set_state(bid, BidState::settling, why);
+  bid.charged_amount = std::max(bid.charged_amount, charged);
+  set_state(bid, BidState::settling, reason);
 }
 
 }  // namespace oxbowmill::market
--- a/src/market/cloud_offer_source.cpp
+++ b/src/market/cloud_offer_source.cpp
@@ -5,8 +5,8 @@
 namespace oxbowmill::market {
 
 namespace {
-/// The cloud states when machines are usually up and mostly keeps to it: a spread of a fifth around a promise
-/// of 10 s, with the weight of 20 deliveries.
+/// Assumed delivery times of the cloud, which mostly keeps to its stated boot time: deviations of a fifth
+/// around a promise of 10 s, with the weight of 20 deliveries.
 Reputation punctual_reputation() {
   constexpr int deliveries = 20;
   constexpr Seconds promised_s = 10, early_s = 8, late_s = 12;
@@ -16,7 +16,7 @@
 }
 }  // namespace
 
-void CloudOfferSource::offers(Seconds, std::vector<Offer>& out) const {
+void CloudOfferSource::append_offers(Seconds, std::vector<Offer>& out) const {
   static const Reputation punctual = punctual_reputation();
   for (const CloudOffer& cloud_offer : offers_) {
     Offer offer;
@@ -33,10 +33,11 @@
   }
 }
 
-void CloudOfferSource::buy(const Award& award, const Offer& offer, const Demand& demand,
-                           const std::vector<UnmetDemand>& unmet_demands, double, Purchases& out) const {
-  // The most urgent of the grouped demands first.
-  std::uint32_t tasks = award.machines * demand.per_machine[offer.type.value];
+void CloudOfferSource::add_purchase(const Award& award, const Offer& offer, const Demand& demand,
+                                    const std::vector<UnmetDemand>& unmet_demands, double,
+                                    Purchases& out) const {
+  // The most urgent demands of the group come first.
+  std::uint32_t tasks = award.machines * demand.tasks_per_machine[offer.type.value];
   for (std::size_t index : demand.unmet_demands) {
     std::uint32_t wanted = unmet_demands[index].tasks;
     std::uint32_t served = std::min(tasks, wanted - std::min(wanted, out.cloud_tasks[index]));
--- a/src/market/extra_machines.cpp
+++ b/src/market/extra_machines.cpp
@@ -9,33 +9,34 @@
 namespace {
 using MachinesByPartition = std::map<PartitionIndex, std::uint32_t>;
 
-/// Machines of bids that are late, by partition; the last partitions of a bid are those that lack theirs.
+/// Late machines of all bids by partition. Deliveries fill the partitions of a bid in order, so the last ones
+/// lack machines.
 MachinesByPartition late_machines(const std::map<std::string, Bid>& bids, Seconds now) {
   MachinesByPartition late;
   for (const auto& [name, bid] : bids) {
     if (!is_delivery_late(bid, now)) continue;
-    std::uint32_t left = missing_machines(bid);
-    for (auto it = bid.record.machines.rbegin(); it != bid.record.machines.rend() && left > 0; ++it) {
-      std::uint32_t machines = std::min(left, it->second);
+    std::uint32_t missing = missing_machines(bid);
+    for (auto it = bid.record.machines.rbegin(); it != bid.record.machines.rend() && missing > 0; ++it) {
+      std::uint32_t machines = std::min(missing, it->second);
       late[it->first] += machines;
-      left -= machines;
+      missing -= machines;
     }
   }
   return late;
 }
 
-/// How many machines of each partition may still be bought as extras. Late machines use up the allowance;
-/// what remains in `late` is beyond it.
+/// Number of extra machines that may still be bought for each partition. Late machines use up this allowance;
+/// those that exceed it remain in `late`.
 MachinesByPartition remaining_allowance(const std::vector<Demand>& demands, const Settings& settings,
                                         MachinesByPartition& late) {
   MachinesByPartition wanted, allowances;
   for (const Demand& demand : demands) wanted[demand.partition] += demand.machines;
   for (const auto& [partition, machines] : wanted) {
     auto allowance = static_cast<std::uint32_t>(std::ceil(settings.extra_fraction * machines));
-    std::uint32_t& late_here = late[partition];
-    std::uint32_t covered = std::min(late_here, allowance);
+    std::uint32_t& late_in_partition = late[partition];
+    std::uint32_t covered = std::min(late_in_partition, allowance);
     allowances[partition] = allowance - covered;
-    late_here -= covered;
+    late_in_partition -= covered;
   }
   return allowances;
 }
--- a/src/market/planner.cpp
+++ b/src/market/planner.cpp
@@ -12,9 +12,10 @@
 namespace oxbowmill::market {
 
 namespace {
-constexpr int price_steps = 14;       // bisections of the price of money
-constexpr int max_price_raises = 40;  // of the price of money, until the flow fits
-constexpr double price_growth = 4;
+// Search for the penalty on committed money with which the flow fits the spending limits.
+constexpr int bisection_steps = 14;
+constexpr int max_penalty_increases = 40;    // increases before the bisection
+constexpr double penalty_growth = 4;         // factor of each increase
 constexpr double rounding_tolerance = 1e-9;  // in machines
 constexpr std::size_t source_node = 0, sink_node = 1, first_inner_node = 2;
 
@@ -22,17 +23,17 @@
                                                             BidPriority::high, BidPriority::standard,
                                                             BidPriority::best_effort};
 
-/// Whether awards serve the demands or come on top of them.
+/// Whether awards serve the demands or are bought in addition.
 enum class AwardKind : std::uint8_t { ordinary, extra };
 
-/// A demand and an offer that could serve it.
+/// A demand, an offer that can serve it, and the units assigned to both.
 struct Match {
-  std::size_t demand, offer;
+  std::size_t demand_index, offer_index;
   double machines_per_unit;
-  double cost;           // expected, of one unit
-  double gain;           // of one unit, over leaving it unserved
-  MoneyAmount limit;     // millionths per machine and hour
-  std::size_t edge = 0;  // in the flow network
+  double cost;           // expected cost of one unit
+  double gain;           // expected saving per unit compared with leaving it unserved
+  MoneyAmount limit;     // price limit, in millionths per machine and hour
+  std::size_t edge = 0;  // index in the flow network
   std::uint32_t units = 0;
 
   std::uint32_t machines(std::uint32_t unit_count) const {
@@ -40,46 +41,46 @@
   }
 };
 
-/// Deals out the offers of one plan.
+/// Computes one plan.
 class Solver {
  public:
   Solver(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
-         double reference, const Settings& settings)
+         double reference_price, const Settings& settings)
       : demands_(demands),
         offers_(offers),
-        reference_price_(reference),
+        reference_price_(reference_price),
         settings_(settings),
         remaining_(demands, offers, ledger, settings) {}
 
   Plan solve() {
     for (const Demand& demand : demands_) wanted_.push_back(demand.machines);
-    plan_.unmet = wanted_;
+    plan_.unmet_units = wanted_;
     for (BidPriority priority : priorities_in_order) serve_priority(priority, AwardKind::ordinary);
     set_extra_demand();
     for (BidPriority priority : priorities_in_order) serve_priority(priority, AwardKind::extra);
     for (std::size_t i = 0; i < demands_.size(); ++i)
-      plan_.cost += plan_.unmet[i] * Pricing::unserved_cost(demands_[i], reference_price_);
+      plan_.cost += plan_.unmet_units[i] * Pricing::unserved_cost(demands_[i], reference_price_);
     return std::move(plan_);
   }
 
  private:
-  /// Numbers of the nodes in the flow network; 0: none.
+  /// Indices of the nodes in the flow network; 0: no node.
   struct NetworkNodes {
     std::vector<std::size_t> by_demand, by_offer;
-    std::vector<std::size_t> by_market;  // of unproven ones, whose offers share one bound
+    std::vector<std::size_t> by_market;  // unproven markets only; their offers share one bound
     std::size_t count = first_inner_node;
   };
 
-  bool is_unproven(const Offer& offer) const { return offer.market.valid() && !offer.proven; }
+  bool is_unproven(const Offer& offer) const { return offer.market.valid() && !offer.is_proven; }
 
-  /// Wants again what is not expected to come in time.
+  /// Sets the extra units to the machines of unproven markets that are not expected in time.
   void set_extra_demand() {
     std::vector<double> expected_missing(demands_.size(), 0);
     for (const Award& award : plan_.awards) {
-      const Offer& offer = offers_[award.offer];
+      const Offer& offer = offers_[award.offer_index];
       if (!is_unproven(offer)) continue;
-      expected_missing[award.demand] +=
-          award.machines * (1 - Pricing::on_time_probability(demands_[award.demand], offer, settings_));
+      expected_missing[award.demand_index] +=
+          award.machines * (1 - Pricing::on_time_probability(demands_[award.demand_index], offer, settings_));
     }
     for (std::size_t i = 0; i < demands_.size(); ++i)
       wanted_[i] =
@@ -91,7 +92,7 @@
     if (matches.empty()) return;
     solve_within_budget(matches);
     round_up(matches);
-    for (const Match& match : matches) award(match, kind);
+    for (const Match& match : matches) add_award(match, kind);
   }
 
   std::vector<Match> find_matches(BidPriority priority) const {
@@ -114,42 +115,44 @@
     return matches;
   }
 
-  /// Without a spending limit in the way the flow is the answer. With one, money gets a price of its own that
-  /// is raised until the flow fits.
+  /// Solves the flow without regard to money. If the result exceeds a spending limit, adds a penalty on
+  /// committed money (a Lagrange multiplier), increases it until the flow fits, and bisects to the lowest
+  /// such penalty.
   void solve_within_budget(std::vector<Match>& matches) const {
     const std::vector<Match> unsolved = matches;
     solve_flow(matches, 0);
     if (fits(matches)) return;
     double low = 0, high = 1;
-    for (int i = 0; i < max_price_raises; ++i, high *= price_growth) {
+    for (int i = 0; i < max_penalty_increases; ++i, high *= penalty_growth) {
       solve_flow(matches, high);
       if (fits(matches)) break;
       low = high;
     }
-    for (int i = 0; i < price_steps; ++i) {
+    for (int i = 0; i < bisection_steps; ++i) {
       double middle = (low + high) / 2;
-      std::vector<Match> tried = unsolved;
-      solve_flow(tried, middle);
-      if (fits(tried)) {
+      std::vector<Match> candidate = unsolved;
+      solve_flow(candidate, middle);
+      if (fits(candidate)) {
         high = middle;
-        matches = std::move(tried);
+        matches = std::move(candidate);
       } else {
         low = middle;
       }
     }
   }
 
-  /// Sets the units of all matches to the least-cost flow, with `price` on each unit of money committed.
-  void solve_flow(std::vector<Match>& matches, double price) const {
+  /// Sets the units of all matches to the minimum-cost flow with `penalty` on each committed unit of the
+  /// currency.
+  void solve_flow(std::vector<Match>& matches, double penalty) const {
     NetworkNodes nodes = number_nodes(matches);
     MinCostFlow network(nodes.count);
     add_bounds(network, nodes);
     for (Match& match : matches) {
-      const Offer& offer = offers_[match.offer];
+      const Offer& offer = offers_[match.offer_index];
       double committed_rate = offer.market.valid() ? match.machines_per_unit * to_currency(match.limit) : 0;
-      match.edge =
-          network.add_edge(nodes.by_demand[match.demand], nodes.by_offer[match.offer], max_units(match),
-                           -match.gain + price * committed_rate * settings_.max_paid_s / seconds_per_hour);
+      match.edge = network.add_edge(
+          nodes.by_demand[match.demand_index], nodes.by_offer[match.offer_index], max_units(match),
+          -match.gain + penalty * committed_rate * settings_.max_paid_s / seconds_per_hour);
     }
     network.run(source_node, sink_node);
     for (Match& match : matches) match.units = network.flow_through(match.edge);
@@ -164,17 +167,17 @@
       if (node == 0) node = nodes.count++;
     };
     for (const Match& match : matches) {
-      number(nodes.by_demand[match.demand]);
-      number(nodes.by_offer[match.offer]);
+      number(nodes.by_demand[match.demand_index]);
+      number(nodes.by_offer[match.offer_index]);
     }
     for (const Match& match : matches) {
-      const Offer& offer = offers_[match.offer];
+      const Offer& offer = offers_[match.offer_index];
       if (is_unproven(offer)) number(nodes.by_market[offer.market.value]);
     }
     return nodes;
   }
 
-  /// Edges that bound the flow by what is wanted, offered and allowed for unproven markets.
+  /// Adds the edges that bound the flow by the demands, the offers and the allowance of unproven markets.
   void add_bounds(MinCostFlow& network, const NetworkNodes& nodes) const {
     for (std::size_t i = 0; i < demands_.size(); ++i) {
       if (nodes.by_demand[i] != 0) network.add_edge(source_node, nodes.by_demand[i], wanted_[i], 0);
@@ -191,20 +194,21 @@
   }
 
   std::uint32_t max_units(const Match& match) const {
-    // A unit that takes several machines of the offer is bounded by the offer in those machines.
-    auto most = static_cast<std::uint32_t>(remaining_.machines_left(match.offer) / match.machines_per_unit);
-    // No demand relies on an unproven market alone.
-    if (is_unproven(offers_[match.offer]))
-      most = std::min(most, static_cast<std::uint32_t>(
-                                std::ceil(settings_.trial_fraction * demands_[match.demand].machines)));
-    return std::min(most, wanted_[match.demand]);
+    // The offer bounds machines, of which one unit may take several.
+    auto max_count =
+        static_cast<std::uint32_t>(remaining_.machines_left(match.offer_index) / match.machines_per_unit);
+    // Prevents a demand from relying on an unproven market alone.
+    if (is_unproven(offers_[match.offer_index]))
+      max_count = std::min(max_count, static_cast<std::uint32_t>(std::ceil(
+                                          settings_.trial_fraction * demands_[match.demand_index].machines)));
+    return std::min(max_count, wanted_[match.demand_index]);
   }
 
   bool reserve(RemainingBudget& budget, const Match& match, std::uint32_t machines) const {
-    const Demand& demand = demands_[match.demand];
+    const Demand& demand = demands_[match.demand_index];
     return budget.reserve(
-        {match.offer, machines, match.limit, settings_.max_paid_s, demand.priority, demand.partition},
-        offers_[match.offer]);
+        {match.offer_index, machines, match.limit, settings_.max_paid_s, demand.priority, demand.partition},
+        offers_[match.offer_index]);
   }
 
   bool fits(const std::vector<Match>& matches) const {
@@ -214,22 +218,22 @@
     });
   }
 
-  /// Removes units that do not fit, and adds single units where they still fit, the best of them first.
+  /// Removes units that do not fit, then adds single units that still fit, those with the highest gain first.
   void round_up(std::vector<Match>& matches) const {
     RemainingBudget budget = remaining_;
     std::vector<std::uint32_t> unserved = wanted_;
     for (Match& match : matches) {
       shrink_to_fit(match, budget);
-      unserved[match.demand] -= match.units;
+      unserved[match.demand_index] -= match.units;
     }
     std::vector<std::size_t> order(matches.size());
     std::iota(order.begin(), order.end(), 0);
     std::stable_sort(order.begin(), order.end(),
                      [&](std::size_t a, std::size_t b) { return matches[a].gain > matches[b].gain; });
-    for (std::size_t i : order) grow(matches[i], budget, unserved[matches[i].demand]);
+    for (std::size_t i : order) grow(matches[i], budget, unserved[matches[i].demand_index]);
   }
 
-  /// Units of several demands may round up to more machines than an offer has.
+  /// Removes units until the match fits. Rounding up to whole machines for each match may exceed an offer.
   void shrink_to_fit(Match& match, RemainingBudget& budget) const {
     for (; match.units > 0; --match.units) {
       RemainingBudget trial = budget;
@@ -239,26 +243,26 @@
     }
   }
 
-  /// Adds units for as long as they fit. Machines are rounded up once for the whole match, so that a unit may
-  /// need no machine of its own.
+  /// Adds units while they fit. Machines are rounded up once for the whole match, so a unit may need no
+  /// additional machine.
   void grow(Match& match, RemainingBudget& budget, std::uint32_t& unserved) const {
     while (unserved > 0) {
       RemainingBudget trial = budget;
-      std::uint32_t more = match.machines(match.units + 1) - match.machines(match.units);
-      if (more != 0 && !reserve(trial, match, more)) return;
+      std::uint32_t additional = match.machines(match.units + 1) - match.machines(match.units);
+      if (additional != 0 && !reserve(trial, match, additional)) return;
       budget = std::move(trial);
       ++match.units;
       --unserved;
     }
   }
 
-  void award(const Match& match, AwardKind kind) {
+  void add_award(const Match& match, AwardKind kind) {
     if (match.units == 0) return;
     std::uint32_t machines = match.machines(match.units);
     reserve(remaining_, match, machines);
-    plan_.awards.push_back({match.demand, match.offer, machines, kind == AwardKind::extra});
+    plan_.awards.push_back({match.demand_index, match.offer_index, machines, kind == AwardKind::extra});
     if (kind == AwardKind::extra) return;
-    plan_.unmet[match.demand] -= match.units;
+    plan_.unmet_units[match.demand_index] -= match.units;
     plan_.cost += match.units * match.cost;
   }
 
@@ -274,8 +278,8 @@
 }  // namespace
 
 Plan make_plan(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
-               double reference, const Settings& settings) {
-  return Solver(demands, offers, ledger, reference, settings).solve();
+               double reference_price, const Settings& settings) {
+  return Solver(demands, offers, ledger, reference_price, settings).solve();
 }
 
 }  // namespace oxbowmill::market
