--- a/include/oxbowmill/scheduling/capacity_forecast.h
+++ b/include/oxbowmill/scheduling/capacity_forecast.h
@@ -1,5 +1,5 @@
-// Capacity that is not free yet: machines that boot or are handed over, tasks that are leaving or may be
-// stopped. Owns nothing but references; pure. Seconds.
+// Forecast of capacity that is not free yet: machines that boot or are handed over, and tasks that are being
+// stopped or may be preempted. Holds references only; no I/O. Times in seconds.
 #pragma once
 
 #include <vector>
@@ -10,29 +10,30 @@
 
 namespace oxbowmill {
 
-/// A machine that is not here yet: it boots, or another partition hands it over.
+/// A machine that the partition cannot use yet: it boots, or another partition hands it over.
 struct ForecastMachine {
-  CandidateMachine candidate;   ///< with its wait, without free capacity
-  Resources expected_capacity;  ///< what the cycle has not promised to a job yet
+  CandidateMachine candidate;   ///< `available_in_s` is set, `free_capacity` is empty
+  Resources expected_capacity;  ///< capacity that this cycle has not reserved for a job yet
 };
 
-/// Whether a forecast counts on stopping tasks of lower priority.
+/// Whether a forecast includes capacity of tasks that would have to be preempted.
 enum class Preemption : std::uint8_t {
-  none,            ///< only on what leaves or comes by itself
-  lower_priority,  ///< on tasks that may be stopped for the job as well
+  none,            ///< only capacity that becomes free or arrives without preemption
+  lower_priority,  ///< also tasks of lower priority that may be preempted for the job
 };
 
-/// Forecasts where a job's tasks could run before long.
+/// Forecasts on which machines a job's tasks could run soon.
 class CapacityForecast {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   CapacityForecast(const ClusterState& state, const CapacityTracker& capacity, const ZoneReachability& zones,
                    const Preemptor& preemptor)
       : state_(state), capacity_(capacity), zones_(zones), preemptor_(preemptor) {}
 
-  /// Machines that are coming to the partition.
+  /// Machines that boot for the partition or are being handed over to it.
   std::vector<ForecastMachine> coming_machines(PartitionIndex partition, Seconds now) const;
-  /// Candidates for tasks of this job next to the free machines, evaluated for it.
+  /// Candidates for the job's tasks in addition to the free machines, with `start_s` and
+  /// `opportunity_cost_s` evaluated for the job.
   std::vector<CandidateMachine> candidates_for(const Job& job, const std::vector<ForecastMachine>& coming,
                                                Preemption preemption, Clock clock) const;
 
--- a/include/oxbowmill/scheduling/done_mark_collector.h
+++ b/include/oxbowmill/scheduling/done_mark_collector.h
@@ -1,5 +1,5 @@
-// Collects the marks of finished tasks while writes are scarce. Owns when the collected marks of each job are
-// due. Pure; steady clock.
+// Postpones the durable done marks of finished tasks while few writes are available. Owns the due time of
+// each job's postponed marks. No I/O; steady clock.
 #pragma once
 
 #include <set>
@@ -10,22 +10,23 @@
 
 namespace oxbowmill {
 
-/// The marks of tasks that have ended on this machine are needed: they are written with the next cycle.
+/// Makes the next cycle write the ends of all tasks that have ended on this machine.
 void request_done_marks(ClusterState& state, MachineIndex machine_index);
 
-/// A finished task's result is kept, so that a mark which is lost costs no work: the task finishes again as
-/// soon as it has its image. A mark for each finish took most of the state service's writes. What a waiting
-/// task, a machine that could be returned or the job's end depends on is written at once.
+/// Decides which done marks may be written later, together with others: one write per finished task took most
+/// of the state service's writes. Postponing is safe because a finished task's result is kept: if a mark is
+/// lost, the task finishes again as soon as it has its image. A mark is written at once if a waiting task, a
+/// machine that could be returned or the end of the job depends on it.
 class DoneMarkCollector {
  public:
-  /// Both must outlive this object.
+  /// Both arguments must outlive this object.
   DoneMarkCollector(ClusterState& state, const WriteRate& write_rate)
       : state_(state), write_rate_(write_rate) {}
 
-  /// Nothing but done marks (or what is left of a job that is over) is to be written, and nobody needs them
-  /// yet.
+  /// Whether the job's write may be postponed: it consists only of done marks, or of records of a job that is
+  /// over, and nothing depends on it yet. Sets the due time when it postpones a write.
   bool may_wait(JobIndex job_index, Seconds now);
-  /// Marks the jobs dirty whose collected marks are due.
+  /// Marks the jobs as dirty whose postponed marks are due.
   void release_due(Seconds now);
 
  private:
--- a/include/oxbowmill/scheduling/effects.h
+++ b/include/oxbowmill/scheduling/effects.h
@@ -1,6 +1,6 @@
 // What the scheduler and the autoscaler ask their controller to do: transactions to write, commands to send
-// to agents, machines to request or delete. Plain data, filled by one cycle and carried out by whoever called
-// it.
+// to agents, machines to request or delete. Plain data: a cycle fills it, and the caller of the cycle carries
+// it out.
 #pragma once
 
 #include <algorithm>
@@ -11,81 +11,83 @@
 
 namespace oxbowmill {
 
-/// Rank of a transaction while the state service takes fewer writes than are asked for; the first goes first.
+/// Rank of a transaction while more writes wait than the state service accepts; lower values go first.
 enum class Urgency : std::uint8_t {
   ownership,  ///< acquisition of a partition
-  user,       ///< somebody waits for the answer
+  user,       ///< a user waits for the answer
   cancel,     ///< cancellation by a user
-  placement,  ///< a task or a machine waits for it
+  placement,  ///< a task or a machine depends on it
   done_mark,  ///< finished tasks
-  other,      ///< nobody waits
+  other,      ///< nothing waits for it
 };
 
 /// A transaction to be sent to the state service.
 struct Write {
-  std::uint64_t id = 0;              ///< to be handed back with the outcome
+  std::uint64_t id = 0;              ///< returned together with the outcome
   Urgency urgency = Urgency::other;  ///< rank among the writes that wait
   Transaction txn;                   ///< guards and changes
 };
 
 /// Commands sent to an agent at once instead of with the response to its next report.
 struct DirectCommands {
-  MachineIndex machine;                ///< whose agent gets them
-  std::uint64_t agent_epoch = 0;       ///< the agent drops them in any other epoch
-  Revision fencing_token = 0;          ///< the agent drops them if it has seen a higher one
-  std::vector<AgentCommand> commands;  ///< none: it is only to report at once
+  MachineIndex machine;                ///< machine whose agent gets them
+  std::uint64_t agent_epoch = 0;       ///< the agent ignores them in any other epoch
+  Revision fencing_token = 0;          ///< the agent ignores them if it has seen a higher one
+  std::vector<AgentCommand> commands;  ///< empty: the agent only reports at once
 };
 
-/// Machines of one kind to be requested from the provider.
+/// A request for machines of one kind from the provider.
 struct ScaleOutRequest {
-  std::string request_id;                  ///< identifies the request to the provider
+  std::string request_id;                  ///< identifies the request; the same in every retry
   TypeIndex type;                          ///< machine type
-  ZoneIndex zone;                          ///< where
-  bool spot = false;                       ///< spot machines
-  std::uint32_t count = 0;                 ///< how many
+  ZoneIndex zone;                          ///< zone of the machines
+  bool spot = false;                       ///< whether spot machines are requested
+  std::uint32_t count = 0;                 ///< number of machines
   std::vector<PartitionIndex> partitions;  ///< for each machine, the partition that is to get it
 };
 
-/// All that one cycle wants done, in the order in which it was decided.
+/// The effects of one cycle; each list is in the order of the decisions.
 struct Effects {
   std::vector<Write> writes;                    ///< transactions
   std::vector<DirectCommands> direct_commands;  ///< commands sent outside responses
   std::vector<ScaleOutRequest> scale_outs;      ///< machines to request
   std::vector<MachineIndex> deletions;          ///< machines to delete at the provider
-  bool list_machines = false;                   ///< ask the provider which machines exist
+  bool list_machines = false;                   ///< the provider is to be asked which machines exist
 };
 
-/// The response to an agent's report.
+/// The answer to an agent's report.
 struct ReportAnswer {
-  /// How the report is answered.
+  /// Kinds of answers.
   enum class Kind : std::uint8_t {
-    ok,        ///< taken; the commands are valid
+    ok,        ///< the report was accepted; the commands are valid
     redirect,  ///< another controller owns the machine
-    refuse,    ///< nothing may be said now
+    refuse,    ///< this controller may not answer now
   };
   Kind kind = Kind::refuse;            ///< how the report is answered
-  std::string owner;                   ///< redirect: the controller to report to; may be empty
-  Revision fencing_token = 0;          ///< ok: the token under which the commands are given
-  std::vector<AgentCommand> commands;  ///< ok: what the agent is to do
-  /// Redirect: the agent has reported to this owner for long and cannot reach it now.
+  std::string owner;                   ///< redirect: controller to report to; may be empty
+  Revision fencing_token = 0;          ///< ok: fencing token of the commands
+  std::vector<AgentCommand> commands;  ///< ok: commands for the agent
+  /// redirect: the agent has known this owner for some time, so that its report here shows that it cannot
+  /// reach the owner now.
   bool owner_unreachable = false;
 };
 
-/// An agent that is to report at once: it is sent a higher fencing token than it has seen, without commands.
+/// An agent that is made to report at once by a fencing token higher than any it has seen, without commands.
 struct WakeUp {
-  MachineIndex machine;           ///< whose agent
-  std::uint64_t agent_epoch = 0;  ///< its present epoch
+  MachineIndex machine;           ///< machine of the agent
+  std::uint64_t agent_epoch = 0;  ///< the agent's current epoch
 };
 
-/// Placement records that one transaction changes, next to the job's record and its final phase.
+/// Chunk records that one transaction may change, besides the job's record and its final phase.
 inline std::size_t max_chunks(const Settings& settings) {
   return std::min<std::size_t>(settings.max_transaction_ops - 2, 8);
 }
 
-/// Decisions that a placement may have to find unchanged.
+/// Decision records that guard one placement at most.
 constexpr std::size_t max_constraint_guards = 3;
 
-/// Machines that one transaction can guard next to the ownership, the job, its records and the decisions.
+/// Machine records that one transaction can guard besides the ownership, the job, its chunks and the
+/// decisions.
 inline std::size_t max_guarded_machines(const Settings& settings) {
   return 4 * settings.max_transaction_ops - 2 - max_constraint_guards - max_chunks(settings);
 }
--- a/include/oxbowmill/scheduling/failed_selections.h
+++ b/include/oxbowmill/scheduling/failed_selections.h
@@ -1,4 +1,4 @@
-// Which jobs found no machines in this scheduling cycle. Owns that list; made anew for each cycle. Pure.
+// The jobs that found no machines in this scheduling cycle. Owns their list; created for each cycle. No I/O.
 #pragma once
 
 #include <vector>
@@ -7,13 +7,13 @@
 
 namespace oxbowmill {
 
-/// Free capacity only shrinks within a cycle, so a job that asks for as much or more of the same as one that
-/// found nothing need not look again.
+/// Avoids selections that are known to fail: free capacity only shrinks within a cycle, so a job with the
+/// same constraints that needs as much as or more than a job that found no machines finds none either.
 class FailedSelections {
  public:
-  /// The job found no machines for that many tasks.
+  /// Notes that the job found no machines for that many tasks.
   void add(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool preempting);
-  /// The job would find no machines either.
+  /// Whether the job would find no machines, as a noted failure shows.
   bool covers(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool preempting) const;
 
  private:
--- a/include/oxbowmill/scheduling/free_capacity.h
+++ b/include/oxbowmill/scheduling/free_capacity.h
@@ -1,7 +1,6 @@
-// Free capacity of one partition's machines, kept in the order in which placement prefers them. It is fed
-// machine by machine as their state changes, so that a scheduling cycle visits the machines that it chooses
-// and no others. Owns the index of the machines. Pure: whoever owns it says when a machine changed. Amounts
-// and seconds as in types.h.
+// Index of the free capacity of one partition's machines, in the order in which placement prefers them. Each
+// machine is updated when its state changes, so that a scheduling cycle visits only the machines that it
+// chooses. Owns the index. No I/O: the index's owner calls `update` when a machine changes. Times in seconds.
 #pragma once
 
 #include <functional>
@@ -16,84 +15,86 @@
 
 /// What one machine offers to new tasks.
 struct MachineCapacity {
-  CandidateMachine candidate;  ///< `start_s` and `opportunity_cost_s` depend on the job and are not filled in
-  Resources releasing;         ///< on top of `candidate.free_capacity`: of tasks that are being stopped
-  bool booting = false;        ///< requested, not up yet: forecast capacity only
-  Seconds expected_up_at = 0;  ///< of a booting machine: when it is expected
-  bool fetching_images = false;  ///< images are being fetched there
-  bool preemptible = false;      ///< some task there may be stopped for work of higher priority
-  Priority lowest_priority = Priority::production;  ///< of such tasks
-  std::vector<ImageIndex> images;                   ///< that the machine has cached
+  CandidateMachine candidate;  ///< without `start_s` and `opportunity_cost_s`, which depend on the job
+  Resources releasing;         ///< capacity of tasks that are being stopped, not in `candidate.free_capacity`
+  bool booting = false;        ///< requested and not up yet: it counts in forecasts only
+  Seconds expected_up_at = 0;  ///< when a booting machine is expected to be up
+  bool fetching_images = false;                     ///< image fetches are in progress on the machine
+  bool preemptible = false;                         ///< some task there may be preempted by a higher priority
+  Priority lowest_priority = Priority::production;  ///< lowest priority of the preemptible tasks
+  std::vector<ImageIndex> images;                   ///< images in the machine's cache
 };
 /// Equal in every field.
 bool operator==(const MachineCapacity& left, const MachineCapacity& right);
 
-/// How a job looks at the machines.
+/// The requirements of a job in a selection of machines.
 struct SelectionQuery {
-  const JobSpec* spec = nullptr;      ///< of the job
-  bool has_start_deadline = false;    ///< it has to start soon: fetches under way at a machine count as well
-  bool avoid_whole_machines = false;  ///< whole on-demand machines are left to gangs
-  std::vector<bool> unreachable;      ///< by zone; empty: none
-  /// Seconds that fetches under way on the machine still take.
+  const JobSpec* spec = nullptr;  ///< the job's spec
+  /// Whether the job has to start soon: start times include the fetches in progress on a machine.
+  bool has_start_deadline = false;
+  bool avoid_whole_machines = false;  ///< whole on-demand machines are reserved for gangs
+  std::vector<bool> unreachable;      ///< by zone: it is unreachable; empty: no zone is
+  /// Seconds until the fetches in progress on the machine end. Called only if `has_start_deadline` is set.
   std::function<Seconds(MachineIndex)> fetch_backlog_s;
 };
 
 /// The machines chosen for tasks of a job.
 struct Selection {
-  /// Those that were chosen, with their free capacity less the tasks that they are to get.
+  /// The chosen machines; their free capacity is reduced by the assigned tasks.
   std::vector<CandidateMachine> machines;
-  std::vector<TaskAssignment> assignments;  ///< `candidate` is a position in `machines`
-  /// When the last of the chosen tasks could run.
+  std::vector<TaskAssignment> assignments;  ///< `candidate` is an index into `machines`
+  /// Seconds until the last of the assigned tasks could run; 0 if none is assigned.
   Seconds last_start_s() const;
 };
 
 /// The index of one partition's machines.
 class FreeCapacity {
  public:
-  /// `model` must outlive this object.
+  /// `state` must outlive this object.
   explicit FreeCapacity(const ClusterState& model) : state_(&model) {}
 
-  /// Sets what the machine offers; none: nothing. True: it offers something else than before.
+  /// Sets the machine's capacity; without a value the machine is removed. Returns whether anything changed.
   bool update(MachineIndex machine, std::optional<MachineCapacity> capacity);
-  /// What the machine offers; null: nothing.
+  /// The machine's capacity; null if it is not in the index.
   const MachineCapacity* find(MachineIndex machine) const;
-  /// Machines that offer something.
+  /// Number of machines in the index.
   std::size_t size() const { return machines_.size(); }
-  /// Forgets all machines.
+  /// Removes all machines.
   void clear();
 
-  /// Chooses machines for these tasks of the job, at most as many as fit; a gang gets all or none. `forecast`
-  /// are candidates next to the free ones, with their `start_s` and `opportunity_cost_s`; `by_zone` holds
-  /// where the job's other tasks are.
+  /// Chooses machines for as many of these tasks of the job as fit; a gang gets all or none. `forecast` holds
+  /// further candidates with their `start_s` and `opportunity_cost_s`; `tasks_per_zone` counts the job's
+  /// tasks that are placed already.
   Selection select(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
                    const std::vector<std::uint32_t>& by_zone,
                    const std::vector<CandidateMachine>& forecast = {}) const;
-  /// How many tasks of the job fit into machines of types on which it is packed with others, counted up to
-  /// `most`.
+  /// How many tasks of the job fit on machines whose type lets it share a machine with other tasks. Stops
+  /// counting once the count exceeds `limit`.
   std::size_t count_packed_places(const SelectionQuery& query, std::size_t most) const;
 
-  /// Takes free capacity for a task that is about to be placed, until the machine is updated the next time.
+  /// Takes free capacity for a task that is about to be placed, until the next update of the machine.
   void take(MachineIndex machine, const Resources& need);
-  /// The same from the capacity that is being released there.
+  /// As `take`, from the capacity that is being released there.
   void take_releasing(MachineIndex machine, const Resources& need);
-  /// A fetch of that length is about to begin there.
+  /// Notes that an image fetch of that length is about to begin there.
   void add_fetch(MachineIndex machine, Seconds seconds);
-  /// A service's task is about to be placed there.
+  /// Notes that a service's task is about to be placed there.
   void host_service(MachineIndex machine);
-  /// Machines that one of these four has changed, to be updated before the next cycle; forgets them.
+  /// Returns and clears the machines changed by these four functions; they have to be updated before the next
+  /// cycle.
   std::vector<MachineIndex> take_provisional();
 
   /// Machines with capacity that is being released.
   const std::set<MachineIndex>& with_releasing() const { return with_releasing_; }
   /// Machines that are booting.
   const std::set<MachineIndex>& booting() const { return booting_; }
-  /// Machines with tasks that may be stopped for work of higher priority.
+  /// Machines with tasks that may be preempted by work of higher priority.
   const std::set<MachineIndex>& preemptible() const { return preemptible_; }
-  /// Entries that were looked at since it was made: what a cycle costs.
+  /// Number of entries visited since construction: the cost of the selections.
   std::uint64_t visits() const { return visits_; }
 
  private:
-  /// Machines between which a job sees no difference but their free capacity and whether they have its image.
+  /// Machines of one group differ for a job only in free capacity and cached images.
   struct GroupKey {
     TypeIndex type;
     ZoneIndex zone;
@@ -117,7 +118,7 @@
   };
   struct Entry {
     MachineCapacity capacity;
-    Seconds added_fetch_s = 0;  // provisional
+    Seconds added_fetch_s = 0;  // provisional, by `add_fetch`
   };
   class Stream;
   class Merge;
--- a/include/oxbowmill/scheduling/heartbeat_handler.h
+++ b/include/oxbowmill/scheduling/heartbeat_handler.h
@@ -1,5 +1,6 @@
-// Answers agents' reports: whether this controller may answer, what the report proves of the machine, and
-// which commands go back. Owns the fraction of responses that were lost lately. Pure; not re-entrant.
+// Answers agents' heartbeats: decides whether this controller may answer, updates the machine from the
+// report, and chooses the commands of the response. Owns the fraction of recent responses that were lost. No
+// I/O; not re-entrant.
 #pragma once
 
 #include <functional>
@@ -17,7 +18,7 @@
   /// Called with the report of a machine that has no record.
   using UnregisteredCallback = std::function<void(const WorkerReport&)>;
 
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   HeartbeatHandler(ClusterState& state, const ControllerLease& controller_lease,
                    PartitionOwnership& ownership, GangController& gangs, MachineEvictor& evictor)
       : state_(state),
@@ -27,7 +28,7 @@
         task_reports_(state, gangs),
         responses_(state) {}
 
-  /// Takes a report and answers it.
+  /// Applies a report and returns the answer.
   ReportAnswer on_report(const WorkerReport& report, Clock clock,
                          const UnregisteredCallback& on_unregistered);
 
@@ -36,8 +37,8 @@
                         Seconds now) const;
   ReportAnswer answer_unregistered(const WorkerReport& report,
                                    const UnregisteredCallback& on_unregistered) const;
-  /// Takes a report that is newer than all earlier ones. None: the agent would drop the response, or the
-  /// report is stale.
+  /// Accepts a report that is newer than all earlier ones of the machine. Returns nothing if the report is
+  /// stale or the agent would drop the response because it has seen a higher fencing token.
   std::optional<ReportProof> accept(Machine& machine, const WorkerReport& report, Revision fencing_token,
                                     Seconds now) const;
   bool is_as_recorded(const Machine& machine, const WorkerReport& report) const;
@@ -52,7 +53,7 @@
   MachineEvictor& evictor_;
   TaskReportReader task_reports_;
   ResponseBuilder responses_;
-  double lost_response_fraction_ = 0;  // of those whose fate reports have shown lately
+  double lost_response_fraction_ = 0;  // moving average over responses known to be received or lost
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/scheduling/job_transaction_builder.h
+++ b/include/oxbowmill/scheduling/job_transaction_builder.h
@@ -1,5 +1,5 @@
-// Builds the one transaction that brings a job's records up to date. Owns what it has collected of that
-// transaction; made for one job, used once.
+// Builds a transaction that brings a job's records up to date. Owns the parts collected so far; created for
+// one job and used once.
 #pragma once
 
 #include <map>
@@ -8,21 +8,21 @@
 
 namespace oxbowmill {
 
-/// Collects the changed chunks of a job, up to what one transaction holds; the rest follows in the next.
+/// Collects the changed chunks of a job, as many as fit in one transaction; the others are left for the next.
 class JobTransactionBuilder {
  public:
-  /// `planned` are tasks to be placed; all must outlive this object.
+  /// `planned` holds the tasks to be placed. `state` and `planned` must outlive this object.
   JobTransactionBuilder(ClusterState& state, JobIndex job_index, const std::vector<PlacedTask>& planned,
                         Seconds now);
 
-  /// Finds out which chunks change. False: there is nothing to write.
+  /// Determines which chunks change. Returns whether there is anything to write.
   [[nodiscard]] bool collect_changes();
-  /// The transaction for the collected chunks; once.
+  /// Returns the transaction for the collected chunks; to be called once, after `collect_changes`.
   JobTransaction build(const Guard& ownership_guard);
 
  private:
   bool is_open() const { return job_.phase == JobPhase::open; }
-  /// All tasks of a job that is over are off their machines.
+  /// Whether the job is over and all its tasks are off their machines.
   bool is_cleanup() const { return job_.is_final() && ended_count_ == job_.placements.size(); }
   bool touch(TaskNumber task);
   void add_chunk(std::uint32_t chunk_number, ChunkRecord& record);
@@ -42,10 +42,10 @@
   Job& job_;
   const std::vector<PlacedTask>& planned_;
   Seconds now_;
-  std::map<std::uint32_t, ChunkRecord> records_;  // by chunk
+  std::map<std::uint32_t, ChunkRecord> records_;  // by chunk number
   std::size_t ended_count_ = 0;
   bool has_finished_ = false, has_terminated_ = false;
-  std::uint32_t done_count_;  // once the transaction is applied
+  std::uint32_t done_count_;  // number of done tasks once the transaction is applied
   JobTransaction result_;
 };
 
--- a/include/oxbowmill/scheduling/job_writer.h
+++ b/include/oxbowmill/scheduling/job_writer.h
@@ -1,5 +1,5 @@
-// Writes what has changed in jobs: placements, ends of tasks and ends of jobs. Owns which done marks are
-// being collected. Pure.
+// Writes the changes of jobs: placements, ends of tasks and ends of jobs. Owns the collector of postponed
+// done marks. No I/O: the transactions are queued as effects.
 #pragma once
 
 #include <map>
@@ -13,10 +13,10 @@
 /// Tasks that a cycle has planned to place, by job.
 using PlannedTasks = std::map<JobIndex, std::vector<PlacedTask>>;
 
-/// Turns the changed jobs of a cycle into transactions, one at a time for each job.
+/// Turns the changed jobs of a cycle into transactions; each job has at most one in flight.
 class JobWriter {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   JobWriter(ClusterState& state, const PartitionOwnership& ownership, TransactionQueue& transactions,
             GangController& gangs)
       : state_(state),
@@ -25,7 +25,8 @@
         gangs_(gangs),
         done_marks_(state, transactions.write_rate()) {}
 
-  /// Writes every owned job that is dirty or has planned tasks; what cannot be written now stays dirty.
+  /// Queues a transaction for every owned job that is dirty or has planned tasks. A job that cannot be
+  /// written now stays dirty or is marked as dirty again when its postponed done marks are due.
   void write_changed(PlannedTasks planned, Seconds now, Effects& out);
 
  private:
--- a/include/oxbowmill/scheduling/never.h
+++ b/include/oxbowmill/scheduling/never.h
@@ -1,4 +1,4 @@
-// The time that never comes. Seconds on the steady clock.
+// A time that is later than every other. Seconds of the steady clock.
 #pragma once
 
 #include <limits>
@@ -7,7 +7,7 @@
 
 namespace oxbowmill {
 
-/// Later than every time: nothing is due.
+/// Due time of something that is not scheduled.
 constexpr Seconds never = std::numeric_limits<Seconds>::infinity();
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/scheduling/placement_cycle.h
+++ b/include/oxbowmill/scheduling/placement_cycle.h
@@ -1,5 +1,5 @@
-// Places the waiting tasks of a partition on its machines. Owns what the last cycle of each partition saw and
-// the count of attempts. Pure: what was planned is written by the caller.
+// Plans placements of a partition's waiting tasks on its machines. Owns what the last cycle of each partition
+// saw and the counter of attempts. No I/O: the caller writes the plan.
 #pragma once
 
 #include <vector>
@@ -13,16 +13,16 @@
 
 namespace oxbowmill {
 
-/// How much a scheduling cycle looks at.
+/// How much a scheduling cycle considers.
 enum class CycleDepth : std::uint8_t {
-  quick,     ///< only partitions in which something has changed, without preemption
+  quick,     ///< only partitions that have changed, without preemption
   thorough,  ///< every partition, with preemption
 };
 
-/// Goes through the waiting jobs of a partition in the order of the queue and plans which tasks start where.
+/// Plans, in queue order, which waiting tasks of a partition start on which machines.
 class PlacementCycle {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   PlacementCycle(ClusterState& state, CapacityTracker& capacity, const ZoneReachability& zones,
                  const WriteRate& write_rate, GangController& gangs)
       : state_(state),
@@ -34,19 +34,19 @@
         forecast_(state, capacity, zones, preemptor_),
         last_cycles_(state.partition_count()) {}
 
-  /// Runs a cycle of an owned partition and adds to `planned` what can start at once.
+  /// Runs a cycle of an owned partition and adds the tasks that can start at once to `planned`.
   void run(PartitionIndex partition, Clock clock, CycleDepth depth, PlannedTasks& planned);
-  /// Has every cycle compare the index of free capacity with a full scan. For tests.
+  /// Makes every cycle compare the index of free capacity with a full scan. For tests.
   void enable_capacity_check() { capacity_check_enabled_ = true; }
 
  private:
-  /// What the last cycle of a partition saw, and when time alone asks for the next.
+  /// Capacity version at the last cycle of a partition, and when the next cycle is due without any change.
   struct LastCycle {
     std::uint64_t version = 0;
     Seconds wake_at = 0;
     void wake_by(Seconds at) { wake_at = std::min(wake_at, at); }
   };
-  /// A cycle of one partition, while it fills the free capacity.
+  /// State of one partition's cycle.
   struct Cycle {
     Clock clock;
     CycleDepth depth = CycleDepth::quick;
@@ -57,7 +57,7 @@
     LastCycle* last = nullptr;
     PlannedTasks* planned = nullptr;
   };
-  /// What is asked for in one selection of machines.
+  /// Input of one selection of machines.
   struct SelectionRequest {
     const Job& job;
     const SelectionQuery& query;
--- a/include/oxbowmill/scheduling/preemptor.h
+++ b/include/oxbowmill/scheduling/preemptor.h
@@ -1,4 +1,4 @@
-// Stops tasks of lower priority for those of higher. Owns nothing but references; pure.
+// Preempts tasks of lower priority for jobs of higher priority. Holds references only; no I/O.
 #pragma once
 
 #include "oxbowmill/scheduling/free_capacity.h"
@@ -6,20 +6,21 @@
 
 namespace oxbowmill {
 
-/// From the stop of a task that has saved its progress to a start in its place. Seconds.
+/// Seconds from stopping a task that has saved its progress to starting another one in its place.
 constexpr double stop_duration_s = 1.5;
 
-/// Decides which tasks may be stopped for a job, and stops them.
+/// Decides which tasks may be preempted for a job, and preempts them.
 class Preemptor {
  public:
-  /// Both must outlive this object.
+  /// Both arguments must outlive this object.
   Preemptor(ClusterState& state, GangController& gangs) : state_(state), gangs_(gangs) {}
 
-  /// Operators allow that tasks are stopped for this job.
+  /// Whether the operators' settings and the job's priority allow preemption for this job.
   bool may_preempt_for(const Job& job) const;
-  /// Adds to the candidate's free capacity what may be stopped there for the job.
+  /// Adds the capacity of tasks that may be preempted for the job to the candidate's free capacity, and sets
+  /// its wait and acquisition cost.
   void add_preemptible_capacity(const Job& job, CandidateMachine& candidate, Clock clock) const;
-  /// Stops as many tasks on the selected machines as the job's tasks need there.
+  /// Preempts as many tasks on the selected machines as the job's tasks need there.
   void preempt_for(const Job& job, const Selection& selection, Clock clock);
 
  private:
--- a/include/oxbowmill/scheduling/queue_order.h
+++ b/include/oxbowmill/scheduling/queue_order.h
@@ -1,30 +1,31 @@
-// In which order waiting jobs are placed. Stateless.
+// The order in which waiting jobs are placed. Stateless functions.
 #pragma once
 
 #include "oxbowmill/cluster/start_deadline.h"
 
 namespace oxbowmill {
 
-/// A job that has to start by some time, for the choice below.
+/// A job that has to start by some time, as input of `select_late_jobs`.
 struct DueJob {
   double start_by = 0;  ///< seconds from now
-  double machines = 0;  ///< machines' worth of capacity that it waits for
+  double machines = 0;  ///< capacity that it waits for, in machines
 };
 
-/// Which of these jobs to give up so that the fewest start late, when capacity becomes free at `rate`
-/// machines a second: in order of their times, the largest is given up whenever the next would be late (Moore
-/// and Hodgson's rule). True: given up.
+/// Chooses the jobs to give up so that the fewest start late, while capacity becomes free at `rate` machines
+/// a second. Moore-Hodgson algorithm: it adds the jobs by start time and gives up the largest one whenever
+/// the added job would be late. Returns for each job whether it is given up.
 std::vector<bool> select_late_jobs(const std::vector<DueJob>& jobs, double rate);
 
 /// A job in the queue.
 struct WaitingJob {
-  JobIndex job;                                           ///< that waits
+  JobIndex job;                                           ///< the job
   StartDeadline start_deadline = StartDeadline::relaxed;  ///< how pressing its start is
 };
 
-/// Waiting jobs of a partition: those whose start deadline is critical; then by priority, within it first
-/// those whose start deadline is urgent; then those that can still be in time, by the last moment at which
-/// they must start; then the others, longest first; jobs without a deadline by age.
+/// Waiting jobs of a partition in the order of placement. Jobs whose start deadline is critical come first,
+/// the others follow by priority. Within a priority the order is: jobs whose start deadline is urgent; jobs
+/// that can still meet their deadline, by the latest time at which they must start; jobs without a deadline,
+/// by age; jobs that miss their deadline, longest first.
 std::vector<WaitingJob> waiting_order(const ClusterState& model, PartitionIndex partition, Clock clock);
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/scheduling/response_builder.h
+++ b/include/oxbowmill/scheduling/response_builder.h
@@ -1,4 +1,5 @@
-// The commands in the response to an agent's report. Owns nothing but a reference to the cluster state; pure.
+// Builds the commands in the response to an agent's report. Holds only a reference to the cluster state; no
+// I/O.
 #pragma once
 
 #include <vector>
@@ -7,17 +8,17 @@
 
 namespace oxbowmill {
 
-/// Chooses what an agent is told to start, stop and forget.
+/// Chooses which tasks an agent is told to start, to stop and to clear from its list.
 class ResponseBuilder {
  public:
   /// `state` must outlive this object.
   explicit ResponseBuilder(ClusterState& state) : state_(state) {}
 
-  /// All commands for the machine; notes which starts this report's response carries.
+  /// Adds all commands for the machine and notes which starts this report's response carries.
   void add_commands(MachineIndex machine_index, const WorkerReport& report, Seconds now,
                     std::vector<AgentCommand>& commands);
-  /// What a controller without full authority may order: kills of tasks that have no placement or whose job
-  /// was cancelled by its user.
+  /// Adds the commands that a controller in its read-only period may give: kills of tasks that have no
+  /// placement or whose job was cancelled by its user.
   void add_read_only_commands(MachineIndex machine_index, const WorkerReport& report, Seconds now,
                               std::vector<AgentCommand>& commands) const;
 
--- a/include/oxbowmill/scheduling/selection_query.h
+++ b/include/oxbowmill/scheduling/selection_query.h
@@ -1,4 +1,4 @@
-// How a job looks at the free machines at this moment. Stateless.
+// Builds the query that selects free machines for a job. Stateless function.
 #pragma once
 
 #include "oxbowmill/scheduling/capacity_tracker.h"
@@ -6,7 +6,7 @@
 
 namespace oxbowmill {
 
-/// The query for a task of the job, without its start deadline. Refers to the job and to the tracker, which
+/// The query for tasks of the job at `now`, without its start deadline. Refers to `job` and `capacity`, which
 /// must outlive it.
 SelectionQuery selection_query_for(const ClusterState& state, const CapacityTracker& capacity,
                                    const ZoneReachability& zones, const Job& job, Seconds now);
--- a/include/oxbowmill/scheduling/slow_task_detector.h
+++ b/include/oxbowmill/scheduling/slow_task_detector.h
@@ -1,5 +1,5 @@
-// The detector of slow tasks (FLIP-168, "Detect slow tasks"): pure arithmetic on finished run times, and the
-// class that blocks machines and restarts tasks by it. Owns nothing but references. Seconds.
+// Detector of slow tasks, after Apache Flink's FLIP-168: computes a baseline from finished run times, blocks
+// machines with slow tasks and restarts these tasks. Holds references only; no I/O. Times in seconds.
 #pragma once
 
 #include <map>
@@ -10,24 +10,25 @@
 
 namespace oxbowmill {
 
-/// Finishes that must have been seen before a baseline exists: ceil(N x R), at least one.
+/// Number of finished tasks that a baseline needs: ceil(tasks x ratio), at least 1.
 std::size_t finishes_needed(std::uint32_t tasks, double ratio);
 
-/// max(median of the earliest ceil(N x R) run times x M, B); below 0 while there are too few.
-/// `finished` is in order of finishing.
+/// Run time from which on a task is slow: the median of the first `finishes_needed` run times times
+/// `slow_multiplier`, at least `baseline_floor_s`. Below 0 while too few tasks have finished. `finished`
+/// holds run times in order of finishing.
 double slow_baseline(const std::vector<double>& finished, std::uint32_t tasks,
                      const OperatorSettings& operator_settings);
 
-/// At or past the baseline; nothing is slow while there is none.
+/// Whether the elapsed time has reached the baseline; nothing is slow without a baseline (below 0).
 inline bool is_slow(double elapsed, double baseline) {
   return baseline >= 0 && elapsed >= baseline;
 }
 
-/// Blocks machines on which tasks of two or more jobs are slow at once, and requests the restart of these
-/// tasks where capacity is free elsewhere.
+/// Blocks machines on which tasks of two or more jobs are slow at once, and requests a restart of each such
+/// task if capacity is free elsewhere.
 class SlowTaskDetector {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   SlowTaskDetector(ClusterState& state, CapacityTracker& capacity, const ZoneReachability& zones)
       : state_(state), capacity_(capacity), zones_(zones) {}
 
--- a/include/oxbowmill/scheduling/task_report_reader.h
+++ b/include/oxbowmill/scheduling/task_report_reader.h
@@ -1,36 +1,37 @@
-// What an agent's report proves about the tasks placed on its machine. Owns nothing but references; pure.
+// Updates placements from an agent's report, as far as the report proves their state. Holds references only;
+// no I/O.
 #pragma once
 
 #include "oxbowmill/scheduling/gang_controller.h"
 
 namespace oxbowmill {
 
-/// What a report shows of the responses to earlier ones.
+/// What a report proves about the responses to earlier reports.
 struct ReportProof {
-  /// The agent has seen a token that only this owner can have given.
+  /// Whether the agent has seen a fencing token that only this owner can have given.
   bool fencing_token_shown = false;
-  /// The agent has taken none of this owner's responses.
+  /// Whether the agent has received none of this owner's responses.
   bool none_taken = false;
 };
 
-/// What has become of the starts that were sent.
+/// What a report shows of the starts that were sent.
 struct StartUpdate {
-  bool lost = false;     ///< some start has not arrived
-  bool arrived = false;  ///< some start has arrived
+  bool lost = false;     ///< some start did not reach the agent
+  bool arrived = false;  ///< some start reached the agent
 };
 
 /// Updates the placements on a machine from its agent's report.
 class TaskReportReader {
  public:
-  /// Both must outlive this object.
+  /// Both arguments must outlive this object.
   TaskReportReader(ClusterState& state, GangController& gangs) : state_(state), gangs_(gangs) {}
 
-  /// Reads a report that is newer than all earlier ones of the machine.
+  /// Applies a report that is newer than all earlier ones of the machine.
   StartUpdate read(MachineIndex machine_index, const WorkerReport& report, const ReportProof& proof,
                    Seconds now);
 
  private:
-  /// A report and what is known of it, while it is being read.
+  /// A report that is being read, what it proves, and what was found so far.
   struct Reading {
     const WorkerReport& report;
     const ReportProof& proof;
--- a/include/oxbowmill/scheduling/whole_machines.h
+++ b/include/oxbowmill/scheduling/whole_machines.h
@@ -1,4 +1,4 @@
-// Keeps whole machines free for gangs. Stateless.
+// Keeps whole machines free for gangs. Stateless functions.
 #pragma once
 
 #include <vector>
@@ -7,19 +7,20 @@
 
 namespace oxbowmill {
 
-/// Some gang of the partition needs whole machines.
+/// Whether some gang of the partition needs whole machines.
 bool needs_whole_machines(const ClusterState& state, PartitionIndex partition);
 
-/// Free and coming capacity of a partition while a cycle fills it.
+/// Free and expected capacity of a partition during a cycle.
 struct CycleCapacity {
-  FreeCapacity* free = nullptr;         ///< what is there
-  std::vector<ForecastMachine> coming;  ///< what is not there yet
+  FreeCapacity* free = nullptr;         ///< free capacity
+  std::vector<ForecastMachine> coming;  ///< machines that boot or are being handed over
 };
 
-/// Gangs wait for whole on-demand machines, and each short task on one keeps them from it. Work that may run
-/// on spot machines avoids them while spot machines are requested or coming. Returns those of the tasks that
-/// need not wait for spot machines; what the others will get is taken from the coming capacity. Sets in the
-/// query whether whole machines are avoided.
+/// Keeps tasks of array jobs that accept spot machines away from whole on-demand machines, because gangs wait
+/// for these and each short task on one delays a gang. Sets in the query whether whole machines are avoided:
+/// they are, unless the job has waited for `scale_out_delay_s` and has more tasks than fit elsewhere, on free
+/// or expected machines. Returns the tasks that need not wait for spot machines; expected capacity is
+/// reserved for the others.
 std::vector<TaskNumber> keep_whole_machines_free(const ClusterState& state, const Job& job, Seconds now,
                                                  CycleCapacity& capacity, SelectionQuery& query,
                                                  std::vector<TaskNumber> tasks);
--- a/include/oxbowmill/scheduling/write_rate.h
+++ b/include/oxbowmill/scheduling/write_rate.h
@@ -1,4 +1,5 @@
-// How many changes this controller writes. Owns a decaying count. Pure; steady clock.
+// Rate of the changes that this controller writes. Owns an exponentially decaying count. No I/O; steady
+// clock.
 #pragma once
 
 #include <cmath>
@@ -7,20 +8,20 @@
 
 namespace oxbowmill {
 
-/// Compares the changes written lately with what the state service takes.
+/// Compares the recently written changes with the write limit of the state service.
 class WriteRate {
  public:
   /// `settings` must outlive this object.
   explicit WriteRate(const Settings& settings) : settings_(settings) {}
 
-  /// Changes that are being sent.
+  /// Counts changes that are being sent.
   void add(std::size_t changes) { recent_changes_ += static_cast<double>(changes); }
-  /// Lets the earlier changes decay; once a cycle.
+  /// Decays the earlier changes; to be called once a cycle.
   void advance(Seconds now) {
     recent_changes_ *= std::exp((last_advance_at_ - now) / window_s);
     last_advance_at_ = now;
   }
-  /// This controller writes more than that fraction of all changes that the state service takes.
+  /// Whether this controller writes more than this fraction of the state service's write limit.
   bool exceeds(double fraction) const {
     return recent_changes_ > fraction * settings_.state_write_rps * window_s;
   }
--- a/include/oxbowmill/scheduling/zone_reachability.h
+++ b/include/oxbowmill/scheduling/zone_reachability.h
@@ -1,5 +1,5 @@
-// Which zones' machines can be heard. Owns, per zone, until when it counts as unreachable by what this
-// controller sees and by what others reported. Pure.
+// Which zones are reachable, judged by the heartbeats of their machines. Owns, for each zone, until when it
+// counts as unreachable by this controller's checks and by other controllers' reports. No I/O; steady clock.
 #pragma once
 
 #include <vector>
@@ -8,32 +8,33 @@
 
 namespace oxbowmill {
 
-/// A zone is unreachable while most of its machines that should report here do not, or while another
-/// controller says so: free, booting or requested machines there are of no use then.
+/// A zone is unreachable if more than three quarters of its machines that should report here are silent, or
+/// if another controller has reported it as unreachable. Its free, booting and requested machines are not
+/// used then.
 class ZoneReachability {
  public:
   /// `state` must outlive this object.
   explicit ZoneReachability(const ClusterState& state) : state_(state) {}
 
-  /// By what this controller sees or by what another has reported lately.
+  /// Whether the zone is unreachable by this controller's checks or by another controller's recent report.
   bool is_unreachable(ZoneIndex zone, Seconds now) const;
-  /// By what this controller sees itself: to be reported to the others.
+  /// Zones that are unreachable by this controller's own checks, to be reported to its peers.
   std::vector<ZoneIndex> unreachable_zones(Seconds now) const;
-  /// Another controller has reported the zone as unreachable.
+  /// Notes that another controller has reported the zone as unreachable.
   void on_peer_report(ZoneIndex zone, Seconds now);
 
   /// Starts a check; `count_machine` follows for each machine that should report, then `end_check`.
   void begin_check();
-  /// One machine of the zone and whether it has reported recently.
+  /// Counts a machine of the zone that should report, and whether it has reported recently.
   void count_machine(ZoneIndex zone, bool reported);
-  /// Decides from the machines that were counted.
+  /// Decides which zones are unreachable from the counted machines.
   void end_check(Seconds now);
 
  private:
   struct Zone {
-    Seconds unreachable_until = -1e9;           // by what this controller sees
-    Seconds reported_unreachable_until = -1e9;  // by what others reported
-    std::uint32_t reported = 0, expected = 0;   // machines in the check under way
+    Seconds unreachable_until = -1e9;           // by this controller's checks
+    Seconds reported_unreachable_until = -1e9;  // by other controllers' reports
+    std::uint32_t reported = 0, expected = 0;   // machines counted in the current check
   };
 
   const ClusterState& state_;
--- a/src/scheduling/capacity_forecast.cpp
+++ b/src/scheduling/capacity_forecast.cpp
@@ -5,8 +5,8 @@
 namespace oxbowmill {
 
 namespace {
-constexpr double handover_duration_s =
-    4;  // until a machine that another partition drains for us reports here
+/// Until a machine that another partition drains for this one reports here.
+constexpr double handover_duration_s = 4;
 }  // namespace
 
 std::vector<ForecastMachine> CapacityForecast::coming_machines(PartitionIndex partition, Seconds now) const {
--- a/src/scheduling/capacity_tracker.cpp
+++ b/src/scheduling/capacity_tracker.cpp
@@ -8,7 +8,7 @@
 namespace oxbowmill {
 
 namespace {
-constexpr double tolerated_missed_reports = 2.5;  // a machine that has missed so many may be gone
+constexpr double tolerated_missed_reports = 2.5;  // a machine that has missed more reports may be gone
 }  // namespace
 
 CapacityTracker::CapacityTracker(ClusterState& model) : state_(model), versions_(model.partition_count()) {
@@ -37,7 +37,7 @@
                                                                              Seconds now) const {
   const Machine& machine_state = state_.machine(machine);
   Seconds boot = state_.catalog[machine_state.record.type.value].boot_s;
-  // A machine that takes far too long to boot may never report.
+  // A machine that takes twice its boot time may never report.
   Seconds given_up_at = machine_state.known_since + 2 * boot;
   if (!machine_state.placed_tasks.empty() || machine_state.record.requested_by.valid() || now >= given_up_at)
     return {};
@@ -65,8 +65,8 @@
     return {};
   Seconds unavailable_until = std::max(machine_state.blocked_until, machine_state.faulty_until);
   if (unavailable_until > now) return {std::nullopt, unavailable_until};
-  // A machine just handed over reports here within moments: its tasks may be placed already. One that has
-  // missed reports may be gone: nothing new is placed there until it reports again.
+  // A machine that was just handed over reports here soon, so tasks may be placed on it already. A machine
+  // that has missed reports may be gone, so nothing new is placed on it until it reports again.
   Seconds until =
       machine_state.state == MachineState::expected
           ? machine_state.in_partition_since + settings.first_report_timeout_s()
@@ -90,9 +90,9 @@
   for (TaskId id : machine.placed_tasks) {
     const Placement& placement = *state_.find_placement(id);
     const JobSpec& spec = state_.job(id.job).spec;
-    // A member that gave up waiting has its image here and is placed here again as soon as its end is
-    // durable. (Taken by another gang in that moment, the machine cost it a second fetch, longer than a gang
-    // waits; so gangs with large images began after 340 s.)
+    // A gang member that gave up waiting is placed here again as soon as its end is durable, because the
+    // machine has its image. When another gang took the machine in between, the member needed a second fetch,
+    // which takes longer than a gang waits: gangs with large images started after 340 s.
     if (placement.state == PlacementState::terminated && placement.cause == EndCause::incomplete)
       capacity.candidate.free_capacity -= spec.task_resources;
     if (is_off_machine(placement.state)) continue;
--- a/src/scheduling/done_mark_collector.cpp
+++ b/src/scheduling/done_mark_collector.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-constexpr double collecting_write_fraction = 0.15;  // of the state service's writes, from which on marks wait
+/// Done marks are postponed while this controller uses more than this fraction of the state service's write
+/// limit.
+constexpr double collecting_write_fraction = 0.15;
 
-/// The placements of a job by how much of their record is still open.
+/// Counts of a job's placements whose end is not durable yet.
 struct EndedTasks {
-  std::size_t ended = 0;     // off their machines
-  std::size_t finished = 0;  // of those, with their work done
+  std::size_t ended = 0;     // tasks that are off their machines
+  std::size_t finished = 0;  // those among them that finished their work
   bool restart_requested = false;
 };
 
@@ -26,13 +28,14 @@
   return count;
 }
 
-/// No task of a gang that is being stopped can start before all of its tasks have left their machines.
+/// Whether the gang is being stopped and some member is still on its machine: no member can start before all
+/// have left.
 bool is_stopping_gang(const Job& job, const EndedTasks& count) {
   return job.spec.shape == JobShape::gang && gang_state(job) == GangState::stopping &&
          count.ended < job.placements.size();
 }
 
-/// Tasks are left whose end will be written later anyway, and nothing can be placed before.
+/// Whether other ends of tasks have to be written later anyway and no placement waits for the ones at hand.
 bool has_later_write(const Job& job, const EndedTasks& count) {
   if (job.is_final()) return count.ended < job.placements.size();
   return count.ended == count.finished && job.done_count + count.finished < job.spec.tasks &&
--- a/src/scheduling/free_capacity.cpp
+++ b/src/scheduling/free_capacity.cpp
@@ -144,8 +144,9 @@
   return !spared;
 }
 
-/// Machines of one group on which a task fits, best first: all of them start it at the same time at the
-/// same opportunity cost, so the least free capacity decides.
+/// Iterates over the machines of one group on which a task fits, best first. All of them could start the task
+/// at the same time and at the same opportunity cost, so the machine with the least free capacity is the
+/// best.
 class FreeCapacity::Stream {
  public:
   Stream(const FreeCapacity& index, const JobSpec& spec, const CapacityOrder& order, CandidateMachine like,
@@ -156,7 +157,7 @@
     skip_unfit();
   }
   bool done() const { return position_ == order_->end(); }
-  /// The machine as the job sees it.
+  /// The current machine, with its start time and opportunity cost for the job.
   CandidateMachine head() const {
     CandidateMachine node = index_->machines_.at(position_->machine.value).capacity.candidate;
     node.start_s = prototype_.start_s;
@@ -171,7 +172,7 @@
  private:
   void skip_unfit() {
     while (!done()) {
-      // Skips all machines with this number of GPUs and too few CPUs at once.
+      // Skips all machines with this number of GPUs and too few CPUs in one step.
       if (position_->cpus < spec_->task_resources.cpus - resource_tolerance) {
         position_ = order_->lower_bound(
             {position_->gpus, spec_->task_resources.cpus - resource_tolerance, MachineIndex{0}});
@@ -193,7 +194,7 @@
   CapacityOrder::const_iterator position_;
 };
 
-/// All candidates for a job, best first.
+/// Merges the groups and the forecast into one sequence of candidates for a job, best first.
 class FreeCapacity::Merge {
  public:
   Merge(const FreeCapacity& index, const SelectionQuery& query, ZoneIndex only,
@@ -226,8 +227,8 @@
   struct LessPreferred {
     bool operator()(const Head& a, const Head& b) const { return is_better(b, a); }
   };
-  /// The order of preference: soonest start with its opportunity cost, then acquisition cost, spot, least
-  /// free capacity.
+  /// Order of preference: earliest start including the opportunity cost, lowest acquisition cost, spot
+  /// machines, least free capacity.
   static bool is_better(const Head& left, const Head& right) {
     auto key = [](const Head& head) {
       const CandidateMachine& node = head.candidate;
@@ -257,7 +258,7 @@
       add_stream(rest);
     }
   }
-  /// The fetches in progress differ between machines, so each machine is ordered on its own.
+  /// Adds machines with fetches in progress one by one, because their start times differ.
   void add_fetching(Stream stream) {
     for (; !stream.done(); stream.next()) {
       CandidateMachine node = stream.head();
--- a/src/scheduling/gangs.cpp
+++ b/src/scheduling/gangs.cpp
@@ -13,7 +13,7 @@
     leaving = leaving || placement.state == PlacementState::terminated ||
               placement.state == PlacementState::stopping;
   }
-  // All tasks of a gang run or none does, so one running task shows that all run.
+  // Either all tasks of a gang run or none, so one running task shows that all run.
   bool whole = job.placements.size() == job.spec.tasks && !leaving;
   if (running) return whole ? GangState::running : GangState::stopping;
   return unknown ? GangState::unknown : GangState::gathering;
@@ -22,7 +22,7 @@
 GangAction gang_action(const Job& job) {
   bool open = false;
   for (const auto& [task, placement] : job.placements) {
-    // The tasks of a gang complete together: one that is done means that all are.
+    // The tasks of a gang complete together: if one is done, all are.
     if (placement.state == PlacementState::finished) return GangAction::finish_all;
     open = open ||
            (placement.state != PlacementState::terminated && placement.state != PlacementState::stopping);
--- a/src/scheduling/heartbeat_handler.cpp
+++ b/src/scheduling/heartbeat_handler.cpp
@@ -8,9 +8,9 @@
 namespace oxbowmill {
 
 namespace {
-constexpr std::uint32_t lost_responses_threshold = 3;  // reports in a row that show that a response was lost
-constexpr double lost_response_window = 16;            // of reports that show what became of a response
-constexpr double own_fault_fraction = 0.5;  // of responses lost, from which on it is this controller
+constexpr std::uint32_t lost_responses_threshold = 3;  // consecutive reports that show a lost response
+constexpr double lost_response_window = 16;            // length of the average, in reports
+constexpr double own_fault_fraction = 0.5;  // of lost responses: from here on this controller is the cause
 constexpr double for_good_s = 1e9;
 }  // namespace
 
@@ -43,8 +43,8 @@
     evictor_.mark_empty(machine_index, now);
   StartUpdate starts = task_reports_.read(machine_index, report, *proof, now);
   count_lost_responses(machine, starts, *proof);
-  // If most responses are lost, the machine is not at fault: this controller is late or cut off, and moving
-  // all waiting tasks from one machine to the next would delay them further.
+  // If most responses are lost, the cause is not the machine: this controller is late or disconnected, and
+  // moving all waiting tasks from one machine to the next would delay them further.
   if (machine.lost_responses >= lost_responses_threshold && lost_response_fraction_ < own_fault_fraction)
     avoid(machine_index, now);
   responses_.add_commands(machine_index, report, now, answer.commands);
@@ -86,13 +86,13 @@
   if (std::tie(report.agent_epoch, report.report_sequence) <=
       std::tie(machine.agent_epoch, machine.report_sequence))
     return std::nullopt;
-  // In the read-only period too: whatever is answered there, no older report counts afterwards.
+  // Stored in the read-only period as well: once a report has been answered, no older report counts.
   machine.agent_epoch = report.agent_epoch;
   machine.report_sequence = report.report_sequence;
   ReportProof proof;
   proof.fencing_token_shown = report.fencing_token >= state_.lowest_fencing_token(machine);
-  // An agent has one report under way and drops responses to earlier ones: where a newer one shows a token
-  // below all that we answered it with, it has taken none of our responses.
+  // An agent has one report in flight and drops responses to earlier ones. If a newer report shows a fencing
+  // token below every token in this controller's responses to it, it has received none of them.
   proof.none_taken = report.fencing_token < machine.first_fencing_token;
   if (machine.first_fencing_token == 0) machine.first_fencing_token = fencing_token;
   machine.last_answered_report_at = now;
@@ -100,8 +100,8 @@
 }
 
 bool HeartbeatHandler::is_as_recorded(const Machine& machine, const WorkerReport& report) const {
-  // What a market delivered is judged by the machine's own report: on another type or in another zone than
-  // was bid for, a job might be where it must not.
+  // A machine from a market is checked by its own report: if its type or zone differs from the bid, a job
+  // might run where it must not.
   const MachineRecord& record = machine.record;
   return !record.market.valid() ||
          MachineKind{state_.names.types.find(report.type), state_.names.zones.find(report.zone),
@@ -138,15 +138,15 @@
   machine.lost_responses = lost ? machine.lost_responses + 1 : 0;
 }
 
-/// What has not started on a machine that does not receive its responses is placed elsewhere, and nothing new
-/// is placed there for a while.
+/// Blocks a machine that does not receive its responses for new tasks for a while, and terminates its tasks
+/// that have not started, so that they are placed elsewhere.
 void HeartbeatHandler::avoid(MachineIndex machine_index, Seconds now) {
   Machine& machine = state_.edit_machine(machine_index);
   if (machine.blocked_until < now)
     SPDLOG_INFO("responses not received machine={}", state_.names.machines.name(machine_index));
   machine.blocked_until =
       std::max(machine.blocked_until, now + state_.settings.operator_settings.slow_block_s);
-  // The last response that carried these starts was not received either.
+  // Safe, because the last response that carried these starts was not received either.
   evictor_.terminate_unsent(machine_index, now);
 }
 
--- a/src/scheduling/job_transaction_builder.cpp
+++ b/src/scheduling/job_transaction_builder.cpp
@@ -72,7 +72,7 @@
     if (placement.state == PlacementState::finished) {
       add_finish(placement, record);
     } else if (placement.state == PlacementState::terminated) {
-      // Without a cause no report has shown its end: there is nothing to clear.
+      // Without a cause no report has shown the task's end, so its agent has nothing to clear.
       if (placement.cause != EndCause::none)
         result_.released_tasks.push_back({placement.machine, placement.task, placement.attempt});
     } else {
@@ -116,7 +116,7 @@
   for (const PlacedTask& placed : result_.placed_tasks) machines.insert(placed.machine);
   for (MachineIndex machine_index : machines)
     result_.txn.guards.push_back({MachineKey{machine_index}, state_.machine(machine_index).revision});
-  // Nothing is placed on a decision that has changed since.
+  // The placement fails if a decision that limits it has changed since.
   for (Guard& guard : state_.placement_limits(job_index_).guards)
     result_.txn.guards.push_back(std::move(guard));
 }
@@ -166,7 +166,7 @@
 }
 
 Urgency JobTransactionBuilder::urgency() const {
-  // What was terminated waits to be placed again, which it cannot be until its removal is durable.
+  // A terminated task of an open job cannot be placed again until its removal is durable.
   bool replaces = !result_.placed_tasks.empty() || (has_terminated_ && is_open());
   if (replaces) return Urgency::placement;
   return has_finished_ ? Urgency::done_mark : Urgency::other;
--- a/src/scheduling/job_writer.cpp
+++ b/src/scheduling/job_writer.cpp
@@ -25,7 +25,7 @@
 
 void JobWriter::stop_restarting(Job& job, Seconds now) {
   for (auto& [task, placement] : job.placements) {
-    // The mark is durable: the slow task may be stopped now.
+    // The restart mark is durable, so the slow task may be stopped now.
     if (placement.restarting && placement.state == PlacementState::reported)
       stop_task(state_, placement, job.spec.flush_s, now);
   }
--- a/src/scheduling/machine_monitor.cpp
+++ b/src/scheduling/machine_monitor.cpp
@@ -5,9 +5,9 @@
 namespace oxbowmill {
 
 namespace {
-constexpr double idle_retention_factor = 3;  // an empty machine is kept so much longer while something waits
-constexpr double recent_report_intervals = 1.6;  // a report this many intervals old still counts as recent,
-constexpr double recent_report_slack_s = 0.5;    // with this much on top
+constexpr double idle_retention_factor = 3;      // for an empty machine while jobs wait for its kind
+constexpr double recent_report_intervals = 1.6;  // a report counts as recent up to this many intervals
+constexpr double recent_report_slack_s = 0.5;    // plus this much
 }  // namespace
 
 void MachineMonitor::check_partition(PartitionIndex partition, Clock clock, Effects& out) {
@@ -26,7 +26,7 @@
 }
 
 MachineMonitor::WaitingWork MachineMonitor::waiting_work(PartitionIndex partition) const {
-  // Jobs that wait for spot machines are no reason to keep on-demand machines.
+  // Array jobs that accept spot machines are no reason to keep on-demand machines.
   WaitingWork waiting;
   for (JobIndex job_index : state_.live_jobs(partition)) {
     const JobSpec& spec = state_.job(job_index).spec;
@@ -45,8 +45,8 @@
 
 void MachineMonitor::check_lease(MachineIndex machine_index, Seconds now) {
   const Machine& machine = state_.machine(machine_index);
-  // While a machine has not shown our token, the earlier owner may have kept it alive in its read-only
-  // period.
+  // Until an inherited machine shows this owner's token, an earlier owner in its read-only period may have
+  // kept its tasks alive; `proven_empty_at` allows for that.
   bool counted = machine.last_answered_report_at >= 0 || machine.state == MachineState::unreconciled ||
                  (machine.state == MachineState::deleting && machine.inherited);
   if (!counted || now <= ownership_.proven_empty_at(machine)) return;
@@ -63,7 +63,7 @@
   if (recovery_admission_ == nullptr || machine.writing ||
       !recovery_admission_->marked_for_deletion(machine_index))
     return false;
-  // Its tasks stay on it in the cluster state until the deletion is confirmed and the record goes.
+  // In the cluster state its tasks stay on it until the deletion is confirmed and its record is removed.
   SPDLOG_INFO("suspected machine deleted machine={}", state_.names.machines.name(machine_index));
   MachineRecord record = machine.record;
   record.mark = MachineMark::deleting;
@@ -81,7 +81,7 @@
   const Machine& machine = state_.machine(machine_index);
   if (machine.preemption_notice || machine.faulty_until > now || machine.record.requested_by.valid())
     evictor_.stop_all(machine_index, now);
-  // The starts of tasks placed in advance on a machine that does not arrive were never sent.
+  // Tasks placed in advance on a machine that does not report can be stopped: their starts were never sent.
   if (is_overdue(machine, now)) evictor_.stop_unsent(machine_index, now);
 }
 
@@ -108,8 +108,8 @@
 void MachineMonitor::return_if_unneeded(MachineIndex machine_index, const WaitingWork& waiting, Seconds now,
                                         Effects& out) {
   const Machine& machine = state_.machine(machine_index);
-  // A placement that is being written may become durable before the move: its task would be on a machine of a
-  // partition whose owner does not know the job.
+  // A placement that is being written may become durable before the move. Its task would then be on a machine
+  // of a partition whose owner does not know the job.
   if (machine.record.partition == idle_pool || !machine.placed_tasks.empty() || machine.writing ||
       machine.reservations != 0)
     return;
@@ -118,7 +118,7 @@
   MachineRecord record = machine.record;
   record.partition = use.requested && !use.useless ? machine.record.requested_by : idle_pool;
   record.requested_by = PartitionIndex{};
-  // The next owner cannot know what made this machine useless, so the record says that it is to be deleted.
+  // The next owner cannot know why this machine cannot be used, so its record says that it is to be deleted.
   if (use.useless) record.mark = MachineMark::deleting;
   write_record(machine_index, use.requested ? Urgency::placement : Urgency::other, record, out);
 }
--- a/src/scheduling/machine_selection.cpp
+++ b/src/scheduling/machine_selection.cpp
@@ -21,8 +21,8 @@
         zones.insert(zone);
     }
   }
-  // Half of two or more tasks has to run in another zone: a job that must not or cannot do so would wait for
-  // ever.
+  // At most half of the tasks, rounded up, may run in one zone. With two or more tasks, a job that is limited
+  // to a single zone or fits in one zone only would wait for ever.
   bool needs_two_zones = spec.spread_zones && spec.tasks > 1;
   return needs_two_zones ? !spec.single_zone && zones.size() > 1 : !zones.empty();
 }
@@ -50,9 +50,9 @@
 
 namespace {
 
-// Machines shared by short and long-running work never become empty for a gang or to be deleted, and whole
-// on-demand machines are what gangs wait for. Less than the fetch of a medium-sized image, so that a task is
-// still placed where its image is.
+// Opportunity costs. A machine shared by short and long-running tasks never becomes empty, so that no gang
+// can use it and it cannot be deleted; and gangs wait for whole on-demand machines. Each cost is less than
+// the fetch time of a medium-sized image, so that a task is still placed where its image is cached.
 constexpr Seconds long_running_on_whole_s = 6, long_running_on_mixed_s = 3;
 constexpr Seconds short_on_whole_s = 8, short_on_long_running_s = 4, short_on_mixed_s = 2,
                   short_on_cheap_whole_s = 1;
@@ -88,8 +88,8 @@
 
 namespace {
 
-/// Candidates on which a task fits, best first: soonest start, with its opportunity cost, then spot, then
-/// least free capacity.
+/// Indices of the candidates on which a task fits, best first: earliest start including the opportunity cost,
+/// lowest acquisition cost, spot machines, least free capacity.
 std::vector<std::size_t> ranked_candidates(const JobSpec& spec,
                                            const std::vector<CandidateMachine>& candidates, ZoneIndex only) {
   std::vector<std::size_t> ranked;
--- a/src/scheduling/partition_ownership.cpp
+++ b/src/scheduling/partition_ownership.cpp
@@ -42,11 +42,11 @@
 Seconds PartitionOwnership::exclusively_owned_since(const Machine& machine) const {
   Seconds after_read_only_period =
       machine.in_partition_since + state_.settings.read_only_period_s() * (1 + 2 * Settings::clock_drift);
-  // A machine that was moved may still be answered by its previous owner, whose lease continues.
+  // A machine that was moved here may still be answered by its previous owner, whose lease continues.
   if (!machine.inherited) return after_read_only_period;
-  // The earlier owner's read-only period need not be waited for once every controller has reacquired a lease:
-  // what was answered to this agent on behalf of the partition was answered under a lease that has ended
-  // since, and its holder answers nothing under it any more (docs/reconciliation.md, "Safety").
+  // After a failover, the earlier owner's read-only period can be cut short once every controller has
+  // reacquired a lease: every earlier answer to this agent on behalf of the partition was given under a lease
+  // that has ended since, and under which its holder answers nothing more (docs/reconciliation.md, "Safety").
   Seconds reacquired_since = state_.all_reacquired_since();
   return reacquired_since < 0
              ? after_read_only_period
--- a/src/scheduling/pending_reason.cpp
+++ b/src/scheduling/pending_reason.cpp
@@ -26,8 +26,8 @@
 
 namespace {
 
-constexpr double wait_log_delay_s = 60;     // a job has waited for long from then on
-constexpr double wait_log_interval_s = 30;  // between two lines about the same job
+constexpr double wait_log_delay_s = 60;     // jobs that have waited less are not logged
+constexpr double wait_log_interval_s = 30;  // between two log lines about the same job
 
 PendingReason pending_reason_of(const Placement& placement) {
   switch (placement.state) {
@@ -57,7 +57,7 @@
     if (placement.state == PlacementState::finished || job.has_started(task) || placement.has_started(now))
       continue;
     PendingReason reason = pending_reason_of(placement);
-    if (reason == PendingReason::none) continue;  // it runs, though not for long
+    if (reason == PendingReason::none) continue;  // it runs, but not long enough to count as started
     ++status.tasks;
     if (status.reason == PendingReason::none) status.reason = reason;
   }
--- a/src/scheduling/placement_cycle.cpp
+++ b/src/scheduling/placement_cycle.cpp
@@ -10,13 +10,15 @@
 
 namespace {
 
-constexpr double reselection_threshold_s = 5;  // a gang that would start later is worth a second look
+/// The machines of a gang that would start later than this are selected again with the forecast.
+constexpr double reselection_threshold_s = 5;
 constexpr double leader_response_s = 0.7;
-/// Between two transactions that each place some tasks of a job, while writes are scarce.
+/// Least time between two transactions that each place some of a job's tasks, while writes are scarce.
 constexpr double partial_placement_interval_s = 1.5;
-/// Of the state service's writes, by this controller alone: from then on writes are scarce.
+/// Writes are scarce while this controller alone uses more than this fraction of the state service's write
+/// limit.
 constexpr double partial_placement_write_fraction = 0.35;
-constexpr unsigned attempt_count_bits = 24;  // below the revision of the ownership
+constexpr unsigned attempt_count_bits = 24;  // low bits of an attempt; the ownership revision is above them
 constexpr double no_quota = 1e12;
 
 }  // namespace
@@ -42,7 +44,7 @@
 }
 
 void PlacementCycle::reset_pending_reasons(PartitionIndex partition, const std::vector<WaitingJob>& order) {
-  // A gang that is not in the order has an earlier attempt that has yet to end.
+  // A gang that is not in the queue order has an earlier attempt that has not ended yet.
   for (JobIndex job_index : state_.live_jobs(partition))
     state_.job(job_index).pending_reason = PendingReason::previous_attempt;
   for (const WaitingJob& waiting : order) state_.job(waiting.job).pending_reason = PendingReason::queue_order;
@@ -60,7 +62,7 @@
 Resources PlacementCycle::quota_left(PartitionIndex partition) const {
   const Team& team = state_.settings.teams[partition.value];
   auto left = [](double limit, double used) { return limit > 0 ? limit - used : no_quota; };
-  // Every task that may be on a machine counts as used, including those being written.
+  // Every task that may be on a machine uses quota, including tasks whose placement is being written.
   Resources used = state_.team_usage(partition);
   return {left(team.limit.cpus, used.cpus), left(team.limit.gpus, used.gpus), no_quota};
 }
@@ -132,9 +134,9 @@
 
 void PlacementCycle::improve_gang_selection(const Cycle& cycle, const SelectionRequest& request,
                                             Selection& selection) const {
-  // A gang is not only whole or nothing: while the rest of its machines are sure to come, its members fetch
-  // and wait on those that are there. Otherwise smaller jobs would take these one by one. And a machine that
-  // has the image may start it sooner than one that is free.
+  // Members are placed on the free machines while the machines of the others are expected, and fetch and wait
+  // there. Otherwise smaller jobs would take the free machines one by one. Besides, a machine that has the
+  // image but is not free yet may start a member sooner than a free machine without it.
   for (Preemption preemption : {Preemption::none, Preemption::lower_priority}) {
     if (preemption == Preemption::lower_priority && !request.preempting) continue;
     Selection better = select_with_forecast(cycle, request, preemption);
@@ -145,7 +147,8 @@
   }
 }
 
-/// True: tasks without a machine will get one before long.
+/// Preempts tasks of lower priority for tasks of the job that found no machine. Returns whether some of them
+/// will get a machine soon.
 bool PlacementCycle::preempt_for_rest(const Cycle& cycle, const SelectionRequest& request) {
   std::size_t without = select_with_forecast(cycle, request, Preemption::none).assignments.size();
   Selection with = select_with_forecast(cycle, request, Preemption::lower_priority);
@@ -154,8 +157,8 @@
 }
 
 bool PlacementCycle::awaits_leader(const Job& job, const Selection& selection, Seconds now) const {
-  // The leader may know machines with the image on which work of lower priority runs: it gets a moment to
-  // request them before a long fetch begins.
+  // Machines of other partitions may have the image and run only work of lower priority. The leader gets
+  // `leader_response_s` to request them before a long fetch begins.
   return job.spec.shape == JobShape::gang && job.spec.priority >= Priority::high &&
          selection.last_start_s() > reselection_threshold_s && job.placements.empty() &&
          state_.settings.operator_settings.preempt && now - job.first_seen < leader_response_s;
@@ -163,7 +166,8 @@
 
 bool PlacementCycle::waits_for_more(const Job& job, std::size_t placeable, std::size_t wanted,
                                     Seconds now) const {
-  // Machines that arrive one by one would cost a write each: the capacity is reserved and written together.
+  // Placing tasks one by one as machines arrive would cost a write each, so their capacity is reserved and
+  // the placements are written together.
   return placeable < wanted && write_rate_.exceeds(partial_placement_write_fraction) &&
          now - job.last_placement_at < partial_placement_interval_s;
 }
@@ -195,7 +199,7 @@
   return placeable.size() < wanted ? PendingReason::no_capacity : PendingReason::transaction_pending;
 }
 
-/// Takes the candidate's capacity for the rest of the cycle. True: it is free, and the task may be placed.
+/// Takes the candidate's capacity for the rest of the cycle. Returns whether the task may be placed now.
 bool PlacementCycle::reserve(Cycle& cycle, const Job& job, const CandidateMachine& candidate,
                              bool awaits_leader) {
   FreeCapacity& capacity = *cycle.capacity.free;
@@ -230,7 +234,8 @@
   Attempt shared = 0;
   if (gang)
     shared = job.placements.empty() ? next_attempt(partition) : job.placements.begin()->second.attempt;
-  // What exceeds one transaction follows in the next; the rest of a large gang as missing members.
+  // Tasks that exceed one transaction are placed by later cycles; for a large gang they count as missing
+  // members of the same attempt.
   std::set<MachineIndex> machines;
   std::set<std::uint32_t> chunks;
   for (PlacedTask task : tasks) {
--- a/src/scheduling/preemptor.cpp
+++ b/src/scheduling/preemptor.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr int preemption_cost = 2;  // `CandidateMachine::acquisition_cost` where others' work stops
+constexpr int preemption_cost = 2;  // `CandidateMachine::acquisition_cost` where tasks are preempted
 
-/// The task still uses capacity, but not for long.
+/// Whether the task is being stopped, so that its capacity becomes free soon.
 bool is_stopping(const Placement& placement) {
   return placement.state == PlacementState::stopping;
 }
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-constexpr double start_margin_s =
-    5;  // from the start command to the first second of work, including the fetch
+constexpr double start_margin_s = 5;  // from the start command until the task works, including the fetch
 
 struct QueueEntry {
   int priority = 0;
-  int tier = 0;  // -1: has to start now, 0: can meet its deadline, 1: no deadline, 2: late in any case
+  /// -1: its start deadline is near, 0: it can meet its deadline, 1: it has no deadline, 2: it misses its
+  /// deadline.
+  int tier = 0;
   double sort_key = 0, waiting_since = 0;
   JobIndex job;
   StartDeadline start_deadline = StartDeadline::relaxed;
 };
 
-/// The gang can be placed as a whole, or it lacks members in an attempt that has not run yet.
+/// Whether the gang can be placed as a whole, or lacks members in an attempt that has not run yet.
 bool gang_may_be_placed(const Job& job) {
   GangState state = gang_state(job);
   if (state == GangState::idle) return true;
@@ -33,14 +34,14 @@
   });
 }
 
-/// Capacity, in machines per second, that the partition's running tasks release by the estimates of their
-/// users.
+/// Capacity, in machines per second, that the partition's placed tasks release according to their users'
+/// estimates.
 double capacity_release_rate(const ClusterState& model, PartitionIndex partition) {
   double rate = 0;
   for (JobIndex job_index : model.live_jobs(partition)) {
     const Job& job = model.job(job_index);
     if (job.placements.empty() || job.spec.estimate_s <= 0) continue;
-    if (job.checkpoints.empty()) {  // all its tasks alike
+    if (job.checkpoints.empty()) {  // all tasks have the same remaining run time
       rate += static_cast<double>(job.placements.size()) * job.machine_fraction /
               (job.spec.estimate_s + start_margin_s);
       continue;
@@ -81,9 +82,10 @@
 
 namespace {
 
-/// A job that is given up for its deadline, or has a lower priority, would otherwise wait for as long as
-/// other jobs arrive, so its start deadline decides its position. The capacity that may be placed ahead of
-/// higher priorities at a time is bounded, so that priorities still count where capacity is always short.
+/// Moves jobs ahead whose start deadline is near. A job that is given up because it misses its deadline, or
+/// that has a lower priority, would otherwise wait for as long as other jobs arrive. The capacity that
+/// critical jobs may take ahead of higher priorities at a time is limited, so that priorities still count
+/// while capacity is always short.
 void apply_start_deadlines(const ClusterState& model, PartitionIndex partition, Clock clock,
                            std::vector<QueueEntry>& entries) {
   constexpr int before_all_ranks = -100;
@@ -128,7 +130,8 @@
     const Job& job = model.job(job_index);
     if (model.placeable_tasks(job_index) == 0) continue;
     if (job.spec.shape == JobShape::gang && !gang_may_be_placed(job)) continue;
-    // Progress that was saved before its machines were lost counts: those nearest their end continue first.
+    // Saved progress counts as waiting time, so that of jobs that lost their machines those nearest their end
+    // continue first.
     double since = job.spec.submitted_at - model.placement_limits(job_index).priority_boost_s -
                    (job.spec.estimate_s - job.remaining_s());
     QueueEntry entry{-static_cast<int>(job.spec.priority), 1, since, since, job_index};
@@ -137,8 +140,8 @@
   return entries;
 }
 
-/// Marks the entries that can still meet `multiple` times their deadline. An entry that meets a smaller
-/// multiple keeps the sort key of that one.
+/// Marks the entries that can still meet `multiple` times their deadline. Entries that meet a smaller
+/// multiple keep its sort key.
 void mark_in_time(const ClusterState& model, double now, double multiple, double rate,
                   std::vector<QueueEntry>& entries) {
   std::vector<DueJob> due_jobs;
@@ -159,8 +162,8 @@
                       std::vector<QueueEntry>& entries) {
   if (entries.empty()) return;
   double rate = capacity_release_rate(model, partition);
-  // First the deadline itself, then the multiples of it that the service levels name: a job that misses one
-  // can still meet the next.
+  // The configured multiples of the deadline, or the deadline itself if there are none: a job that misses one
+  // multiple can still meet the next.
   std::vector<double> multiples = model.settings.deadline_multiples;
   if (multiples.empty()) multiples.push_back(1);
   for (QueueEntry& entry : entries) entry.tier = -1;
--- a/src/scheduling/response_builder.cpp
+++ b/src/scheduling/response_builder.cpp
@@ -32,8 +32,8 @@
 void ResponseBuilder::add_kills(MachineIndex machine_index, const WorkerReport& report, Scope scope,
                                 Seconds now, std::vector<AgentCommand>& commands) const {
   for (const TaskReport& task_report : report.tasks) {
-    // Without a placement it must not run here: its record went when it was proved to have ended, or was
-    // never made.
+    // A task without a placement must not run here: its placement was removed when it was proved to have
+    // ended, or never became durable.
     if (has_placement(machine_index, task_report)) continue;
     if (task_report.phase == TaskPhase::ended) {
       if (scope == Scope::all)
--- a/src/scheduling/slow_task_detector.cpp
+++ b/src/scheduling/slow_task_detector.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t min_jobs_to_block = 2;  // slow tasks of one job alone may be the job's own fault
+constexpr std::size_t min_jobs_to_block = 2;  // slow tasks of a single job may be caused by the job itself
 
 bool had_restart(const Job& job, TaskNumber task) {
   auto chunk = job.chunks.find(task / tasks_per_chunk);
@@ -22,7 +22,7 @@
 }  // namespace
 
 std::size_t finishes_needed(std::uint32_t tasks, double ratio) {
-  // The small subtrahend keeps 100 x 0.75 from becoming 76 through rounding.
+  // The subtrahend absorbs rounding errors, which could make 100 x 0.75 need 76 finishes.
   return std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(tasks * ratio - 1e-9)));
 }
 
@@ -81,12 +81,13 @@
   FreeCapacity& free_capacity = capacity_.free_capacity(partition);
   for (TaskId id : tasks) {
     Job& job = state_.job(id.job);
-    // Without free capacity elsewhere the task is left running.
+    // Without free capacity elsewhere the task continues.
     Selection elsewhere = free_capacity.select(selection_query_for(state_, capacity_, zones_, job, now),
                                                {id.task}, tasks_by_zone(state_, job));
     if (elsewhere.assignments.empty()) continue;
     free_capacity.take(elsewhere.machines.front().machine, job.spec.task_resources);
-    state_.edit_placement(id)->restart_requested = true;  // made durable first, then stopped
+    // The task is stopped once its restart mark is durable.
+    state_.edit_placement(id)->restart_requested = true;
     state_.dirty_jobs.insert(id.job);
   }
 }
--- a/src/scheduling/task_report_reader.cpp
+++ b/src/scheduling/task_report_reader.cpp
@@ -14,11 +14,13 @@
 constexpr double max_error_backoff_s = 30, first_error_backoff_s = 0.5;
 constexpr std::uint32_t max_backoff_doublings = 6;
 constexpr double faulty_duration_s = 600;
-constexpr std::uint32_t min_errors_of_faulty_machine = 3;  // of any jobs
-constexpr std::uint32_t max_errors_of_sound_job = 3;       // in a row; more and the job itself is at fault
-constexpr double blocked_report_intervals = 2;  // after a start for which a machine had no capacity
-constexpr double hung_report_intervals = 2;  // a task ran between two reports that are so far apart at most,
-constexpr double hung_slack_s = 1;           // with this much on top
+constexpr std::uint32_t min_errors_of_faulty_machine = 3;  // of tasks of any job
+constexpr std::uint32_t max_errors_of_sound_job = 3;  // consecutive errors; with more the job is at fault
+constexpr double blocked_report_intervals = 2;        // how long a machine that lacked capacity is blocked
+// A task counts as running between two reports that are at most so many intervals plus this slack apart; in a
+// longer gap the machine may have hung.
+constexpr double hung_report_intervals = 2;
+constexpr double hung_slack_s = 1;
 
 const TaskReport* find_task_report(const WorkerReport& report, const std::string& job_ref,
                                    const Placement& placement) {
@@ -56,7 +58,8 @@
     Job& job = state_.job(id.job);
     if (job.spec.shape == JobShape::gang) gangs_.check(job, now);
   }
-  // Only an empty machine can be handed over or returned, so that the marks of its last tasks are needed.
+  // A machine can be handed over or returned only when it is empty, so the ends of its last tasks are written
+  // at once.
   const std::vector<TaskId>& placed = state_.machine(machine_index).placed_tasks;
   bool all_off = !placed.empty() && std::all_of(placed.begin(), placed.end(), [this](TaskId id) {
     return is_off_machine(state_.find_placement(id)->state);
@@ -68,14 +71,16 @@
   bool ended = task_report.phase == TaskPhase::ended;
   if (ended && placement.state == PlacementState::placed && !placement.inherited &&
       placement.sent_report_sequence == 0) {
-    // Of a gang member that gave up waiting and is started again here.
+    // The listed end belongs to an earlier start of the same attempt: a gang member that gave up waiting is
+    // started here again.
     placement.earlier_start_listed = true;
     return;
   }
-  // Of an earlier owner's task only a report under our token shows its present state: a copy of an older one,
-  // come late, may show an end after which the same attempt was started again, or an agent epoch before the
-  // one in which it runs. (A gang's member, started again where it had ended `incomplete`, ran there and
-  // elsewhere.) What is done stays done.
+  // After a failover, only a report with this owner's fencing token shows the current state of an inherited
+  // task. A delayed copy of an older report may show an end after which the same attempt was started again,
+  // or an agent epoch before the one in which the task runs. When such ends were accepted, a gang member that
+  // had ended `incomplete` and been started again on the same machine ran there and elsewhere at once. An end
+  // with cause `done` is always accepted, because a task that is done stays done.
   bool unconfirmed_failover = placement.inherited && !reading.proof.fencing_token_shown;
   if (ended && unconfirmed_failover && task_report.cause != EndCause::done) return;
   reading.starts.arrived = reading.starts.arrived || placement.state == PlacementState::sent;
@@ -98,7 +103,8 @@
 void TaskReportReader::on_alive(Reading& reading, Placement& placement, const TaskReport& task_report) {
   Seconds now = reading.now;
   if (task_report.phase == TaskPhase::running) {
-    // What is being stopped makes no more progress, and a machine that hung made none.
+    // Counts run time only between reports close enough together to exclude that the machine hung in between,
+    // and not for a task that is being stopped, which makes no more progress.
     double max_gap_s = hung_report_intervals * state_.settings.report_interval_s + hung_slack_s;
     bool ran_since = placement.last_running_at >= 0 && now - placement.last_running_at < max_gap_s;
     if (ran_since && placement.state != PlacementState::stopping)
@@ -115,25 +121,26 @@
 
 void TaskReportReader::read_absent(Reading& reading, Placement& placement) {
   const WorkerReport& report = reading.report;
-  // Absence counts with our token, in a later agent epoch, or where the agent has taken none of our
-  // responses, so not the one that carried the start.
+  // A task's absence proves something only if the report shows this owner's fencing token or a later agent
+  // epoch, or if the agent has received none of this owner's responses, and so not the one that carried the
+  // start.
   bool start_not_taken = reading.proof.none_taken && placement.state == PlacementState::sent;
   if (!reading.proof.fencing_token_shown && !start_not_taken &&
       (placement.sent_agent_epoch == 0 || report.agent_epoch <= placement.sent_agent_epoch))
     return;
-  // And only in a report newer than the one whose response carried the start: then that response was dropped
-  // or its effect is over.
+  // The report also has to be newer than the one whose response carried the start: only then was that
+  // response lost, or has the task ended.
   bool newer = std::tie(report.agent_epoch, report.report_sequence) >
                std::tie(placement.sent_agent_epoch, placement.sent_report_sequence);
   if (!newer) return;
   if (placement.state == PlacementState::sent) {
-    state_.set_state(placement, PlacementState::placed, reading.now);  // the start was lost: it is sent again
+    state_.set_state(placement, PlacementState::placed, reading.now);  // the start was lost and is sent again
     reading.starts.lost = true;
   } else if (placement.state == PlacementState::reported || placement.state == PlacementState::stopping) {
     placement.cause = EndCause::none;
     state_.set_state(placement, PlacementState::terminated, reading.now);
   } else {
-    placement.inherited = false;  // placed by an earlier owner, never started: it may be started now
+    placement.inherited = false;  // placed by an earlier owner and not running: it may be started now
     placement.started_at = 0;
   }
 }
@@ -185,7 +192,8 @@
   job.placement_backoff_until = reading.now + backoff_s;
   SPDLOG_INFO("task failed task={}/{} machine={} cause={}", job.spec.ref, placement.task,
               state_.names.machines.name(placement.machine), name_of(task_report.cause));
-  // A mistake in one job must not cost machines: only errors on several occasions make a machine suspected.
+  // A faulty job must not take machines out of use: a machine counts as faulty only after several errors, and
+  // not because of a job that keeps failing.
   if (machine.error_count >= min_errors_of_faulty_machine && job.error_count <= max_errors_of_sound_job)
     machine.faulty_until = reading.now + faulty_duration_s;
 }
--- a/src/scheduling/transaction_queue.cpp
+++ b/src/scheduling/transaction_queue.cpp
@@ -9,7 +9,7 @@
 namespace oxbowmill {
 
 namespace {
-constexpr double min_wake_up_saving_s = 1;    // an agent is woken if its report comes earlier by that much
+constexpr double min_wake_up_saving_s = 1;  // an agent is woken only if its report comes earlier by this much
 constexpr double unanswered_backoff_s = 0.3;  // after an outcome that is unknown or "not executed"
 constexpr double refused_backoff_s = 0.1;
 }  // namespace
@@ -60,7 +60,8 @@
       settle(position, now, 0);
       break;
     case TransactionOutcome::not_executed:
-      // Of this copy only: one that got no answer may still be applied, and with it what it reserves or pays.
+      // This holds for this copy only: an earlier one that got no answer may still be applied, with its
+      // reservations and payments.
       if (pending.unconfirmed) {
         pending.resend_at = now + unanswered_backoff_s;
         return true;
@@ -68,14 +69,14 @@
       settle(position, now, unanswered_backoff_s);
       break;
     case TransactionOutcome::refused:
-      // One of the keys has changed, maybe by this very transaction sent earlier. Capacity and job stay
-      // reserved until the watch has shown what happened.
+      // A guarded key has changed, possibly through an earlier copy of this transaction. Capacity and job
+      // stay reserved until the watch has shown what happened.
       pending.refused_at_revision = revision;
       if (ownership_.applied_revision() >= revision) settle(position, now, refused_backoff_s);
       break;
     case TransactionOutcome::unknown:
-      // It may still be applied. The same transaction is sent again until the answer is definite: once one of
-      // the two is applied, the other's guards fail.
+      // The transaction may still be applied. It is resent until the answer is definite; once one copy is
+      // applied, the guards of the others fail.
       pending.unconfirmed = true;
       pending.resend_at = now + unanswered_backoff_s;
       return true;
@@ -117,7 +118,8 @@
 }
 
 void TransactionQueue::send_clears(const PendingTransaction& transaction) {
-  // A cleared task changes the agent's list, so that it reports at once and fetches its next commands.
+  // Clearing a task changes the agent's task list, so that the agent reports at once and gets its next
+  // commands.
   std::map<MachineIndex, std::vector<AgentCommand>> by_machine;
   for (const ReleasedTask& released : transaction.released_tasks) {
     by_machine[released.machine].push_back(
@@ -149,17 +151,17 @@
   if (machine.state != MachineState::ready || !ownership_.owns(machine.record.partition) ||
       machine.address.empty())
     return;
-  // An agent reports at once for a higher token only once in half a lease; it is not needed where the next
-  // report is due soon anyway.
+  // An agent reports at once for a higher token at most once per half lease, and waking it is useless if its
+  // next report is due soon.
   Seconds next_report_in = machine.last_answered_report_at + settings.report_interval_s - now;
   if (next_report_in < min_wake_up_saving_s) return;
   if (now - machine.woken_at < settings.lease_s / 2) {
-    // The clearing of an ended task makes it report as well.
+    // Clearing an ended task makes the agent report as well.
     request_done_marks(state_, machine_index);
     return;
   }
-  // The transaction was guarded by the ownership and the machine's record, so every later authority over the
-  // machine has a higher token than this revision.
+  // The transaction was guarded by the ownership and the machine's record, so every later owner of the
+  // machine has a higher fencing token than this revision.
   machine.last_placement_revision = std::max(machine.last_placement_revision, revision);
   machine.woken_at = now;
   direct_commands_.push_back({machine_index, machine.agent_epoch, state_.fencing_token(machine), {}});
--- a/src/scheduling/whole_machines.cpp
+++ b/src/scheduling/whole_machines.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr double whole_machine_fraction = 0.5;  // no second task fits next to one that takes more
+constexpr double whole_machine_fraction = 0.5;  // a task that takes more leaves no room for a second one
 
 bool accepts_spot(const Job& job, const CandidateMachine& candidate) {
   return candidate.spot && is_allowed_on(job.spec, candidate.type, candidate.zone, true);
 }
 
-/// Tasks of the job that fit on coming spot machines next to others.
+/// Number of the job's tasks that fit on expected spot machines shared with other tasks.
 std::size_t count_coming_places(const ClusterState& state, const Job& job, const CycleCapacity& capacity) {
   std::size_t places = 0;
   for (const ForecastMachine& machine : capacity.coming) {
@@ -23,7 +23,7 @@
   return places;
 }
 
-/// Takes coming capacity for that many tasks, so that jobs behind this one do not count on it.
+/// Takes expected capacity for that many tasks, so that later jobs in the queue do not count on it.
 void reserve_coming(const Job& job, std::size_t tasks, CycleCapacity& capacity) {
   for (ForecastMachine& machine : capacity.coming) {
     if (!accepts_spot(job, machine.candidate)) continue;
@@ -54,7 +54,7 @@
   std::size_t coming = count_coming_places(state, job, capacity);
   bool patient = now - job.first_seen < state.settings.operator_settings.scale_out_delay_s;
   if (!patient && tasks.size() > elsewhere + coming) {
-    query.avoid_whole_machines = false;  // more tasks than coming capacity: the rest may use whole machines
+    query.avoid_whole_machines = false;  // more tasks than expected capacity: they may use whole machines
     return tasks;
   }
   reserve_coming(job, tasks.size() - elsewhere, capacity);
--- a/src/scheduling/zone_reachability.cpp
+++ b/src/scheduling/zone_reachability.cpp
@@ -7,9 +7,9 @@
 namespace oxbowmill {
 
 namespace {
-constexpr std::uint32_t min_machines_for_unreachable = 4;  // fewer prove nothing about their zone
+constexpr std::uint32_t min_machines_for_unreachable = 4;  // fewer machines prove nothing about their zone
 constexpr double unreachable_duration_s = 20;              // after the last check that found the zone silent
-constexpr double peer_report_duration_s = 3;               // how long another controller's report counts
+constexpr double peer_report_duration_s = 3;               // how long another controller's report is valid
 }  // namespace
 
 bool ZoneReachability::is_unreachable(ZoneIndex zone, Seconds now) const {
@@ -42,7 +42,7 @@
 }
 
 void ZoneReachability::end_check(Seconds now) {
-  // A controller that hears no zone at all has lost the network itself.
+  // A controller that gets reports from no zone is disconnected itself, so no zone counts as silent then.
   bool any = std::any_of(zones_.begin(), zones_.end(), [](const Zone& zone) { return zone.reported > 0; });
   for (std::uint32_t z = 0; z < zones_.size(); ++z) {
     Zone& zone = zones_[z];
--- a/tests/bench/placement_bench.cpp
+++ b/tests/bench/placement_bench.cpp
@@ -1,5 +1,5 @@
-// Cost of a scheduling cycle as the fleet grows: machines visited per placed task, and time compared with a
-// full scan.
+// Cost of placement as the cluster grows: machines visited per placed task, and time compared with a full
+// scan.
 #include <benchmark/benchmark.h>
 
 #include "../full_scan_placement.h"
@@ -9,7 +9,7 @@
 
 using namespace oxbowmill;
 
-/// A fleet in which one machine in twenty has free capacity, and jobs of 18 tasks that need it.
+/// A cluster in which one machine in twenty has enough free capacity for a job of 18 tasks.
 class PartlyFreeCluster {
  public:
   explicit PartlyFreeCluster(std::uint32_t machines)
--- a/tests/free_capacity_test.cpp
+++ b/tests/free_capacity_test.cpp
@@ -1,4 +1,5 @@
-// The index of free capacity: the same choices as a full scan makes, and its cost.
+// Tests of the index of free capacity: it makes the same choices as a full scan, at a cost that does not grow
+// with the cluster.
 #include "oxbowmill/scheduling/free_capacity.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 using simulation::SimulatedCluster;
 using simulation::test_job;
 
-/// Random machines of a partition, as the index and as a full scan see them.
+/// Random machines of a partition, held both by the index and by a list for the full scan.
 class RandomCluster {
  public:
   explicit RandomCluster(std::uint32_t seed)
@@ -57,7 +58,7 @@
     };
     return query;
   }
-  /// Both place the job, and the capacity that it uses is gone for the next one.
+  /// Places the job with both and expects the same choice; the capacity that the job uses is taken in both.
   void place_and_compare(const JobSpec& spec) {
     SelectionQuery query = this->random_query(spec);
     std::vector<TaskNumber> tasks(spec.tasks);
@@ -117,7 +118,8 @@
   }
 }
 
-/// Machines of 4 GPUs in two zones, all in use but for `free` of them; returns how many a selection visits.
+/// Returns how many machines a selection visits in a cluster of machines with 4 GPUs in two zones, of which
+/// `free` are free and the others are full.
 std::uint64_t count_visits(std::uint32_t machines, std::uint32_t free, std::uint32_t tasks, double gpus) {
   ClusterState model(simulation::test_settings("n"), simulation::test_names());
   model.catalog = simulation::test_catalog();
@@ -172,7 +174,7 @@
   SimulatedCluster cluster;
   for (int i = 0; i < 6; ++i) cluster.add_machine("m" + std::to_string(i));
   cluster.run(3);
-  cluster.submit(test_job("run-1", 8));  // as many as the team's quota allows, which leaves free capacity
+  cluster.submit(test_job("run-1", 8));  // uses up the team's quota and leaves free capacity
   cluster.submit(test_job("run-2", 30, 4));
   cluster.run(5);
   std::uint64_t before = cluster.controller(0).scheduler.visits();
@@ -180,7 +182,7 @@
   EXPECT_EQ(cluster.controller(0).scheduler.visits(), before);
 }
 
-/// Machines that enter the index again, or leave it, without any report.
+/// A machine enters the index again, or leaves it, without any report.
 TEST(FreeCapacity, MachinesBecomeAvailableByTimeAlone) {
   SimulatedCluster cluster;
   cluster.add_machine("m1");
@@ -193,7 +195,7 @@
   EXPECT_TRUE(cluster.machines_of_task("run-1", 0).empty());
   cluster.run(4);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
-  // One that no longer reports gets nothing new, even before it counts as silent.
+  // A machine that no longer reports gets no new tasks, even before it counts as silent.
   cluster.silenced_workers.insert("m1");
   cluster.run(model.settings.report_interval_s * 2.5 + 2);
   cluster.submit(test_job("run-2", 1));
--- a/tests/full_scan_placement.h
+++ b/tests/full_scan_placement.h
@@ -1,5 +1,4 @@
-// Placement by a full scan of all machines, as the program did it before the index of free capacity: the
-// reference that the index is compared with.
+// Placement by a full scan of all machines: the reference with which the index of free capacity is compared.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +7,8 @@
 
 namespace oxbowmill::full_scan {
 
-/// Machines as candidates for a job; whole ordinary ones are excluded where they are to be kept free.
+/// Evaluates the machines as candidates for a job. Machines in unreachable zones are excluded, and so are
+/// whole on-demand machines if they are reserved for gangs.
 inline std::vector<CandidateMachine> feasible_candidates(const SelectionQuery& query,
                                                          const ClusterState& model,
                                                          std::vector<CandidateMachine> nodes) {
@@ -23,7 +23,8 @@
   return nodes;
 }
 
-/// The tasks' machines in order; the free capacity of the chosen machines shrinks.
+/// Returns the tasks with their machines, in order of assignment; subtracts the tasks from the free capacity
+/// of the chosen machines.
 inline std::vector<std::pair<TaskNumber, MachineIndex>> select(const SelectionQuery& query,
                                                                const ClusterState& model,
                                                                const std::vector<TaskNumber>& tasks,
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks may be placed, and gangs: all members or none, and what their reports mean together.
+// Tests of machine selection, of gang scheduling, and of the autoscaler's moves and requests of machines.
 #include <gtest/gtest.h>
 
 #include "oxbowmill/cluster/token_bucket.h"
@@ -154,7 +154,7 @@
 
 TEST(Placement, CountsTasksThatFit) {
   EXPECT_EQ(how_many_fit({6, 1, 36}, {32, 4, 192}), 4);
-  EXPECT_EQ(how_many_fit({0.1, 0, 0}, {0.3, 0, 0}), 3);  // sums of decimal fractions are not exact
+  EXPECT_EQ(how_many_fit({0.1, 0, 0}, {0.3, 0, 0}), 3);  // sums of decimal fractions are not exact in binary
   EXPECT_EQ(how_many_fit({1, 0, 0}, {0, 4, 4}), 0);
 }
 
@@ -177,7 +177,7 @@
   ASSERT_TRUE(cluster.worker("m1").has(first));
   ASSERT_TRUE(cluster.worker("m2").has(second));
   EXPECT_EQ(cluster.worker("m1").attempt(first), cluster.worker("m2").attempt(second));
-  // One member reports done while the other's machine is silent: they complete together.
+  // The members complete together when one reports done, even while the other's machine is silent.
   cluster.silenced_workers.insert("m2");
   cluster.worker("m1").finish(first, EndCause::done);
   cluster.run(2);
@@ -185,8 +185,8 @@
 }
 
 TEST(GangScheduling, TimedOutMemberIsReplacedUnderTheSameAttempt) {
-  // One member has its image and waits, the other fetches for longer than the gang's wait timeout. Stopping
-  // both would abort the fetch, and the next attempt would end the same way.
+  // One member has its image and waits; the other fetches for longer than the gang's wait timeout. Stopping
+  // both when the first gives up would abort the fetch, in this attempt and in every later one.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -211,7 +211,8 @@
 }
 
 TEST(GangScheduling, MembersPrefetchImagesWhileRemainingMachinesArrive) {
-  // When gangs waited for all machines at once, each machine went to smaller jobs as it came up.
+  // Guards against gangs that wait for all machines at once: smaller jobs then take each machine as it comes
+  // up.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -250,7 +251,8 @@
 }
 
 TEST(GangScheduling, CapacityFreedForAGangIsNotTakenByLowerPriority) {
-  // Arrays once took each machine that had been emptied for a gang before the next was empty too.
+  // Guards against a fault in which arrays took each machine emptied for a gang before the next one was
+  // empty.
   SimulatedCluster cluster;
   for (const char* m : {"m1", "m2", "m3"}) cluster.add_machine(m, "a", "blue");
   JobSpec low = test_job("run-1", 40);
@@ -273,8 +275,8 @@
 }
 
 TEST(GangScheduling, PreemptsLowerPriorityOnCachedImageMachineWhenFetchIsLong) {
-  // The partition's owner once used its free machine at once and fetched for longer than the preempted work
-  // needs to save.
+  // Guards against a fault in which the partition's owner used its free machine at once, although the fetch
+  // there takes longer than the preempted tasks need to save on a machine that has the image.
   SimulatedCluster cluster;
   cluster.controller(0).cluster_state.catalog[0].fetch_gb_per_s = 0.5;
   cluster.controller(0).cluster_state.catalog[0].cache_gb = 100;
@@ -298,8 +300,8 @@
 }
 
 TEST(GangScheduling, MachineOfATimedOutMemberIsReservedForIt) {
-  // Its image is cached there. Between the member's end and the record of that end another gang once took the
-  // machine.
+  // The member's image is cached on that machine. Guards against a fault in which another gang took the
+  // machine after the member's end and before the record of that end.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
@@ -309,14 +311,14 @@
   std::string task = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
   ASSERT_TRUE(cluster.worker("m1").has(task));
   JobSpec other = gang_job("run-0", 1);
-  other.priority = Priority::high;  // it would go first
+  other.priority = Priority::high;  // it comes first in the queue
   cluster.submit(other);
   cluster.controller(0).sync(cluster.now);
   cluster.worker("m1").finish(task, EndCause::incomplete);
   cluster.now += 0.5;
   cluster.exchange_report("m1", 0);
-  cluster.controller(0).write_outcome =
-      simulation::WriteOutcome::answer_lost;  // the end is written, and its response is awaited
+  // The record of the end is written, but the controller does not get the answer.
+  cluster.controller(0).write_outcome = simulation::WriteOutcome::answer_lost;
   cluster.controller(0).run_cycle(cluster.now);
   EXPECT_TRUE(cluster.machines_of_task("run-0", 0).empty());
 }
@@ -334,7 +336,7 @@
   cluster.worker("m1").finish(task_on_m1, EndCause::peers_lost);
   cluster.add_machine("m3");
   cluster.run(6);
-  // The member on m2 may still be running: nothing is started until its agent's lease is over.
+  // The member on m2 may still be running, so nothing is started until its agent's lease has expired.
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
   EXPECT_EQ(cluster.run_log.starts["run-1/1"], 1);
   cluster.run(12);
@@ -352,7 +354,7 @@
 TEST(GangScheduling, GangLargerThanATransactionIsPlacedInBatches) {
   SimulatedCluster cluster;
   for (int i = 0; i < 70; ++i) cluster.add_machine("m" + std::to_string(i), "a", "blue");
-  JobSpec s = gang_job("run-1", 70);  // more machines than one transaction can guard, two records
+  JobSpec s = gang_job("run-1", 70);  // more machines than one transaction can guard, in two chunk records
   s.partition = PartitionIndex{2};
   cluster.submit(s);
   cluster.run(6);
@@ -439,10 +441,10 @@
   cluster.run(4);
   EXPECT_EQ(cluster.store.keys().at("o/m/m1").value.at("part"), "red");
   EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
-  // No machine has come free recently, so there is nothing to wait for.
-  ASSERT_EQ(cluster.controller(0).scale_outs.size(), 1U);  // for the other four; requested once
+  // No machine has become free recently, so the autoscaler does not wait for one.
+  ASSERT_EQ(cluster.controller(0).scale_outs.size(), 1U);  // for the other four tasks; requested once
   EXPECT_EQ(cluster.controller(0).scale_outs[0].count, 1U);
-  // An indeterminate request is repeated under the same name; a definite answer ends it.
+  // A request without a definite answer is repeated under the same identifier; a definite answer ends it.
   std::string name = cluster.controller(0).scale_outs[0].request_id;
   cluster.controller(0).autoscaler.on_scale_out_result(name, false, {}, cluster.now);
   cluster.run(5);
@@ -455,7 +457,8 @@
 }
 
 TEST(Autoscaler, LongRunningMachineIsNotMistakenForOneThatNeverBooted) {
-  // The pool's owner has received no report of it yet; for that it was once returned at once.
+  // Guards against a fault in which the owner of the idle pool returned a machine at once because it had not
+  // yet received a report of it.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 1));
@@ -464,14 +467,15 @@
   cluster.run(op.boot_timeout_factor * 20 + 20);
   cluster.worker("m1").finish("run-1/0", EndCause::done);
   cluster.run(1.5);
-  cluster.silenced_workers.insert("m1");  // the pool's owner does not receive its first report for a while
+  cluster.silenced_workers.insert("m1");  // the idle pool's owner gets no report of it for a while
   cluster.run(6.5);
   EXPECT_EQ(cluster.store.keys().at("o/m/m1").value.at("part"), ".pool");
   EXPECT_FALSE(cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());
 }
 
 TEST(Autoscaler, LargeScaleOutWritesOneRecordPerMachineAndJob) {
-  // The write limit of the state service is tightest at the start of a day.
+  // Guards the number of writes, because the write limit of the state service is tightest at the start of a
+  // day.
   constexpr int size = 300;
   SimulatedCluster cluster;
   for (int i = 0; i < size; ++i)
@@ -515,7 +519,7 @@
   cluster.silenced_workers.clear();
   cluster.run(2);
   EXPECT_FALSE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{0}, cluster.now));
-  // A controller that receives no reports at all has lost the network itself: no zone counts as unreachable.
+  // A controller that receives no reports at all is disconnected itself, so no zone counts as unreachable.
   for (int i = 0; i < 5; ++i) {
     cluster.silenced_workers.insert("a" + std::to_string(i));
     cluster.silenced_workers.insert("b" + std::to_string(i));
@@ -536,7 +540,8 @@
 }
 
 TEST(Autoscaler, NewMachineIsAssignedDirectlyToTheWaitingPartition) {
-  // Adopted into the pool first, each machine cost two changes and its agent a further round of reports.
+  // Guards against adopting the machine into the idle pool first, which costs a second change per machine and
+  // a further round of reports of its agent.
   SimulatedCluster cluster;
   cluster.submit(test_job("run-1", 1));
   cluster.controller(0).sync(cluster.now);
@@ -560,7 +565,7 @@
   EXPECT_TRUE(bucket.take(2, 100.2));
   EXPECT_FALSE(bucket.take(1, 100.2));
   EXPECT_FALSE(bucket.take(6, 100.3));
-  EXPECT_TRUE(bucket.take(6, 101));  // larger than the burst: granted on credit once the bucket is full
+  EXPECT_TRUE(bucket.take(6, 101));  // larger than the burst: granted on credit from a full bucket
 }
 
 }  // namespace
--- a/tests/slow_task_detector_test.cpp
+++ b/tests/slow_task_detector_test.cpp
@@ -1,4 +1,5 @@
-// The slow-task detector of FLIP-168, and what the scheduler does with tasks that it flags.
+// Tests of the slow-task detector (after Apache Flink's FLIP-168) and of the restarts that the scheduler
+// derives from it.
 #include "oxbowmill/scheduling/slow_task_detector.h"
 
 #include <gtest/gtest.h>
@@ -76,7 +77,7 @@
   }
   cluster.run(2);
   cluster.add_machine("m2", "b");
-  JobSpec busy = test_job("run-0", 1);  // keeps m2 in the partition
+  JobSpec busy = test_job("run-0", 1);  // keeps m2 from being returned to the idle pool
   busy.zone = ZoneIndex{1};
   cluster.submit(busy);
   cluster.run(14);  // still below the floor of 20 s
@@ -86,11 +87,11 @@
   EXPECT_FALSE(cluster.worker("m1").has("run-2/3"));
   EXPECT_TRUE(cluster.worker("m2").has("run-1/3"));
   EXPECT_TRUE(cluster.worker("m2").has("run-2/3"));
-  // Blocked: new work is placed elsewhere though m1 is empty.
+  // m1 is blocked: new tasks are placed elsewhere although it is empty.
   cluster.submit(test_job("run-3", 1));
   cluster.run(2);
   EXPECT_TRUE(cluster.worker("m2").has("run-3/0"));
-  // The single restart is used up, also for the next owner.
+  // Each task is restarted only once, also under the next owner.
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.run(60, 1);
