--- a/include/oxbowmill/scheduling/capacity_forecast.h
+++ b/include/oxbowmill/scheduling/capacity_forecast.h
@@ -31,10 +31,10 @@
       : state_(state), capacity_(capacity), zones_(zones), preemptor_(preemptor) {}
 
   /// Machines that boot for the partition or are being handed over to it.
-  std::vector<ForecastMachine> coming_machines(PartitionIndex partition, Seconds now) const;
+  std::vector<ForecastMachine> expected_machines(PartitionIndex partition, Seconds now) const;
   /// Candidates for the job's tasks in addition to the free machines, with `start_s` and
   /// `opportunity_cost_s` evaluated for the job.
-  std::vector<CandidateMachine> candidates_for(const Job& job, const std::vector<ForecastMachine>& coming,
+  std::vector<CandidateMachine> candidates_for(const Job& job, const std::vector<ForecastMachine>& expected,
                                                Preemption preemption, Clock clock) const;
 
  private:
--- a/include/oxbowmill/scheduling/capacity_tracker.h
+++ b/include/oxbowmill/scheduling/capacity_tracker.h
@@ -13,7 +13,7 @@
 class CapacityTracker {
  public:
   /// `state` must outlive this object.
-  explicit CapacityTracker(ClusterState& model);
+  explicit CapacityTracker(ClusterState& state);
 
   /// Applies the changes since the last call and releases provisionally taken capacity.
   void refresh(Seconds now);
--- a/include/oxbowmill/scheduling/done_mark_collector.h
+++ b/include/oxbowmill/scheduling/done_mark_collector.h
@@ -25,9 +25,9 @@
 
   /// Whether the job's write may be postponed: it consists only of done marks, or of records of a job that is
   /// over, and nothing depends on it yet. Sets the due time when it postpones a write.
-  bool may_wait(JobIndex job_index, Seconds now);
+  bool may_postpone(JobIndex job_index, Seconds now);
   /// Marks the jobs as dirty whose postponed marks are due.
-  void release_due(Seconds now);
+  void mark_due_jobs_dirty(Seconds now);
 
  private:
   ClusterState& state_;
--- a/include/oxbowmill/scheduling/effects.h
+++ b/include/oxbowmill/scheduling/effects.h
@@ -79,7 +79,7 @@
 };
 
 /// Chunk records that one transaction may change, besides the job's record and its final phase.
-inline std::size_t max_chunks(const Settings& settings) {
+inline std::size_t max_chunks_per_transaction(const Settings& settings) {
   return std::min<std::size_t>(settings.max_transaction_ops - 2, 8);
 }
 
@@ -89,7 +89,7 @@
 /// Machine records that one transaction can guard besides the ownership, the job, its chunks and the
 /// decisions.
 inline std::size_t max_guarded_machines(const Settings& settings) {
-  return 4 * settings.max_transaction_ops - 2 - max_constraint_guards - max_chunks(settings);
+  return 4 * settings.max_transaction_ops - 2 - max_constraint_guards - max_chunks_per_transaction(settings);
 }
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/scheduling/failed_selections.h
+++ b/include/oxbowmill/scheduling/failed_selections.h
@@ -12,15 +12,15 @@
 class FailedSelections {
  public:
   /// Notes that the job found no machines for that many tasks.
-  void add(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool preempting);
+  void add(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool may_preempt);
   /// Whether the job would find no machines, as a noted failure shows.
-  bool covers(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool preempting) const;
+  bool covers(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool may_preempt) const;
 
  private:
   struct Failure {
     const JobSpec* spec = nullptr;
     std::size_t task_count = 0;
-    bool avoid_whole_machines = false, preempting = false;
+    bool avoid_whole_machines = false, may_preempt = false;
   };
   std::vector<Failure> failures_;
 };
--- a/include/oxbowmill/scheduling/free_capacity.h
+++ b/include/oxbowmill/scheduling/free_capacity.h
@@ -51,7 +51,7 @@
 class FreeCapacity {
  public:
   /// `state` must outlive this object.
-  explicit FreeCapacity(const ClusterState& model) : state_(&model) {}
+  explicit FreeCapacity(const ClusterState& state) : state_(&state) {}
 
   /// Sets the machine's capacity; without a value the machine is removed. Returns whether anything changed.
   bool update(MachineIndex machine, std::optional<MachineCapacity> capacity);
@@ -66,11 +66,11 @@
   /// further candidates with their `start_s` and `opportunity_cost_s`; `tasks_per_zone` counts the job's
   /// tasks that are placed already.
   Selection select(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
-                   const std::vector<std::uint32_t>& by_zone,
+                   const std::vector<std::uint32_t>& tasks_per_zone,
                    const std::vector<CandidateMachine>& forecast = {}) const;
   /// How many tasks of the job fit on machines whose type lets it share a machine with other tasks. Stops
   /// counting once the count exceeds `limit`.
-  std::size_t count_packed_places(const SelectionQuery& query, std::size_t most) const;
+  std::size_t count_packed_places(const SelectionQuery& query, std::size_t limit) const;
 
   /// Takes free capacity for a task that is about to be placed, until the next update of the machine.
   void take(MachineIndex machine, const Resources& need);
@@ -79,7 +79,7 @@
   /// Notes that an image fetch of that length is about to begin there.
   void add_fetch(MachineIndex machine, Seconds seconds);
   /// Notes that a service's task is about to be placed there.
-  void host_service(MachineIndex machine);
+  void mark_long_running(MachineIndex machine);
   /// Returns and clears the machines changed by these four functions; they have to be updated before the next
   /// cycle.
   std::vector<MachineIndex> take_provisional();
@@ -120,8 +120,8 @@
     MachineCapacity capacity;
     Seconds added_fetch_s = 0;  // provisional, by `add_fetch`
   };
-  class Stream;
-  class Merge;
+  class GroupCursor;
+  class CandidateMerge;
 
   GroupKey group_of(const Entry& entry) const;
   static CapacityKey capacity_key_of(const Entry& entry, MachineIndex machine);
@@ -131,7 +131,7 @@
   void change(MachineIndex machine, Change change);
   bool is_offered(const SelectionQuery& query, const GroupKey& key) const;
   Selection fill(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
-                 const std::vector<std::uint32_t>& by_zone, ZoneIndex only,
+                 const std::vector<std::uint32_t>& tasks_per_zone, ZoneIndex only_zone,
                  const std::vector<CandidateMachine>& forecast) const;
 
   const ClusterState* state_;
--- a/include/oxbowmill/scheduling/heartbeat_handler.h
+++ b/include/oxbowmill/scheduling/heartbeat_handler.h
@@ -41,11 +41,11 @@
   /// stale or the agent would drop the response because it has seen a higher fencing token.
   std::optional<ReportProof> accept(Machine& machine, const WorkerReport& report, Revision fencing_token,
                                     Seconds now) const;
-  bool is_as_recorded(const Machine& machine, const WorkerReport& report) const;
+  bool matches_market_record(const Machine& machine, const WorkerReport& report) const;
   void update_machine(MachineIndex machine_index, Machine& machine, const WorkerReport& report,
                       const ReportProof& proof, Seconds now);
   void count_lost_responses(Machine& machine, const StartUpdate& starts, const ReportProof& proof);
-  void avoid(MachineIndex machine_index, Seconds now);
+  void block_machine(MachineIndex machine_index, Seconds now);
 
   ClusterState& state_;
   const ControllerLease& controller_lease_;
--- a/include/oxbowmill/scheduling/job_transaction_builder.h
+++ b/include/oxbowmill/scheduling/job_transaction_builder.h
@@ -24,7 +24,8 @@
   bool is_open() const { return job_.phase == JobPhase::open; }
   /// Whether the job is over and all its tasks are off their machines.
   bool is_cleanup() const { return job_.is_final() && ended_count_ == job_.placements.size(); }
-  bool touch(TaskNumber task);
+  /// Adds the task's chunk to the collected ones. Returns whether it fits in the transaction.
+  bool collect_chunk_of(TaskNumber task);
   void add_chunk(std::uint32_t chunk_number, ChunkRecord& record);
   void add_placements(std::uint32_t chunk_number, ChunkRecord& record);
   void add_finish(const Placement& placement, ChunkRecord& record);
--- a/include/oxbowmill/scheduling/machine_monitor.h
+++ b/include/oxbowmill/scheduling/machine_monitor.h
@@ -30,13 +30,13 @@
   struct WaitingWork {
     bool spot = false;       // spot machines
     bool on_demand = false;  // on-demand machines
-    bool on(const Machine& machine) const { return machine.record.spot ? spot : on_demand; }
+    bool can_use(const Machine& machine) const { return machine.record.spot ? spot : on_demand; }
   };
   /// What is to be done with an empty machine.
-  struct EmptyMachineUse {
-    bool useless = false;    // it is to be marked for deletion
-    bool leaves = false;     // it moves to the idle pool or to another partition
-    bool requested = false;  // another partition has requested it
+  struct EmptyMachineDisposition {
+    bool must_be_deleted = false;   // it is to be marked for deletion
+    bool leaves_partition = false;  // it moves to the idle pool or to another partition
+    bool is_requested = false;      // another partition has requested it
   };
 
   WaitingWork waiting_work(PartitionIndex partition) const;
@@ -45,7 +45,8 @@
   /// Marks a suspected machine for deletion. Returns whether it did.
   bool delete_if_suspected(MachineIndex machine_index, Effects& out);
   void evict_if_leaving(MachineIndex machine_index, Seconds now);
-  EmptyMachineUse use_of_empty(const Machine& machine, const WaitingWork& waiting, Seconds now) const;
+  EmptyMachineDisposition disposition_of_empty(const Machine& machine, const WaitingWork& waiting,
+                                               Seconds now) const;
   void return_if_unneeded(MachineIndex machine_index, const WaitingWork& waiting, Seconds now, Effects& out);
   void write_record(MachineIndex machine_index, Urgency urgency, const MachineRecord& record, Effects& out);
   /// Whether a machine that was handed over should have reported here by now.
--- a/include/oxbowmill/scheduling/machine_selection.h
+++ b/include/oxbowmill/scheduling/machine_selection.h
@@ -37,19 +37,20 @@
 /// machines and of which two or more tasks fit on one machine.
 bool packs_with_others(const JobSpec& spec, const MachineType& type);
 /// Whether the whole machine is free, judged by its free capacity.
-bool is_whole_machine_free(const CandidateMachine& right, const MachineType& type);
+bool is_whole_machine_free(const CandidateMachine& candidate, const MachineType& type);
 
 /// Seconds that a machine of this type takes to fetch the job's image.
 Seconds fetch_time(const JobSpec& spec, const MachineType& type);
 /// What a task of the job on such a machine costs other jobs, as the seconds by which the job may start later
 /// to avoid it.
-Seconds opportunity_cost(const JobSpec& spec, const MachineType& type, const CandidateMachine& node);
+Seconds opportunity_cost(const JobSpec& spec, const MachineType& type, const CandidateMachine& candidate);
 /// Sets `start_s` and `opportunity_cost_s` of the candidates for this job. With `has_start_deadline`,
 /// `start_s` includes the fetches in progress on the machine.
-void evaluate_for_job(const JobSpec& spec, const ClusterState& model, std::vector<CandidateMachine>& bins,
-                      bool pressed = false);
+void evaluate_for_job(const JobSpec& spec, const ClusterState& state,
+                      std::vector<CandidateMachine>& candidates, bool has_start_deadline = false);
 /// Seconds until the last of the assigned tasks could run; 0 if none is assigned.
-Seconds last_start(const std::vector<TaskAssignment>& choices, const std::vector<CandidateMachine>& bins);
+Seconds last_start_s(const std::vector<TaskAssignment>& choices,
+                     const std::vector<CandidateMachine>& candidates);
 
 /// Whether the job allows machines of this type and zone, and spot machines if `spot` is set.
 bool is_allowed_on(const JobSpec& spec, TypeIndex type, ZoneIndex zone, bool spot);
@@ -59,13 +60,13 @@
 
 /// Number of the job's placed tasks by zone; tasks of earlier attempts that are not proved to have ended
 /// count.
-std::vector<std::uint32_t> tasks_by_zone(const ClusterState& model, const Job& job);
+std::vector<std::uint32_t> tasks_by_zone(const ClusterState& state, const Job& job);
 
 /// Chooses machines for as many of these tasks of the job as fit; a gang gets all or none. Subtracts the
 /// tasks from the free capacity of the chosen candidates. `tasks_per_zone` counts the job's tasks that are
 /// placed already.
 std::vector<TaskAssignment> choose_machines(const JobSpec& spec, const std::vector<TaskNumber>& tasks,
-                                            std::vector<CandidateMachine>& bins,
-                                            std::vector<std::uint32_t> by_zone);
+                                            std::vector<CandidateMachine>& candidates,
+                                            std::vector<std::uint32_t> tasks_per_zone);
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/scheduling/partition_ownership.h
+++ b/include/oxbowmill/scheduling/partition_ownership.h
@@ -38,7 +38,7 @@
   ClusterState& state_;
   const ControllerLease& controller_lease_;
   Revision applied_revision_ = 0;
-  std::map<std::uint32_t, Revision> prepared_revisions_;  // by partition: ownership of its last failover
+  std::map<std::uint32_t, Revision> failover_revisions_;  // by partition: ownership of its last failover
 };
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/scheduling/pending_reason.h
+++ b/include/oxbowmill/scheduling/pending_reason.h
@@ -17,7 +17,7 @@
 
 /// How many tasks of the job have not started and why. Empty if the job is not open or operators set no start
 /// deadline.
-PendingStatus pending_status_of(const ClusterState& model, const Job& job, Seconds now);
+PendingStatus pending_status_of(const ClusterState& state, const Job& job, Seconds now);
 
 /// Logs every job of the partition that has had tasks waiting for a long time, repeatedly at an interval.
 void log_wait_reasons(ClusterState& state, PartitionIndex partition, Clock clock);
--- a/include/oxbowmill/scheduling/placement_cycle.h
+++ b/include/oxbowmill/scheduling/placement_cycle.h
@@ -62,8 +62,8 @@
     const Job& job;
     const SelectionQuery& query;
     const std::vector<TaskNumber>& tasks;
-    std::vector<std::uint32_t> by_zone;
-    bool preempting = false;
+    std::vector<std::uint32_t> tasks_per_zone;
+    bool may_preempt = false;
   };
 
   bool is_unchanged(PartitionIndex partition, const LastCycle& last, Seconds now) const;
@@ -82,7 +82,7 @@
   PendingReason reserve_and_plan(Cycle& cycle, JobIndex job_index, std::size_t wanted,
                                  const Selection& selection);
   bool awaits_leader(const Job& job, const Selection& selection, Seconds now) const;
-  bool waits_for_more(const Job& job, std::size_t placeable, std::size_t wanted, Seconds now) const;
+  bool should_batch_placements(const Job& job, std::size_t placeable, std::size_t wanted, Seconds now) const;
   static bool reserve(Cycle& cycle, const Job& job, const CandidateMachine& candidate, bool awaits_leader);
   void plan(JobIndex job_index, const std::vector<PlacedTask>& tasks, PlannedTasks& planned);
   Attempt next_attempt(PartitionIndex partition);
--- a/include/oxbowmill/scheduling/queue_order.h
+++ b/include/oxbowmill/scheduling/queue_order.h
@@ -7,14 +7,14 @@
 
 /// A job that has to start by some time, as input of `select_late_jobs`.
 struct DueJob {
-  double start_by = 0;  ///< seconds from now
-  double machines = 0;  ///< capacity that it waits for, in machines
+  double start_by_s = 0;       ///< seconds from now
+  double machines_needed = 0;  ///< capacity that it waits for, in machines
 };
 
-/// Chooses the jobs to give up so that the fewest start late, while capacity becomes free at `rate` machines
-/// a second. Moore-Hodgson algorithm: it adds the jobs by start time and gives up the largest one whenever
-/// the added job would be late. Returns for each job whether it is given up.
-std::vector<bool> select_late_jobs(const std::vector<DueJob>& jobs, double rate);
+/// Chooses the jobs to give up so that the fewest start late, while capacity becomes free at
+/// `machines_per_s`. Moore-Hodgson algorithm: it adds the jobs by start time and gives up the largest one
+/// whenever the added job would be late. Returns for each job whether it is given up.
+std::vector<bool> select_late_jobs(const std::vector<DueJob>& jobs, double machines_per_s);
 
 /// A job in the queue.
 struct WaitingJob {
@@ -26,6 +26,6 @@
 /// the others follow by priority. Within a priority the order is: jobs whose start deadline is urgent; jobs
 /// that can still meet their deadline, by the latest time at which they must start; jobs without a deadline,
 /// by age; jobs that miss their deadline, longest first.
-std::vector<WaitingJob> waiting_order(const ClusterState& model, PartitionIndex partition, Clock clock);
+std::vector<WaitingJob> waiting_order(const ClusterState& state, PartitionIndex partition, Clock clock);
 
 }  // namespace oxbowmill
--- a/include/oxbowmill/scheduling/scheduler.h
+++ b/include/oxbowmill/scheduling/scheduler.h
@@ -17,7 +17,7 @@
 class Scheduler {
  public:
   /// Both arguments must outlive this object.
-  Scheduler(ClusterState& model, ControllerLease& lease);
+  Scheduler(ClusterState& state, ControllerLease& lease);
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
@@ -91,7 +91,7 @@
   };
   DueChecks take_due_checks(Seconds now);
   void check_machines(Clock clock, Effects& out);
-  void preempt_as_decided(PartitionIndex partition, Seconds now);
+  void preempt_by_constraints(PartitionIndex partition, Seconds now);
 
   ClusterState& state_;
   const ControllerLease& controller_lease_;
--- a/include/oxbowmill/scheduling/slow_task_detector.h
+++ b/include/oxbowmill/scheduling/slow_task_detector.h
@@ -38,7 +38,7 @@
  private:
   using TasksByMachine = std::map<MachineIndex, std::vector<TaskId>>;
 
-  void find_slow_tasks(JobIndex job_index, Seconds now, TasksByMachine& slow);
+  void find_slow_tasks(JobIndex job_index, Seconds now, TasksByMachine& slow_tasks);
   void block(MachineIndex machine_index, std::size_t job_count, Seconds now);
   void request_restarts(PartitionIndex partition, const std::vector<TaskId>& tasks, Seconds now);
 
--- a/include/oxbowmill/scheduling/task_report_reader.h
+++ b/include/oxbowmill/scheduling/task_report_reader.h
@@ -11,13 +11,13 @@
   /// Whether the agent has seen a fencing token that only this owner can have given.
   bool fencing_token_shown = false;
   /// Whether the agent has received none of this owner's responses.
-  bool none_taken = false;
+  bool no_response_received = false;
 };
 
 /// What a report shows of the starts that were sent.
 struct StartUpdate {
-  bool lost = false;     ///< some start did not reach the agent
-  bool arrived = false;  ///< some start reached the agent
+  bool some_lost = false;     ///< some start did not reach the agent
+  bool some_arrived = false;  ///< some start reached the agent
 };
 
 /// Updates the placements on a machine from its agent's report.
@@ -32,7 +32,7 @@
 
  private:
   /// A report that is being read, what it proves, and what was found so far.
-  struct Reading {
+  struct ReportContext {
     const WorkerReport& report;
     const ReportProof& proof;
     Machine& machine;
@@ -40,12 +40,12 @@
     StartUpdate starts;
   };
 
-  void read_listed(Reading& reading, Placement& placement, const TaskReport& task_report);
-  void read_absent(Reading& reading, Placement& placement);
-  void on_alive(Reading& reading, Placement& placement, const TaskReport& task_report);
-  void on_ended(Reading& reading, Placement& placement, const TaskReport& task_report);
+  void read_listed(ReportContext& context, Placement& placement, const TaskReport& task_report);
+  void read_absent(ReportContext& context, Placement& placement);
+  void on_alive(ReportContext& context, Placement& placement, const TaskReport& task_report);
+  void on_ended(ReportContext& context, Placement& placement, const TaskReport& task_report);
   void on_done(Placement& placement, Seconds now);
-  void on_error(Reading& reading, const Placement& placement, const TaskReport& task_report);
+  void on_error(ReportContext& context, const Placement& placement, const TaskReport& task_report);
   void check_gangs_and_marks(MachineIndex machine_index, const std::vector<TaskId>& task_ids, Seconds now);
 
   ClusterState& state_;
--- a/include/oxbowmill/scheduling/whole_machines.h
+++ b/include/oxbowmill/scheduling/whole_machines.h
@@ -12,8 +12,8 @@
 
 /// Free and expected capacity of a partition during a cycle.
 struct CycleCapacity {
-  FreeCapacity* free = nullptr;         ///< free capacity
-  std::vector<ForecastMachine> coming;  ///< machines that boot or are being handed over
+  FreeCapacity* free = nullptr;           ///< free capacity
+  std::vector<ForecastMachine> expected;  ///< machines that boot or are being handed over
 };
 
 /// Keeps tasks of array jobs that accept spot machines away from whole on-demand machines, because gangs wait
--- a/include/oxbowmill/scheduling/zone_reachability.h
+++ b/include/oxbowmill/scheduling/zone_reachability.h
@@ -32,9 +32,9 @@
 
  private:
   struct Zone {
-    Seconds unreachable_until = -1e9;           // by this controller's checks
-    Seconds reported_unreachable_until = -1e9;  // by other controllers' reports
-    std::uint32_t reported = 0, expected = 0;   // machines counted in the current check
+    Seconds unreachable_until = -1e9;                      // by this controller's checks
+    Seconds reported_unreachable_until = -1e9;             // by other controllers' reports
+    std::uint32_t reported_count = 0, expected_count = 0;  // machines counted in the current check
   };
 
   const ClusterState& state_;
--- a/src/scheduling/capacity_forecast.cpp
+++ b/src/scheduling/capacity_forecast.cpp
@@ -9,12 +9,13 @@
 constexpr double handover_duration_s = 4;
 }  // namespace
 
-std::vector<ForecastMachine> CapacityForecast::coming_machines(PartitionIndex partition, Seconds now) const {
-  std::vector<ForecastMachine> coming;
+std::vector<ForecastMachine> CapacityForecast::expected_machines(PartitionIndex partition,
+                                                                 Seconds now) const {
+  std::vector<ForecastMachine> expected;
   auto add = [&](MachineIndex machine_index, Seconds wait_s) {
     const MachineRecord& record = state_.machine(machine_index).record;
-    coming.push_back({{machine_index, record.type, record.zone, record.spot, wait_s, Resources{}},
-                      state_.catalog[record.type.value].capacity});
+    expected.push_back({{machine_index, record.type, record.zone, record.spot, wait_s, Resources{}},
+                        state_.catalog[record.type.value].capacity});
   };
   const FreeCapacity& capacity = capacity_.free_capacity(partition);
   for (MachineIndex machine_index : capacity.booting()) {
@@ -24,15 +25,15 @@
   }
   for (MachineIndex machine_index : state_.machines_requested_by(partition))
     add(machine_index, handover_duration_s);
-  return coming;
+  return expected;
 }
 
 std::vector<CandidateMachine> CapacityForecast::candidates_for(const Job& job,
-                                                               const std::vector<ForecastMachine>& coming,
+                                                               const std::vector<ForecastMachine>& expected,
                                                                Preemption preemption, Clock clock) const {
   std::vector<CandidateMachine> candidates;
   add_releasing(job, clock.now, candidates);
-  for (const ForecastMachine& machine : coming) {
+  for (const ForecastMachine& machine : expected) {
     candidates.push_back(machine.candidate);
     candidates.back().free_capacity = machine.expected_capacity;
   }
--- a/src/scheduling/capacity_tracker.cpp
+++ b/src/scheduling/capacity_tracker.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <stdexcept>
+#include <string>
 
 #include "oxbowmill/scheduling/never.h"
 
@@ -11,34 +12,34 @@
 constexpr double tolerated_missed_reports = 2.5;  // a machine that has missed more reports may be gone
 }  // namespace
 
-CapacityTracker::CapacityTracker(ClusterState& model) : state_(model), versions_(model.partition_count()) {
-  partitions_.reserve(model.partition_count());
-  for (std::uint32_t p = 0; p < model.partition_count(); ++p) partitions_.emplace_back(model);
+CapacityTracker::CapacityTracker(ClusterState& state) : state_(state), versions_(state.partition_count()) {
+  partitions_.reserve(state.partition_count());
+  for (std::uint32_t p = 0; p < state.partition_count(); ++p) partitions_.emplace_back(state);
 }
 
 Seconds CapacityTracker::fetch_backlog_s(MachineIndex machine, Seconds now) const {
   const Machine& machine_state = state_.machine(machine);
-  std::map<ImageIndex, Seconds> fetch_left_s;
+  std::map<ImageIndex, Seconds> remaining_fetch_s;
   for (TaskId id : machine_state.placed_tasks) {
     const Placement& placement = *state_.find_placement(id);
     const JobSpec& spec = state_.job(id.job).spec;
     if (placement.phase != TaskPhase::fetching || is_off_machine(placement.state) || !spec.image.valid())
       continue;
-    Seconds since = placement.started_at > 0 ? now - placement.started_at : 0;
-    fetch_left_s[spec.image] =
-        std::max(0.0, fetch_time(spec, state_.catalog[machine_state.record.type.value]) - since);
+    Seconds elapsed_s = placement.started_at > 0 ? now - placement.started_at : 0;
+    remaining_fetch_s[spec.image] =
+        std::max(0.0, fetch_time(spec, state_.catalog[machine_state.record.type.value]) - elapsed_s);
   }
   Seconds sum = 0;
-  for (const auto& [image, seconds] : fetch_left_s) sum += seconds;
+  for (const auto& [image, seconds] : remaining_fetch_s) sum += seconds;
   return sum;
 }
 
 CapacityTracker::CapacityEstimate CapacityTracker::estimate_booting_capacity(MachineIndex machine,
                                                                              Seconds now) const {
   const Machine& machine_state = state_.machine(machine);
-  Seconds boot = state_.catalog[machine_state.record.type.value].boot_s;
+  Seconds boot_s = state_.catalog[machine_state.record.type.value].boot_s;
   // A machine that takes twice its boot time may never report.
-  Seconds given_up_at = machine_state.known_since + 2 * boot;
+  Seconds given_up_at = machine_state.known_since + 2 * boot_s;
   if (!machine_state.placed_tasks.empty() || machine_state.record.requested_by.valid() || now >= given_up_at)
     return {};
   CapacityEstimate estimate;
@@ -47,7 +48,7 @@
       machine,    machine_state.record.type, machine_state.record.zone, machine_state.record.spot, 0,
       Resources{}};
   estimate.capacity->booting = true;
-  estimate.capacity->expected_up_at = machine_state.known_since + boot;
+  estimate.capacity->expected_up_at = machine_state.known_since + boot_s;
   estimate.valid_until = given_up_at;
   return estimate;
 }
@@ -67,15 +68,15 @@
   if (unavailable_until > now) return {std::nullopt, unavailable_until};
   // A machine that was just handed over reports here soon, so tasks may be placed on it already. A machine
   // that has missed reports may be gone, so nothing new is placed on it until it reports again.
-  Seconds until =
+  Seconds usable_until =
       machine_state.state == MachineState::expected
           ? machine_state.in_partition_since + settings.first_report_timeout_s()
       : machine_state.state == MachineState::ready
           ? machine_state.last_answered_report_at + tolerated_missed_reports * settings.report_interval_s + 1
           : now;
-  if (now >= until) return {};
+  if (now >= usable_until) return {};
   CapacityEstimate estimate;
-  estimate.valid_until = until;
+  estimate.valid_until = usable_until;
   estimate.capacity.emplace();
   estimate.capacity->candidate = {
       machine, machine_state.record.type,          machine_state.record.zone, machine_state.record.spot,
@@ -168,13 +169,15 @@
     const MachineCapacity* known = nullptr;
     if (estimate.capacity) known = partitions_[state_.machine(machine).record.partition.value].find(machine);
     if (estimate.capacity && (known == nullptr || !(*known == *estimate.capacity)))
-      throw std::logic_error("free capacity of " + state_.names.machines.name(machine) + " is out of date");
+      throw std::logic_error("free capacity index: entry of machine " + state_.names.machines.name(machine) +
+                             " differs from the cluster state");
     offering_count += estimate.capacity ? 1 : 0;
   }
   std::size_t indexed_count = 0;
   for (const FreeCapacity& partition : partitions_) indexed_count += partition.size();
   if (indexed_count != offering_count)
-    throw std::logic_error("free capacity holds machines that offer nothing");
+    throw std::logic_error("free capacity index: holds " + std::to_string(indexed_count) +
+                           " machines, of which only " + std::to_string(offering_count) + " have capacity");
 }
 
 }  // namespace oxbowmill
--- a/src/scheduling/done_mark_collector.cpp
+++ b/src/scheduling/done_mark_collector.cpp
@@ -8,7 +8,7 @@
 
 /// Done marks are postponed while this controller uses more than this fraction of the state service's write
 /// limit.
-constexpr double collecting_write_fraction = 0.15;
+constexpr double postponing_write_fraction = 0.15;
 
 /// Counts of a job's placements whose end is not durable yet.
 struct EndedTasks {
@@ -52,21 +52,21 @@
   }
 }
 
-bool DoneMarkCollector::may_wait(JobIndex job_index, Seconds now) {
+bool DoneMarkCollector::may_postpone(JobIndex job_index, Seconds now) {
   Job& job = state_.job(job_index);
   EndedTasks count = count_ended(job);
   if (count.restart_requested || count.ended == 0) return false;
   bool stopping_gang = is_stopping_gang(job, count);
   if (!stopping_gang && (!has_later_write(job, count) || job.done_marks_urgent)) return false;
   if (job.done_marks_due < 0) {
-    if (!write_rate_.exceeds(collecting_write_fraction)) return false;
+    if (!write_rate_.exceeds(postponing_write_fraction)) return false;
     job.done_marks_due = now + state_.settings.operator_settings.done_mark_delay_s;
     due_.emplace(job.done_marks_due, job_index);
   }
   return now < job.done_marks_due;
 }
 
-void DoneMarkCollector::release_due(Seconds now) {
+void DoneMarkCollector::mark_due_jobs_dirty(Seconds now) {
   while (!due_.empty() && due_.begin()->first <= now) {
     if (state_.live_job(due_.begin()->second) != nullptr) state_.dirty_jobs.insert(due_.begin()->second);
     due_.erase(due_.begin());
--- a/src/scheduling/failed_selections.cpp
+++ b/src/scheduling/failed_selections.cpp
@@ -8,28 +8,28 @@
 constexpr std::size_t max_failures = 64;
 }  // namespace
 
-void FailedSelections::add(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool preempting) {
+void FailedSelections::add(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool may_preempt) {
   // Not noted for a job with placements or with tasks spread over zones, because the zones of its other tasks
   // matter too. The list is bounded, because searching a long one would cost more than it saves.
   if (!job.placements.empty() || job.spec.spread_zones || failures_.size() >= max_failures) return;
-  failures_.push_back({&job.spec, tasks, avoid_whole_machines, preempting});
+  failures_.push_back({&job.spec, tasks, avoid_whole_machines, may_preempt});
 }
 
 bool FailedSelections::covers(const Job& job, std::size_t tasks, bool avoid_whole_machines,
-                              bool preempting) const {
+                              bool may_preempt) const {
   if (!job.placements.empty()) return false;
   const JobSpec& spec = job.spec;
   return std::any_of(failures_.begin(), failures_.end(), [&](const Failure& failure) {
     const JobSpec& other = *failure.spec;
-    bool same = other.types == spec.types && other.zone == spec.zone && other.spot == spec.spot &&
-                other.single_zone == spec.single_zone && other.shape == spec.shape &&
-                failure.avoid_whole_machines == avoid_whole_machines;
-    bool asks_more = other.task_resources.cpus <= spec.task_resources.cpus &&
-                     other.task_resources.gpus <= spec.task_resources.gpus &&
-                     other.task_resources.memory_gb <= spec.task_resources.memory_gb &&
-                     (spec.shape != JobShape::gang || failure.task_count <= tasks);
-    bool stops_no_more = !preempting || (failure.preempting && other.priority >= spec.priority);
-    return same && asks_more && stops_no_more;
+    bool same_constraints = other.types == spec.types && other.zone == spec.zone && other.spot == spec.spot &&
+                            other.single_zone == spec.single_zone && other.shape == spec.shape &&
+                            failure.avoid_whole_machines == avoid_whole_machines;
+    bool needs_as_much = other.task_resources.cpus <= spec.task_resources.cpus &&
+                         other.task_resources.gpus <= spec.task_resources.gpus &&
+                         other.task_resources.memory_gb <= spec.task_resources.memory_gb &&
+                         (spec.shape != JobShape::gang || failure.task_count <= tasks);
+    bool preempts_no_more = !may_preempt || (failure.may_preempt && other.priority >= spec.priority);
+    return same_constraints && needs_as_much && preempts_no_more;
   });
 }
 
--- a/src/scheduling/free_capacity.cpp
+++ b/src/scheduling/free_capacity.cpp
@@ -27,13 +27,13 @@
 }
 
 FreeCapacity::GroupKey FreeCapacity::group_of(const Entry& entry) const {
-  const CandidateMachine& node = entry.capacity.candidate;
+  const CandidateMachine& candidate = entry.capacity.candidate;
   bool fetching = entry.capacity.fetching_images || entry.added_fetch_s > 0;
-  return {node.type,
-          node.zone,
-          node.spot,
-          node.long_running,
-          is_whole_machine_free(node, state_->catalog[node.type.value]),
+  return {candidate.type,
+          candidate.zone,
+          candidate.spot,
+          candidate.long_running,
+          is_whole_machine_free(candidate, state_->catalog[candidate.type.value]),
           fetching};
 }
 
@@ -51,8 +51,8 @@
   CapacityKey capacity_key = capacity_key_of(entry, machine);
   group.all.insert(capacity_key);
   for (ImageIndex image : capacity.images) group.by_image[image.value].insert(capacity_key);
-  const Resources& leaving = capacity.releasing;
-  if (leaving.cpus != 0 || leaving.gpus != 0 || leaving.memory_gb != 0) with_releasing_.insert(machine);
+  const Resources& releasing = capacity.releasing;
+  if (releasing.cpus != 0 || releasing.gpus != 0 || releasing.memory_gb != 0) with_releasing_.insert(machine);
   if (capacity.preemptible) preemptible_.insert(machine);
 }
 
@@ -125,7 +125,7 @@
   change(machine, [seconds](Entry& entry) { entry.added_fetch_s += seconds; });
 }
 
-void FreeCapacity::host_service(MachineIndex machine) {
+void FreeCapacity::mark_long_running(MachineIndex machine) {
   change(machine, [](Entry& entry) { entry.capacity.candidate.long_running = true; });
 }
 
@@ -139,19 +139,19 @@
   const JobSpec& spec = *query.spec;
   if (!is_allowed_on(spec, key.type, key.zone, key.spot)) return false;
   if (key.zone.value < query.unreachable.size() && query.unreachable[key.zone.value]) return false;
-  bool spared = query.avoid_whole_machines && !key.spot && key.whole &&
-                packs_with_others(spec, state_->catalog[key.type.value]);
-  return !spared;
+  bool reserved_for_gangs = query.avoid_whole_machines && !key.spot && key.whole &&
+                            packs_with_others(spec, state_->catalog[key.type.value]);
+  return !reserved_for_gangs;
 }
 
 /// Iterates over the machines of one group on which a task fits, best first. All of them could start the task
 /// at the same time and at the same opportunity cost, so the machine with the least free capacity is the
 /// best.
-class FreeCapacity::Stream {
+class FreeCapacity::GroupCursor {
  public:
-  Stream(const FreeCapacity& index, const JobSpec& spec, const CapacityOrder& order, CandidateMachine like,
-         bool without_image)
-      : index_(&index), spec_(&spec), order_(&order), prototype_(like), without_image_(without_image) {
+  GroupCursor(const FreeCapacity& index, const JobSpec& spec, const CapacityOrder& order,
+              CandidateMachine prototype, bool without_image)
+      : index_(&index), spec_(&spec), order_(&order), prototype_(prototype), without_image_(without_image) {
     position_ = order.lower_bound({spec.task_resources.gpus - resource_tolerance,
                                    spec.task_resources.cpus - resource_tolerance, MachineIndex{0}});
     skip_unfit();
@@ -159,10 +159,10 @@
   bool done() const { return position_ == order_->end(); }
   /// The current machine, with its start time and opportunity cost for the job.
   CandidateMachine head() const {
-    CandidateMachine node = index_->machines_.at(position_->machine.value).capacity.candidate;
-    node.start_s = prototype_.start_s;
-    node.opportunity_cost_s = prototype_.opportunity_cost_s;
-    return node;
+    CandidateMachine candidate = index_->machines_.at(position_->machine.value).capacity.candidate;
+    candidate.start_s = prototype_.start_s;
+    candidate.opportunity_cost_s = prototype_.opportunity_cost_s;
+    return candidate;
   }
   void next() {
     ++position_;
@@ -180,9 +180,9 @@
       }
       ++index_->visits_;
       const MachineCapacity& capacity = index_->machines_.at(position_->machine.value).capacity;
-      bool imaged = without_image_ && std::find(capacity.images.begin(), capacity.images.end(),
-                                                spec_->image) != capacity.images.end();
-      if (!imaged && fits(spec_->task_resources, capacity.candidate.free_capacity)) return;
+      bool has_image = without_image_ && std::find(capacity.images.begin(), capacity.images.end(),
+                                                   spec_->image) != capacity.images.end();
+      if (!has_image && fits(spec_->task_resources, capacity.candidate.free_capacity)) return;
       ++position_;
     }
   }
@@ -195,33 +195,33 @@
 };
 
 /// Merges the groups and the forecast into one sequence of candidates for a job, best first.
-class FreeCapacity::Merge {
+class FreeCapacity::CandidateMerge {
  public:
-  Merge(const FreeCapacity& index, const SelectionQuery& query, ZoneIndex only,
-        const std::vector<CandidateMachine>& forecast)
+  CandidateMerge(const FreeCapacity& index, const SelectionQuery& query, ZoneIndex only_zone,
+                 const std::vector<CandidateMachine>& forecast)
       : index_(&index), query_(&query) {
     for (const auto& [key, group] : index.groups_) {
-      if ((only.valid() && key.zone != only) || !index.is_offered(query, key)) continue;
+      if ((only_zone.valid() && key.zone != only_zone) || !index.is_offered(query, key)) continue;
       add_group(key, group);
     }
-    add_forecast(forecast, only);
+    add_forecast(forecast, only_zone);
   }
   bool done() const { return heads_.empty(); }
   CandidateMachine pop() {
     Head head = heads_.top();
     heads_.pop();
-    if (head.stream < streams_.size()) {
-      streams_[head.stream].next();
-      push_head(head.stream);
+    if (head.cursor < cursors_.size()) {
+      cursors_[head.cursor].next();
+      push_head(head.cursor);
     }
     return head.candidate;
   }
 
  private:
-  static constexpr std::size_t no_stream = std::numeric_limits<std::size_t>::max();
+  static constexpr std::size_t no_cursor = std::numeric_limits<std::size_t>::max();
   struct Head {
     CandidateMachine candidate;
-    std::size_t stream = no_stream;
+    std::size_t cursor = no_cursor;
     bool forecast = false;
   };
   struct LessPreferred {
@@ -231,98 +231,101 @@
   /// machines, least free capacity.
   static bool is_better(const Head& left, const Head& right) {
     auto key = [](const Head& head) {
-      const CandidateMachine& node = head.candidate;
-      return std::make_tuple(node.start_s + node.opportunity_cost_s, node.acquisition_cost, !node.spot,
-                             node.free_capacity.gpus, node.free_capacity.cpus, head.forecast, node.machine);
+      const CandidateMachine& candidate = head.candidate;
+      return std::make_tuple(candidate.start_s + candidate.opportunity_cost_s, candidate.acquisition_cost,
+                             !candidate.spot, candidate.free_capacity.gpus, candidate.free_capacity.cpus,
+                             head.forecast, candidate.machine);
     };
     return key(left) < key(right);
   }
   void add_group(const GroupKey& key, const Group& group) {
     const JobSpec& spec = *query_->spec;
     const MachineType& type = index_->state_->catalog[key.type.value];
-    CandidateMachine like;
-    like.type = key.type;
-    like.zone = key.zone;
-    like.spot = key.spot;
-    like.long_running = key.long_running;
-    like.free_capacity = key.whole ? type.capacity : Resources{};
-    like.opportunity_cost_s = opportunity_cost(spec, type, like);
+    CandidateMachine prototype;
+    prototype.type = key.type;
+    prototype.zone = key.zone;
+    prototype.spot = key.spot;
+    prototype.long_running = key.long_running;
+    prototype.free_capacity = key.whole ? type.capacity : Resources{};
+    prototype.opportunity_cost_s = opportunity_cost(spec, type, prototype);
     auto with_image = group.by_image.find(spec.image.value);
-    bool imaged = with_image != group.by_image.end();
-    if (imaged) add_stream({*index_, spec, with_image->second, like, false});
-    like.start_s = fetch_time(spec, type);
-    Stream rest(*index_, spec, group.all, like, imaged);
+    bool has_image = with_image != group.by_image.end();
+    if (has_image) add_cursor({*index_, spec, with_image->second, prototype, false});
+    prototype.start_s = fetch_time(spec, type);
+    GroupCursor rest(*index_, spec, group.all, prototype, has_image);
     if (query_->has_start_deadline && key.fetching) {
       add_fetching(rest);
     } else {
-      add_stream(rest);
+      add_cursor(rest);
     }
   }
   /// Adds machines with fetches in progress one by one, because their start times differ.
-  void add_fetching(Stream stream) {
-    for (; !stream.done(); stream.next()) {
-      CandidateMachine node = stream.head();
-      node.start_s +=
-          query_->fetch_backlog_s(node.machine) + index_->machines_.at(node.machine.value).added_fetch_s;
-      heads_.push({node, no_stream, false});
+  void add_fetching(GroupCursor cursor) {
+    for (; !cursor.done(); cursor.next()) {
+      CandidateMachine candidate = cursor.head();
+      candidate.start_s += query_->fetch_backlog_s(candidate.machine) +
+                           index_->machines_.at(candidate.machine.value).added_fetch_s;
+      heads_.push({candidate, no_cursor, false});
     }
   }
-  void add_forecast(const std::vector<CandidateMachine>& forecast, ZoneIndex only) {
+  void add_forecast(const std::vector<CandidateMachine>& forecast, ZoneIndex only_zone) {
     const JobSpec& spec = *query_->spec;
-    for (const CandidateMachine& node : forecast) {
-      if ((only.valid() && node.zone != only) || !is_allowed_on(spec, node.type, node.zone, node.spot))
+    for (const CandidateMachine& candidate : forecast) {
+      if ((only_zone.valid() && candidate.zone != only_zone) ||
+          !is_allowed_on(spec, candidate.type, candidate.zone, candidate.spot))
         continue;
-      if (fits(spec.task_resources, node.free_capacity)) heads_.push({node, no_stream, true});
+      if (fits(spec.task_resources, candidate.free_capacity)) heads_.push({candidate, no_cursor, true});
     }
   }
-  void add_stream(const Stream& stream) {
-    streams_.push_back(stream);
-    push_head(streams_.size() - 1);
+  void add_cursor(const GroupCursor& cursor) {
+    cursors_.push_back(cursor);
+    push_head(cursors_.size() - 1);
   }
-  void push_head(std::size_t stream) {
-    if (!streams_[stream].done()) heads_.push({streams_[stream].head(), stream, false});
+  void push_head(std::size_t cursor) {
+    if (!cursors_[cursor].done()) heads_.push({cursors_[cursor].head(), cursor, false});
   }
   const FreeCapacity* index_;
   const SelectionQuery* query_;
-  std::vector<Stream> streams_;
+  std::vector<GroupCursor> cursors_;
   std::priority_queue<Head, std::vector<Head>, LessPreferred> heads_;
 };
 
 Selection FreeCapacity::fill(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
-                             const std::vector<std::uint32_t>& by_zone, ZoneIndex only,
+                             const std::vector<std::uint32_t>& tasks_per_zone, ZoneIndex only_zone,
                              const std::vector<CandidateMachine>& forecast) const {
   const JobSpec& spec = *query.spec;
   Selection out;
-  auto placed = by_zone;
-  std::uint32_t most_per_zone = spec.spread_zones ? (spec.tasks + 1) / 2 : spec.tasks;
+  auto placed = tasks_per_zone;
+  std::uint32_t max_per_zone = spec.spread_zones ? (spec.tasks + 1) / 2 : spec.tasks;
   std::size_t next = 0;
-  for (Merge merge(*this, query, only, forecast); next < tasks.size() && !merge.done();) {
-    CandidateMachine node = merge.pop();
-    std::uint32_t& in_zone = placed[node.zone.value];
+  for (CandidateMerge merge(*this, query, only_zone, forecast); next < tasks.size() && !merge.done();) {
+    CandidateMachine candidate = merge.pop();
+    std::uint32_t& in_zone = placed[candidate.zone.value];
     std::size_t before = next;
-    while (next < tasks.size() && fits(spec.task_resources, node.free_capacity) && in_zone < most_per_zone) {
+    while (next < tasks.size() && fits(spec.task_resources, candidate.free_capacity) &&
+           in_zone < max_per_zone) {
       out.assignments.push_back({tasks[next++], out.machines.size()});
-      node.free_capacity -= spec.task_resources;
+      candidate.free_capacity -= spec.task_resources;
       ++in_zone;
     }
-    if (next > before) out.machines.push_back(node);
+    if (next > before) out.machines.push_back(candidate);
   }
   return out;
 }
 
 Selection FreeCapacity::select(const SelectionQuery& query, const std::vector<TaskNumber>& tasks,
-                               const std::vector<std::uint32_t>& by_zone,
+                               const std::vector<std::uint32_t>& tasks_per_zone,
                                const std::vector<CandidateMachine>& forecast) const {
   const JobSpec& spec = *query.spec;
   bool gang = spec.shape == JobShape::gang;
   if (tasks.empty()) return {};
   if (!spec.single_zone) {
-    Selection all = fill(query, tasks, by_zone, spec.zone, forecast);
+    Selection all = fill(query, tasks, tasks_per_zone, spec.zone, forecast);
     return gang && all.assignments.size() < tasks.size() ? Selection{} : all;
   }
   Selection best;
-  for (ZoneIndex zone : single_zones_to_try(by_zone)) {
-    Selection tried = fill(query, tasks, by_zone, zone, forecast);
+  for (ZoneIndex zone : single_zones_to_try(tasks_per_zone)) {
+    Selection tried = fill(query, tasks, tasks_per_zone, zone, forecast);
     if (is_better_zone({tried.assignments.size(), tried.last_start_s()},
                        {best.assignments.size(), best.last_start_s()}))
       best = std::move(tried);
@@ -330,14 +333,15 @@
   return gang && best.assignments.size() < tasks.size() ? Selection{} : best;
 }
 
-std::size_t FreeCapacity::count_packed_places(const SelectionQuery& query, std::size_t most) const {
+std::size_t FreeCapacity::count_packed_places(const SelectionQuery& query, std::size_t limit) const {
   const JobSpec& spec = *query.spec;
   std::size_t count = 0;
   for (const auto& [key, group] : groups_) {
     if (!is_offered(query, key) || !packs_with_others(spec, state_->catalog[key.type.value])) continue;
-    CandidateMachine like;
-    for (Stream stream(*this, spec, group.all, like, false); !stream.done() && count <= most; stream.next())
-      count += static_cast<std::size_t>(how_many_fit(spec.task_resources, stream.head().free_capacity));
+    CandidateMachine prototype;
+    for (GroupCursor cursor(*this, spec, group.all, prototype, false); !cursor.done() && count <= limit;
+         cursor.next())
+      count += static_cast<std::size_t>(how_many_fit(spec.task_resources, cursor.head().free_capacity));
   }
   return count;
 }
--- a/src/scheduling/heartbeat_handler.cpp
+++ b/src/scheduling/heartbeat_handler.cpp
@@ -10,8 +10,9 @@
 namespace {
 constexpr std::uint32_t lost_responses_threshold = 3;  // consecutive reports that show a lost response
 constexpr double lost_response_window = 16;            // length of the average, in reports
-constexpr double own_fault_fraction = 0.5;  // of lost responses: from here on this controller is the cause
-constexpr double for_good_s = 1e9;
+constexpr double controller_fault_fraction =
+    0.5;  // of lost responses: from here on this controller is the cause
+constexpr double permanent_fault_duration_s = 1e9;
 }  // namespace
 
 ReportAnswer HeartbeatHandler::on_report(const WorkerReport& report, Clock clock,
@@ -38,15 +39,16 @@
     return answer;
   }
   update_machine(machine_index, machine, report, *proof, now);
-  if (proof->none_taken && machine.inherited &&
+  if (proof->no_response_received && machine.inherited &&
       now > ownership_.exclusively_owned_since(machine) + state_.settings.lease_expiry_s())
     evictor_.mark_empty(machine_index, now);
   StartUpdate starts = task_reports_.read(machine_index, report, *proof, now);
   count_lost_responses(machine, starts, *proof);
   // If most responses are lost, the cause is not the machine: this controller is late or disconnected, and
   // moving all waiting tasks from one machine to the next would delay them further.
-  if (machine.lost_responses >= lost_responses_threshold && lost_response_fraction_ < own_fault_fraction)
-    avoid(machine_index, now);
+  if (machine.lost_responses >= lost_responses_threshold &&
+      lost_response_fraction_ < controller_fault_fraction)
+    block_machine(machine_index, now);
   responses_.add_commands(machine_index, report, now, answer.commands);
   return answer;
 }
@@ -61,10 +63,10 @@
   answer.owner = ownership.record.controller;
   if (machine_index.valid()) {
     const Machine& machine = state_.machine(machine_index);
-    Seconds settled_after = 2 * state_.settings.first_report_timeout_s();
+    Seconds settling_time_s = 2 * state_.settings.first_report_timeout_s();
     answer.owner_unreachable = report.fencing_token >= state_.lowest_fencing_token(machine) &&
-                               now - machine.in_partition_since > settled_after &&
-                               now - ownership.since > settled_after;
+                               now - machine.in_partition_since > settling_time_s &&
+                               now - ownership.since > settling_time_s;
   }
   return answer;
 }
@@ -93,13 +95,13 @@
   proof.fencing_token_shown = report.fencing_token >= state_.lowest_fencing_token(machine);
   // An agent has one report in flight and drops responses to earlier ones. If a newer report shows a fencing
   // token below every token in this controller's responses to it, it has received none of them.
-  proof.none_taken = report.fencing_token < machine.first_fencing_token;
+  proof.no_response_received = report.fencing_token < machine.first_fencing_token;
   if (machine.first_fencing_token == 0) machine.first_fencing_token = fencing_token;
   machine.last_answered_report_at = now;
   return proof;
 }
 
-bool HeartbeatHandler::is_as_recorded(const Machine& machine, const WorkerReport& report) const {
+bool HeartbeatHandler::matches_market_record(const Machine& machine, const WorkerReport& report) const {
   // A machine from a market is checked by its own report: if its type or zone differs from the bid, a job
   // might run where it must not.
   const MachineRecord& record = machine.record;
@@ -113,11 +115,11 @@
   machine.address = report.address;
   if (machine.first_report_at < 0) machine.first_report_at = now;
   machine.has_booted = true;
-  bool as_recorded = is_as_recorded(machine, report);
+  bool as_recorded = matches_market_record(machine, report);
   if (!as_recorded && machine.faulty_until < now) {
-    SPDLOG_INFO("market delivered another machine than was bid for machine={} type={} zone={}",
+    SPDLOG_INFO("market delivered a machine that does not match its bid machine={} type={} zone={}",
                 report.machine, report.type, report.zone);
-    machine.faulty_until = now + for_good_s;
+    machine.faulty_until = now + permanent_fault_duration_s;
   }
   if (as_recorded &&
       (machine.state == MachineState::expected || machine.state == MachineState::lease_expired ||
@@ -132,18 +134,19 @@
 
 void HeartbeatHandler::count_lost_responses(Machine& machine, const StartUpdate& starts,
                                             const ReportProof& proof) {
-  bool lost = proof.none_taken || starts.lost;
-  if (lost || starts.arrived)
-    lost_response_fraction_ += ((lost ? 1 : 0) - lost_response_fraction_) / lost_response_window;
-  machine.lost_responses = lost ? machine.lost_responses + 1 : 0;
+  bool response_lost = proof.no_response_received || starts.some_lost;
+  if (response_lost || starts.some_arrived)
+    lost_response_fraction_ += ((response_lost ? 1 : 0) - lost_response_fraction_) / lost_response_window;
+  machine.lost_responses = response_lost ? machine.lost_responses + 1 : 0;
 }
 
 /// Blocks a machine that does not receive its responses for new tasks for a while, and terminates its tasks
 /// that have not started, so that they are placed elsewhere.
-void HeartbeatHandler::avoid(MachineIndex machine_index, Seconds now) {
+void HeartbeatHandler::block_machine(MachineIndex machine_index, Seconds now) {
   Machine& machine = state_.edit_machine(machine_index);
   if (machine.blocked_until < now)
-    SPDLOG_INFO("responses not received machine={}", state_.names.machines.name(machine_index));
+    SPDLOG_INFO("machine blocked because its agent does not receive responses machine={}",
+                state_.names.machines.name(machine_index));
   machine.blocked_until =
       std::max(machine.blocked_until, now + state_.settings.operator_settings.slow_block_s);
   // Safe, because the last response that carried these starts was not received either.
--- a/src/scheduling/job_transaction_builder.cpp
+++ b/src/scheduling/job_transaction_builder.cpp
@@ -16,9 +16,9 @@
   result_.job = job_index;
 }
 
-bool JobTransactionBuilder::touch(TaskNumber task) {
+bool JobTransactionBuilder::collect_chunk_of(TaskNumber task) {
   if (records_.count(task / tasks_per_chunk) != 0) return true;
-  if (records_.size() >= max_chunks(state_.settings)) return false;
+  if (records_.size() >= max_chunks_per_transaction(state_.settings)) return false;
   records_[task / tasks_per_chunk];
   return true;
 }
@@ -28,13 +28,13 @@
   for (auto& [task, placement] : job_.placements) {
     if (placement.state != PlacementState::reported) placement.restart_requested = false;
     bool changed = is_off_machine(placement.state) || (placement.restart_requested && !placement.restarting);
-    if (changed && touch(task)) has_update = true;
+    if (changed && collect_chunk_of(task)) has_update = true;
     has_finished_ = has_finished_ || placement.state == PlacementState::finished;
     has_terminated_ = has_terminated_ || placement.state == PlacementState::terminated;
     ended_count_ += is_off_machine(placement.state) ? 1 : 0;
   }
   for (const PlacedTask& placed : planned_) {
-    if (is_open() && touch(placed.task)) has_update = true;
+    if (is_open() && collect_chunk_of(placed.task)) has_update = true;
   }
   return has_update || is_cleanup();
 }
--- a/src/scheduling/job_writer.cpp
+++ b/src/scheduling/job_writer.cpp
@@ -6,7 +6,7 @@
 namespace oxbowmill {
 
 void JobWriter::write_changed(PlannedTasks planned, Seconds now, Effects& out) {
-  done_marks_.release_due(now);
+  done_marks_.mark_due_jobs_dirty(now);
   auto dirty = std::move(state_.dirty_jobs);
   state_.dirty_jobs.clear();
   for (JobIndex job_index : dirty) planned.try_emplace(job_index);
@@ -34,7 +34,7 @@
 void JobWriter::write(JobIndex job_index, const std::vector<PlacedTask>& planned, Seconds now, Effects& out) {
   Job& job = state_.job(job_index);
   bool places = !planned.empty() && job.phase == JobPhase::open;
-  if (!places && done_marks_.may_wait(job_index, now)) return;
+  if (!places && done_marks_.may_postpone(job_index, now)) return;
   job.done_marks_due = -1;
   job.done_marks_urgent = false;
   JobTransactionBuilder builder(state_, job_index, planned, now);
--- a/src/scheduling/machine_monitor.cpp
+++ b/src/scheduling/machine_monitor.cpp
@@ -47,9 +47,9 @@
   const Machine& machine = state_.machine(machine_index);
   // Until an inherited machine shows this owner's token, an earlier owner in its read-only period may have
   // kept its tasks alive; `proven_empty_at` allows for that.
-  bool counted = machine.last_answered_report_at >= 0 || machine.state == MachineState::unreconciled ||
-                 (machine.state == MachineState::deleting && machine.inherited);
-  if (!counted || now <= ownership_.proven_empty_at(machine)) return;
+  bool lease_applies = machine.last_answered_report_at >= 0 || machine.state == MachineState::unreconciled ||
+                       (machine.state == MachineState::deleting && machine.inherited);
+  if (!lease_applies || now <= ownership_.proven_empty_at(machine)) return;
   bool known_silent = machine.state == MachineState::lease_expired || machine.state == MachineState::deleting;
   if (known_silent && !evictor_.may_run_tasks(machine)) return;
   SPDLOG_INFO("machine lease expired machine={}", state_.names.machines.name(machine_index));
@@ -64,7 +64,7 @@
       !recovery_admission_->marked_for_deletion(machine_index))
     return false;
   // In the cluster state its tasks stay on it until the deletion is confirmed and its record is removed.
-  SPDLOG_INFO("suspected machine deleted machine={}", state_.names.machines.name(machine_index));
+  SPDLOG_INFO("suspected machine marked for deletion machine={}", state_.names.machines.name(machine_index));
   MachineRecord record = machine.record;
   record.mark = MachineMark::deleting;
   record.requested_by = PartitionIndex{};
@@ -85,24 +85,25 @@
   if (is_overdue(machine, now)) evictor_.stop_unsent(machine_index, now);
 }
 
-MachineMonitor::EmptyMachineUse MachineMonitor::use_of_empty(const Machine& machine,
-                                                             const WaitingWork& waiting, Seconds now) const {
+MachineMonitor::EmptyMachineDisposition MachineMonitor::disposition_of_empty(const Machine& machine,
+                                                                             const WaitingWork& waiting,
+                                                                             Seconds now) const {
   const OperatorSettings& operator_settings = state_.settings.operator_settings;
   double boot_s = state_.catalog[machine.record.type.value].boot_s;
-  bool stuck =
+  bool boot_timed_out =
       !machine.has_booted &&
       now - machine.known_since > operator_settings.boot_timeout_factor * boot_s + state_.settings.lease_s;
-  bool awaited = waiting.on(machine);
-  double retention_s = awaited ? idle_retention_factor * operator_settings.release_to_pool_s
-                               : operator_settings.release_to_pool_s;
+  bool has_waiting_jobs = waiting.can_use(machine);
+  double retention_s = has_waiting_jobs ? idle_retention_factor * operator_settings.release_to_pool_s
+                                        : operator_settings.release_to_pool_s;
   bool idle = machine.state == MachineState::ready && now - machine.idle_since > retention_s;
-  bool unneeded = !awaited && now - machine.known_since > boot_s && is_overdue(machine, now);
-  EmptyMachineUse use;
-  use.useless = machine.preemption_notice || machine.faulty_until > now ||
-                machine.state == MachineState::lease_expired || stuck;
-  use.requested = machine.record.requested_by.valid();
-  use.leaves = idle || use.useless || unneeded || use.requested;
-  return use;
+  bool unneeded = !has_waiting_jobs && now - machine.known_since > boot_s && is_overdue(machine, now);
+  EmptyMachineDisposition disposition;
+  disposition.must_be_deleted = machine.preemption_notice || machine.faulty_until > now ||
+                                machine.state == MachineState::lease_expired || boot_timed_out;
+  disposition.is_requested = machine.record.requested_by.valid();
+  disposition.leaves_partition = idle || disposition.must_be_deleted || unneeded || disposition.is_requested;
+  return disposition;
 }
 
 void MachineMonitor::return_if_unneeded(MachineIndex machine_index, const WaitingWork& waiting, Seconds now,
@@ -113,14 +114,15 @@
   if (machine.record.partition == idle_pool || !machine.placed_tasks.empty() || machine.writing ||
       machine.reservations != 0)
     return;
-  EmptyMachineUse use = use_of_empty(machine, waiting, now);
-  if (!use.leaves) return;
+  EmptyMachineDisposition disposition = disposition_of_empty(machine, waiting, now);
+  if (!disposition.leaves_partition) return;
   MachineRecord record = machine.record;
-  record.partition = use.requested && !use.useless ? machine.record.requested_by : idle_pool;
+  record.partition =
+      disposition.is_requested && !disposition.must_be_deleted ? machine.record.requested_by : idle_pool;
   record.requested_by = PartitionIndex{};
   // The next owner cannot know why this machine cannot be used, so its record says that it is to be deleted.
-  if (use.useless) record.mark = MachineMark::deleting;
-  write_record(machine_index, use.requested ? Urgency::placement : Urgency::other, record, out);
+  if (disposition.must_be_deleted) record.mark = MachineMark::deleting;
+  write_record(machine_index, disposition.is_requested ? Urgency::placement : Urgency::other, record, out);
 }
 
 void MachineMonitor::write_record(MachineIndex machine_index, Urgency urgency, const MachineRecord& record,
--- a/src/scheduling/partition_ownership.cpp
+++ b/src/scheduling/partition_ownership.cpp
@@ -29,13 +29,13 @@
   for (std::uint32_t p = 0; p < state_.partition_count(); ++p) {
     PartitionIndex partition{p};
     if (!owns(partition)) continue;
-    Revision& prepared = prepared_revisions_[p];
-    if (prepared == state_.ownership(partition).revision) continue;
-    prepared = state_.ownership(partition).revision;
+    Revision& failover_revision = failover_revisions_[p];
+    if (failover_revision == state_.ownership(partition).revision) continue;
+    failover_revision = state_.ownership(partition).revision;
     state_.failover(partition, now);
     SPDLOG_INFO("failover: acquired partition partition={} revision={} machines={} jobs={}",
-                state_.names.partitions.name(partition), prepared, state_.machines_of(partition).size(),
-                state_.live_jobs(partition).size());
+                state_.names.partitions.name(partition), failover_revision,
+                state_.machines_of(partition).size(), state_.live_jobs(partition).size());
   }
 }
 
@@ -54,9 +54,9 @@
 }
 
 Seconds PartitionOwnership::proven_empty_at(const Machine& machine) const {
-  bool unproved = machine.state == MachineState::unreconciled ||
-                  (machine.state == MachineState::deleting && machine.inherited);
-  Seconds from = unproved ? exclusively_owned_since(machine) : machine.in_partition_since;
+  bool unreconciled = machine.state == MachineState::unreconciled ||
+                      (machine.state == MachineState::deleting && machine.inherited);
+  Seconds from = unreconciled ? exclusively_owned_since(machine) : machine.in_partition_since;
   return std::max(machine.last_answered_report_at, from) + state_.settings.lease_expiry_s();
 }
 
--- a/src/scheduling/pending_reason.cpp
+++ b/src/scheduling/pending_reason.cpp
@@ -50,9 +50,9 @@
 
 }  // namespace
 
-PendingStatus pending_status_of(const ClusterState& model, const Job& job, Seconds now) {
+PendingStatus pending_status_of(const ClusterState& state, const Job& job, Seconds now) {
   PendingStatus status;
-  if (job.phase != JobPhase::open || model.settings.operator_settings.start_deadline_s <= 0) return status;
+  if (job.phase != JobPhase::open || state.settings.operator_settings.start_deadline_s <= 0) return status;
   for (const auto& [task, placement] : job.placements) {
     if (placement.state == PlacementState::finished || job.has_started(task) || placement.has_started(now))
       continue;
--- a/src/scheduling/placement_cycle.cpp
+++ b/src/scheduling/placement_cycle.cpp
@@ -19,7 +19,7 @@
 /// limit.
 constexpr double partial_placement_write_fraction = 0.35;
 constexpr unsigned attempt_count_bits = 24;  // low bits of an attempt; the ownership revision is above them
-constexpr double no_quota = 1e12;
+constexpr double unlimited = 1e12;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
   cycle.clock = clock;
   cycle.depth = depth;
   cycle.avoid_whole_machines = needs_whole_machines(state_, partition);
-  cycle.capacity = {&capacity_.free_capacity(partition), forecast_.coming_machines(partition, clock.now)};
+  cycle.capacity = {&capacity_.free_capacity(partition), forecast_.expected_machines(partition, clock.now)};
   cycle.quota_left = quota_left(partition);
   cycle.last = &last;
   cycle.planned = &planned;
@@ -61,10 +61,10 @@
 
 Resources PlacementCycle::quota_left(PartitionIndex partition) const {
   const Team& team = state_.settings.teams[partition.value];
-  auto left = [](double limit, double used) { return limit > 0 ? limit - used : no_quota; };
+  auto left = [](double limit, double used) { return limit > 0 ? limit - used : unlimited; };
   // Every task that may be on a machine uses quota, including tasks whose placement is being written.
   Resources used = state_.team_usage(partition);
-  return {left(team.limit.cpus, used.cpus), left(team.limit.gpus, used.gpus), no_quota};
+  return {left(team.limit.cpus, used.cpus), left(team.limit.gpus, used.gpus), unlimited};
 }
 
 std::size_t PlacementCycle::max_placeable(const Cycle& cycle, JobIndex job_index) const {
@@ -89,9 +89,9 @@
     return PendingReason::error_backoff;
   }
   bool gang = job.spec.shape == JobShape::gang;
-  std::size_t most = max_placeable(cycle, waiting.job);
-  if (most == 0 || (gang && most < job.pending_count())) return PendingReason::quota;
-  auto tasks = state_.pending_tasks(job, most);
+  std::size_t max_tasks = max_placeable(cycle, waiting.job);
+  if (max_tasks == 0 || (gang && max_tasks < job.pending_count())) return PendingReason::quota;
+  auto tasks = state_.pending_tasks(job, max_tasks);
   SelectionQuery query = selection_query_for(state_, capacity_, zones_, job, now);
   query.has_start_deadline = waiting.start_deadline != StartDeadline::relaxed;
   if (cycle.avoid_whole_machines && !query.has_start_deadline)
@@ -108,18 +108,18 @@
 
 Selection PlacementCycle::select_machines(Cycle& cycle, const Job& job, const SelectionQuery& query,
                                           const std::vector<TaskNumber>& tasks) {
-  bool preempting = may_preempt_in(cycle, job);
-  if (cycle.failed.covers(job, tasks.size(), query.avoid_whole_machines, preempting)) return {};
-  SelectionRequest request{job, query, tasks, tasks_by_zone(state_, job), preempting};
-  Selection selection = cycle.capacity.free->select(query, tasks, request.by_zone);
+  bool may_preempt = may_preempt_in(cycle, job);
+  if (cycle.failed.covers(job, tasks.size(), query.avoid_whole_machines, may_preempt)) return {};
+  SelectionRequest request{job, query, tasks, tasks_by_zone(state_, job), may_preempt};
+  Selection selection = cycle.capacity.free->select(query, tasks, request.tasks_per_zone);
   if (job.spec.shape == JobShape::gang &&
       (selection.assignments.empty() || selection.last_start_s() > reselection_threshold_s)) {
     improve_gang_selection(cycle, request, selection);
-  } else if (selection.assignments.size() < tasks.size() && preempting) {
+  } else if (selection.assignments.size() < tasks.size() && may_preempt) {
     if (preempt_for_rest(cycle, request)) return selection;
   }
   if (selection.assignments.empty())
-    cycle.failed.add(job, tasks.size(), query.avoid_whole_machines, preempting);
+    cycle.failed.add(job, tasks.size(), query.avoid_whole_machines, may_preempt);
   return selection;
 }
 
@@ -128,8 +128,8 @@
   SelectionQuery query = request.query;
   query.has_start_deadline = query.avoid_whole_machines = false;
   return cycle.capacity.free->select(
-      query, request.tasks, request.by_zone,
-      forecast_.candidates_for(request.job, cycle.capacity.coming, preemption, cycle.clock));
+      query, request.tasks, request.tasks_per_zone,
+      forecast_.candidates_for(request.job, cycle.capacity.expected, preemption, cycle.clock));
 }
 
 void PlacementCycle::improve_gang_selection(const Cycle& cycle, const SelectionRequest& request,
@@ -138,7 +138,7 @@
   // there. Otherwise smaller jobs would take the free machines one by one. Besides, a machine that has the
   // image but is not free yet may start a member sooner than a free machine without it.
   for (Preemption preemption : {Preemption::none, Preemption::lower_priority}) {
-    if (preemption == Preemption::lower_priority && !request.preempting) continue;
+    if (preemption == Preemption::lower_priority && !request.may_preempt) continue;
     Selection better = select_with_forecast(cycle, request, preemption);
     if (better.assignments.empty()) continue;
     if (!selection.assignments.empty() && better.last_start_s() + stop_duration_s > selection.last_start_s())
@@ -150,10 +150,12 @@
 /// Preempts tasks of lower priority for tasks of the job that found no machine. Returns whether some of them
 /// will get a machine soon.
 bool PlacementCycle::preempt_for_rest(const Cycle& cycle, const SelectionRequest& request) {
-  std::size_t without = select_with_forecast(cycle, request, Preemption::none).assignments.size();
-  Selection with = select_with_forecast(cycle, request, Preemption::lower_priority);
-  if (with.assignments.size() > without) preemptor_.preempt_for(request.job, with, cycle.clock);
-  return !with.assignments.empty();
+  std::size_t count_without_preemption =
+      select_with_forecast(cycle, request, Preemption::none).assignments.size();
+  Selection with_preemption = select_with_forecast(cycle, request, Preemption::lower_priority);
+  if (with_preemption.assignments.size() > count_without_preemption)
+    preemptor_.preempt_for(request.job, with_preemption, cycle.clock);
+  return !with_preemption.assignments.empty();
 }
 
 bool PlacementCycle::awaits_leader(const Job& job, const Selection& selection, Seconds now) const {
@@ -164,8 +166,8 @@
          state_.settings.operator_settings.preempt && now - job.first_seen < leader_response_s;
 }
 
-bool PlacementCycle::waits_for_more(const Job& job, std::size_t placeable, std::size_t wanted,
-                                    Seconds now) const {
+bool PlacementCycle::should_batch_placements(const Job& job, std::size_t placeable, std::size_t wanted,
+                                             Seconds now) const {
   // Placing tasks one by one as machines arrive would cost a write each, so their capacity is reserved and
   // the placements are written together.
   return placeable < wanted && write_rate_.exceeds(partial_placement_write_fraction) &&
@@ -176,25 +178,25 @@
                                                const Selection& selection) {
   Job& job = state_.job(job_index);
   Seconds now = cycle.clock.now;
-  bool leader_first = awaits_leader(job, selection, now);
-  if (leader_first) cycle.last->wake_by(job.first_seen + leader_response_s);
-  if (job.spec.shape == JobShape::gang && may_preempt_in(cycle, job) && !leader_first)
+  bool waits_for_leader = awaits_leader(job, selection, now);
+  if (waits_for_leader) cycle.last->wake_by(job.first_seen + leader_response_s);
+  if (job.spec.shape == JobShape::gang && may_preempt_in(cycle, job) && !waits_for_leader)
     preemptor_.preempt_for(job, selection, cycle.clock);
   cycle.quota_left -= static_cast<double>(selection.assignments.size()) * job.spec.task_resources;
   std::vector<PlacedTask> placeable;
   for (const TaskAssignment& assignment : selection.assignments) {
     const CandidateMachine& candidate = selection.machines[assignment.candidate];
-    if (reserve(cycle, job, candidate, leader_first))
+    if (reserve(cycle, job, candidate, waits_for_leader))
       placeable.push_back({assignment.task, candidate.machine, 0, false});
   }
-  bool collects = waits_for_more(job, placeable.size(), wanted, now);
-  if (collects) cycle.last->wake_by(job.last_placement_at + partial_placement_interval_s);
-  if (!collects && !placeable.empty()) {
+  bool batches_placements = should_batch_placements(job, placeable.size(), wanted, now);
+  if (batches_placements) cycle.last->wake_by(job.last_placement_at + partial_placement_interval_s);
+  if (!batches_placements && !placeable.empty()) {
     job.last_placement_at = now;
     plan(job_index, placeable, *cycle.planned);
   }
-  if (leader_first) return PendingReason::awaiting_leader;
-  if (collects) return PendingReason::write_budget;
+  if (waits_for_leader) return PendingReason::awaiting_leader;
+  if (batches_placements) return PendingReason::write_budget;
   if (placeable.size() < selection.assignments.size()) return PendingReason::capacity_coming;
   return placeable.size() < wanted ? PendingReason::no_capacity : PendingReason::transaction_pending;
 }
@@ -210,14 +212,14 @@
     if (awaits_leader) return false;
     // Later tasks on this machine would share the fetch rate with this fetch.
     if (candidate.start_s > 0) capacity.add_fetch(candidate.machine, candidate.start_s);
-    if (job.spec.shape == JobShape::service) capacity.host_service(candidate.machine);
+    if (job.spec.shape == JobShape::service) capacity.mark_long_running(candidate.machine);
     return true;
   }
   if (booted) {
     capacity.take_releasing(candidate.machine, job.spec.task_resources);
     return false;
   }
-  for (ForecastMachine& machine : cycle.capacity.coming) {
+  for (ForecastMachine& machine : cycle.capacity.expected) {
     if (machine.candidate.machine == candidate.machine) machine.expected_capacity -= job.spec.task_resources;
   }
   return false;
@@ -242,7 +244,7 @@
     machines.insert(task.machine);
     chunks.insert(task.task / tasks_per_chunk);
     if (machines.size() > max_guarded_machines(state_.settings) ||
-        chunks.size() > max_chunks(state_.settings))
+        chunks.size() > max_chunks_per_transaction(state_.settings))
       break;
     task.attempt = gang ? shared : next_attempt(partition);
     planned[job_index].push_back(task);
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -9,20 +9,20 @@
 constexpr double machine_check_interval_s = 0.2;
 }  // namespace
 
-Scheduler::Scheduler(ClusterState& model, ControllerLease& lease)
-    : state_(model),
+Scheduler::Scheduler(ClusterState& state, ControllerLease& lease)
+    : state_(state),
       controller_lease_(lease),
-      capacity_(model),
-      ownership_(model, lease),
-      zones_(model),
-      gangs_(model),
-      evictor_(model, gangs_),
-      transactions_(model, ownership_),
-      heartbeats_(model, lease, ownership_, gangs_, evictor_),
-      machine_monitor_(model, ownership_, zones_, transactions_, evictor_),
-      slow_tasks_(model, capacity_, zones_),
-      placement_(model, capacity_, zones_, transactions_.write_rate(), gangs_),
-      job_writer_(model, ownership_, transactions_, gangs_) {}
+      capacity_(state),
+      ownership_(state, lease),
+      zones_(state),
+      gangs_(state),
+      evictor_(state, gangs_),
+      transactions_(state, ownership_),
+      heartbeats_(state, lease, ownership_, gangs_, evictor_),
+      machine_monitor_(state, ownership_, zones_, transactions_, evictor_),
+      slow_tasks_(state, capacity_, zones_),
+      placement_(state, capacity_, zones_, transactions_.write_rate(), gangs_),
+      job_writer_(state, ownership_, transactions_, gangs_) {}
 
 std::uint64_t Scheduler::visits() const {
   std::uint64_t sum = 0;
@@ -46,7 +46,7 @@
   zones_.end_check(clock.now);
 }
 
-void Scheduler::preempt_as_decided(PartitionIndex partition, Seconds now) {
+void Scheduler::preempt_by_constraints(PartitionIndex partition, Seconds now) {
   if (state_.constraints == nullptr) return;
   for (TaskId id : state_.constraints->tasks_to_preempt(partition)) {
     if (Placement* preempted = state_.edit_placement(id))
@@ -70,7 +70,7 @@
       slow_tasks_.check_partition(partition, now);
       log_wait_reasons(state_, partition, clock);
     }
-    preempt_as_decided(partition, now);
+    preempt_by_constraints(partition, now);
     placement_.run(partition, clock, due.machines ? CycleDepth::thorough : CycleDepth::quick, planned);
   }
   job_writer_.write_changed(std::move(planned), now, out);
--- a/src/scheduling/slow_task_detector.cpp
+++ b/src/scheduling/slow_task_detector.cpp
@@ -28,18 +28,20 @@
 
 double slow_baseline(const std::vector<double>& finished, std::uint32_t tasks,
                      const OperatorSettings& operator_settings) {
-  std::size_t need = finishes_needed(tasks, operator_settings.finished_ratio);
-  if (finished.size() < need) return -1;
-  std::vector<double> earliest(finished.begin(), finished.begin() + static_cast<std::ptrdiff_t>(need));
+  std::size_t needed_count = finishes_needed(tasks, operator_settings.finished_ratio);
+  if (finished.size() < needed_count) return -1;
+  std::vector<double> earliest(finished.begin(),
+                               finished.begin() + static_cast<std::ptrdiff_t>(needed_count));
   std::sort(earliest.begin(), earliest.end());
-  double median = need % 2 == 1 ? earliest[need / 2] : (earliest[need / 2 - 1] + earliest[need / 2]) / 2;
+  double median = needed_count % 2 == 1 ? earliest[needed_count / 2]
+                                        : (earliest[needed_count / 2 - 1] + earliest[needed_count / 2]) / 2;
   return std::max(median * operator_settings.slow_multiplier, operator_settings.baseline_floor_s);
 }
 
 void SlowTaskDetector::check_partition(PartitionIndex partition, Seconds now) {
-  TasksByMachine slow;
-  for (JobIndex job_index : state_.live_jobs(partition)) find_slow_tasks(job_index, now, slow);
-  for (auto& [machine_index, tasks] : slow) {
+  TasksByMachine slow_tasks;
+  for (JobIndex job_index : state_.live_jobs(partition)) find_slow_tasks(job_index, now, slow_tasks);
+  for (auto& [machine_index, tasks] : slow_tasks) {
     std::set<JobIndex> jobs;
     for (TaskId id : tasks) jobs.insert(id.job);
     if (jobs.size() < min_jobs_to_block) continue;
@@ -48,7 +50,7 @@
   }
 }
 
-void SlowTaskDetector::find_slow_tasks(JobIndex job_index, Seconds now, TasksByMachine& slow) {
+void SlowTaskDetector::find_slow_tasks(JobIndex job_index, Seconds now, TasksByMachine& slow_tasks) {
   Job& job = state_.job(job_index);
   if (job.spec.shape != JobShape::array || job.phase != JobPhase::open || job.placements.empty()) return;
   if (job.slow_baseline_s < 0) {
@@ -61,7 +63,7 @@
         placement.restart_requested)
       continue;
     if (is_slow(now - placement.started_at, job.slow_baseline_s))
-      slow[placement.machine].push_back({job_index, task});
+      slow_tasks[placement.machine].push_back({job_index, task});
   }
 }
 
--- a/src/scheduling/task_report_reader.cpp
+++ b/src/scheduling/task_report_reader.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double max_error_backoff_s = 30, first_error_backoff_s = 0.5;
+constexpr double max_error_backoff_s = 30, error_backoff_base_s = 0.5;
 constexpr std::uint32_t max_backoff_doublings = 6;
 constexpr double faulty_duration_s = 600;
 constexpr std::uint32_t min_errors_of_faulty_machine = 3;  // of tasks of any job
@@ -19,8 +19,8 @@
 constexpr double blocked_report_intervals = 2;        // how long a machine that lacked capacity is blocked
 // A task counts as running between two reports that are at most so many intervals plus this slack apart; in a
 // longer gap the machine may have hung.
-constexpr double hung_report_intervals = 2;
-constexpr double hung_slack_s = 1;
+constexpr double running_gap_report_intervals = 2;
+constexpr double running_gap_slack_s = 1;
 
 const TaskReport* find_task_report(const WorkerReport& report, const std::string& job_ref,
                                    const Placement& placement) {
@@ -36,20 +36,20 @@
 StartUpdate TaskReportReader::read(MachineIndex machine_index, const WorkerReport& report,
                                    const ReportProof& proof, Seconds now) {
   Machine& machine = state_.edit_machine(machine_index);
-  Reading reading{report, proof, machine, now, {}};
+  ReportContext context{report, proof, machine, now, {}};
   auto task_ids = machine.placed_tasks;
   for (TaskId id : task_ids) {
     Placement& placement = *state_.edit_placement(id);
     if (is_off_machine(placement.state)) continue;
     const TaskReport* task_report = find_task_report(report, state_.job(id.job).spec.ref, placement);
     if (task_report != nullptr) {
-      read_listed(reading, placement, *task_report);
+      read_listed(context, placement, *task_report);
     } else {
-      read_absent(reading, placement);
+      read_absent(context, placement);
     }
   }
   check_gangs_and_marks(machine_index, task_ids, now);
-  return reading.starts;
+  return context.starts;
 }
 
 void TaskReportReader::check_gangs_and_marks(MachineIndex machine_index, const std::vector<TaskId>& task_ids,
@@ -67,7 +67,8 @@
   if (all_off) request_done_marks(state_, machine_index);
 }
 
-void TaskReportReader::read_listed(Reading& reading, Placement& placement, const TaskReport& task_report) {
+void TaskReportReader::read_listed(ReportContext& context, Placement& placement,
+                                   const TaskReport& task_report) {
   bool ended = task_report.phase == TaskPhase::ended;
   if (ended && placement.state == PlacementState::placed && !placement.inherited &&
       placement.sent_report_sequence == 0) {
@@ -81,31 +82,31 @@
   // or an agent epoch before the one in which the task runs. When such ends were accepted, a gang member that
   // had ended `incomplete` and been started again on the same machine ran there and elsewhere at once. An end
   // with cause `done` is always accepted, because a task that is done stays done.
-  bool unconfirmed_failover = placement.inherited && !reading.proof.fencing_token_shown;
+  bool unconfirmed_failover = placement.inherited && !context.proof.fencing_token_shown;
   if (ended && unconfirmed_failover && task_report.cause != EndCause::done) return;
-  reading.starts.arrived = reading.starts.arrived || placement.state == PlacementState::sent;
-  if (placement.started_at <= 0) placement.started_at = reading.now;
+  context.starts.some_arrived = context.starts.some_arrived || placement.state == PlacementState::sent;
+  if (placement.started_at <= 0) placement.started_at = context.now;
   if (!unconfirmed_failover) {
     placement.inherited = false;
     if (placement.sent_agent_epoch == 0) {
-      placement.sent_agent_epoch = reading.report.agent_epoch;
-      placement.sent_report_sequence = reading.report.report_sequence;
+      placement.sent_agent_epoch = context.report.agent_epoch;
+      placement.sent_report_sequence = context.report.report_sequence;
     }
   }
   placement.phase = task_report.phase;
   if (ended) {
-    on_ended(reading, placement, task_report);
+    on_ended(context, placement, task_report);
   } else {
-    on_alive(reading, placement, task_report);
+    on_alive(context, placement, task_report);
   }
 }
 
-void TaskReportReader::on_alive(Reading& reading, Placement& placement, const TaskReport& task_report) {
-  Seconds now = reading.now;
+void TaskReportReader::on_alive(ReportContext& context, Placement& placement, const TaskReport& task_report) {
+  Seconds now = context.now;
   if (task_report.phase == TaskPhase::running) {
     // Counts run time only between reports close enough together to exclude that the machine hung in between,
     // and not for a task that is being stopped, which makes no more progress.
-    double max_gap_s = hung_report_intervals * state_.settings.report_interval_s + hung_slack_s;
+    double max_gap_s = running_gap_report_intervals * state_.settings.report_interval_s + running_gap_slack_s;
     bool ran_since = placement.last_running_at >= 0 && now - placement.last_running_at < max_gap_s;
     if (ran_since && placement.state != PlacementState::stopping)
       placement.observed_run_s += now - placement.last_running_at;
@@ -114,18 +115,18 @@
   if (task_report.phase == TaskPhase::running && placement.running_at < 0) {
     placement.running_at = now;
     SPDLOG_DEBUG("task running task={}/{} machine={} after_s={:.1f}", state_.job(placement.job).spec.ref,
-                 placement.task, reading.report.machine, now - placement.started_at);
+                 placement.task, context.report.machine, now - placement.started_at);
   }
   if (placement.state != PlacementState::stopping) state_.set_state(placement, PlacementState::reported, now);
 }
 
-void TaskReportReader::read_absent(Reading& reading, Placement& placement) {
-  const WorkerReport& report = reading.report;
+void TaskReportReader::read_absent(ReportContext& context, Placement& placement) {
+  const WorkerReport& report = context.report;
   // A task's absence proves something only if the report shows this owner's fencing token or a later agent
   // epoch, or if the agent has received none of this owner's responses, and so not the one that carried the
   // start.
-  bool start_not_taken = reading.proof.none_taken && placement.state == PlacementState::sent;
-  if (!reading.proof.fencing_token_shown && !start_not_taken &&
+  bool start_not_taken = context.proof.no_response_received && placement.state == PlacementState::sent;
+  if (!context.proof.fencing_token_shown && !start_not_taken &&
       (placement.sent_agent_epoch == 0 || report.agent_epoch <= placement.sent_agent_epoch))
     return;
   // The report also has to be newer than the one whose response carried the start: only then was that
@@ -134,21 +135,21 @@
                std::tie(placement.sent_agent_epoch, placement.sent_report_sequence);
   if (!newer) return;
   if (placement.state == PlacementState::sent) {
-    state_.set_state(placement, PlacementState::placed, reading.now);  // the start was lost and is sent again
-    reading.starts.lost = true;
+    state_.set_state(placement, PlacementState::placed, context.now);  // the start was lost and is sent again
+    context.starts.some_lost = true;
   } else if (placement.state == PlacementState::reported || placement.state == PlacementState::stopping) {
     placement.cause = EndCause::none;
-    state_.set_state(placement, PlacementState::terminated, reading.now);
+    state_.set_state(placement, PlacementState::terminated, context.now);
   } else {
     placement.inherited = false;  // placed by an earlier owner and not running: it may be started now
     placement.started_at = 0;
   }
 }
 
-void TaskReportReader::on_ended(Reading& reading, Placement& placement, const TaskReport& task_report) {
+void TaskReportReader::on_ended(ReportContext& context, Placement& placement, const TaskReport& task_report) {
   Job& job = state_.job(placement.job);
-  Machine& machine = reading.machine;
-  Seconds now = reading.now;
+  Machine& machine = context.machine;
+  Seconds now = context.now;
   placement.cause = task_report.cause;
   placement.checkpoint_saved = task_report.checkpoint_saved;
   SPDLOG_DEBUG("task ended task={}/{} machine={} cause={}", job.spec.ref, placement.task,
@@ -159,7 +160,7 @@
   }
   if (task_report.cause == EndCause::peers_lost) job.broken_attempt = placement.attempt;
   if (task_report.cause == EndCause::error || task_report.cause == EndCause::no_such) {
-    on_error(reading, placement, task_report);
+    on_error(context, placement, task_report);
   } else if (task_report.cause == EndCause::no_capacity) {
     machine.blocked_until =
         std::max(machine.blocked_until, now + blocked_report_intervals * state_.settings.report_interval_s);
@@ -181,21 +182,22 @@
   state_.set_state(placement, PlacementState::finished, now);
 }
 
-void TaskReportReader::on_error(Reading& reading, const Placement& placement, const TaskReport& task_report) {
+void TaskReportReader::on_error(ReportContext& context, const Placement& placement,
+                                const TaskReport& task_report) {
   Job& job = state_.job(placement.job);
-  Machine& machine = reading.machine;
+  Machine& machine = context.machine;
   ++job.error_count;
   if (task_report.cause == EndCause::error) ++machine.error_count;
   double backoff_s = std::min(
       max_error_backoff_s,
-      first_error_backoff_s * static_cast<double>(1U << std::min(job.error_count, max_backoff_doublings)));
-  job.placement_backoff_until = reading.now + backoff_s;
+      error_backoff_base_s * static_cast<double>(1U << std::min(job.error_count, max_backoff_doublings)));
+  job.placement_backoff_until = context.now + backoff_s;
   SPDLOG_INFO("task failed task={}/{} machine={} cause={}", job.spec.ref, placement.task,
               state_.names.machines.name(placement.machine), name_of(task_report.cause));
   // A faulty job must not take machines out of use: a machine counts as faulty only after several errors, and
   // not because of a job that keeps failing.
   if (machine.error_count >= min_errors_of_faulty_machine && job.error_count <= max_errors_of_sound_job)
-    machine.faulty_until = reading.now + faulty_duration_s;
+    machine.faulty_until = context.now + faulty_duration_s;
 }
 
 }  // namespace oxbowmill
--- a/src/scheduling/whole_machines.cpp
+++ b/src/scheduling/whole_machines.cpp
@@ -13,9 +13,9 @@
 }
 
 /// Number of the job's tasks that fit on expected spot machines shared with other tasks.
-std::size_t count_coming_places(const ClusterState& state, const Job& job, const CycleCapacity& capacity) {
+std::size_t count_expected_places(const ClusterState& state, const Job& job, const CycleCapacity& capacity) {
   std::size_t places = 0;
-  for (const ForecastMachine& machine : capacity.coming) {
+  for (const ForecastMachine& machine : capacity.expected) {
     if (accepts_spot(job, machine.candidate) &&
         packs_with_others(job.spec, state.catalog[machine.candidate.type.value]))
       places += static_cast<std::size_t>(how_many_fit(job.spec.task_resources, machine.expected_capacity));
@@ -24,8 +24,8 @@
 }
 
 /// Takes expected capacity for that many tasks, so that later jobs in the queue do not count on it.
-void reserve_coming(const Job& job, std::size_t tasks, CycleCapacity& capacity) {
-  for (ForecastMachine& machine : capacity.coming) {
+void reserve_expected(const Job& job, std::size_t tasks, CycleCapacity& capacity) {
+  for (ForecastMachine& machine : capacity.expected) {
     if (!accepts_spot(job, machine.candidate)) continue;
     while (tasks > 0 && fits(job.spec.task_resources, machine.expected_capacity)) {
       machine.expected_capacity -= job.spec.task_resources;
@@ -49,16 +49,16 @@
                                                  std::vector<TaskNumber> tasks) {
   if (job.spec.shape != JobShape::array || !job.spec.spot) return tasks;
   query.avoid_whole_machines = true;
-  std::size_t elsewhere = capacity.free->count_packed_places(query, tasks.size());
-  if (tasks.size() <= elsewhere) return tasks;
-  std::size_t coming = count_coming_places(state, job, capacity);
-  bool patient = now - job.first_seen < state.settings.operator_settings.scale_out_delay_s;
-  if (!patient && tasks.size() > elsewhere + coming) {
+  std::size_t packed_places = capacity.free->count_packed_places(query, tasks.size());
+  if (tasks.size() <= packed_places) return tasks;
+  std::size_t expected_places = count_expected_places(state, job, capacity);
+  bool within_scale_out_delay = now - job.first_seen < state.settings.operator_settings.scale_out_delay_s;
+  if (!within_scale_out_delay && tasks.size() > packed_places + expected_places) {
     query.avoid_whole_machines = false;  // more tasks than expected capacity: they may use whole machines
     return tasks;
   }
-  reserve_coming(job, tasks.size() - elsewhere, capacity);
-  tasks.resize(elsewhere);
+  reserve_expected(job, tasks.size() - packed_places, capacity);
+  tasks.resize(packed_places);
   return tasks;
 }
 
--- a/src/scheduling/zone_reachability.cpp
+++ b/src/scheduling/zone_reachability.cpp
@@ -33,25 +33,27 @@
 
 void ZoneReachability::begin_check() {
   zones_.resize(state_.names.zones.size());
-  for (Zone& zone : zones_) zone.reported = zone.expected = 0;
+  for (Zone& zone : zones_) zone.reported_count = zone.expected_count = 0;
 }
 
 void ZoneReachability::count_machine(ZoneIndex zone, bool reported) {
-  ++zones_[zone.value].expected;
-  zones_[zone.value].reported += reported ? 1 : 0;
+  ++zones_[zone.value].expected_count;
+  zones_[zone.value].reported_count += reported ? 1 : 0;
 }
 
 void ZoneReachability::end_check(Seconds now) {
   // A controller that gets reports from no zone is disconnected itself, so no zone counts as silent then.
-  bool any = std::any_of(zones_.begin(), zones_.end(), [](const Zone& zone) { return zone.reported > 0; });
+  bool any_reported =
+      std::any_of(zones_.begin(), zones_.end(), [](const Zone& zone) { return zone.reported_count > 0; });
   for (std::uint32_t z = 0; z < zones_.size(); ++z) {
     Zone& zone = zones_[z];
-    bool silent = any && zone.expected >= min_machines_for_unreachable && zone.reported * 4 < zone.expected;
+    bool silent = any_reported && zone.expected_count >= min_machines_for_unreachable &&
+                  zone.reported_count * 4 < zone.expected_count;
     if (silent && zone.unreachable_until < now)
       SPDLOG_INFO("zone unreachable zone={} reported={} expected={}", state_.names.zones.name(ZoneIndex{z}),
-                  zone.reported, zone.expected);
+                  zone.reported_count, zone.expected_count);
     if (silent) zone.unreachable_until = now + unreachable_duration_s;
-    if (zone.reported * 2 > zone.expected) zone.unreachable_until = long_ago;
+    if (zone.reported_count * 2 > zone.expected_count) zone.unreachable_until = long_ago;
   }
 }
 
--- a/tests/bench/placement_bench.cpp
+++ b/tests/bench/placement_bench.cpp
@@ -34,8 +34,8 @@
     return selection.assignments.size();
   }
   std::size_t place_by_full_scan() {
-    auto nodes = candidates_;
-    return full_scan::select(query_, state_, tasks_, {0, 0}, nodes).size();
+    auto candidates = candidates_;
+    return full_scan::select(query_, state_, tasks_, {0, 0}, candidates).size();
   }
   std::uint64_t visited_machines() const { return index_.visits(); }
 
@@ -49,21 +49,21 @@
 };
 
 void jobs_by_index(benchmark::State& state) {
-  PartlyFreeCluster fleet(static_cast<std::uint32_t>(state.range(0)));
-  std::uint64_t before = fleet.visited_machines();
+  PartlyFreeCluster cluster(static_cast<std::uint32_t>(state.range(0)));
+  std::uint64_t before = cluster.visited_machines();
   std::size_t placed = 0;
   for (auto _ : state) {
-    for (std::int64_t job = 0; job < state.range(1); ++job) placed += fleet.place_by_index();
+    for (std::int64_t job = 0; job < state.range(1); ++job) placed += cluster.place_by_index();
   }
   state.counters["visits_a_task"] =
-      static_cast<double>(fleet.visited_machines() - before) / static_cast<double>(placed);
+      static_cast<double>(cluster.visited_machines() - before) / static_cast<double>(placed);
 }
 
 void jobs_by_full_scan(benchmark::State& state) {
-  PartlyFreeCluster fleet(static_cast<std::uint32_t>(state.range(0)));
+  PartlyFreeCluster cluster(static_cast<std::uint32_t>(state.range(0)));
   for (auto _ : state) {
     for (std::int64_t job = 0; job < state.range(1); ++job)
-      benchmark::DoNotOptimize(fleet.place_by_full_scan());
+      benchmark::DoNotOptimize(cluster.place_by_full_scan());
   }
   state.counters["visits_a_task"] = static_cast<double>(state.range(0)) / 18;
 }
--- a/tests/free_capacity_test.cpp
+++ b/tests/free_capacity_test.cpp
@@ -62,14 +62,14 @@
   void place_and_compare(const JobSpec& spec) {
     SelectionQuery query = this->random_query(spec);
     std::vector<TaskNumber> tasks(spec.tasks);
-    for (TaskNumber t = 0; t < spec.tasks; ++t) tasks[t] = t;
-    std::vector<std::uint32_t> by_zone(3);
-    if (random_below(4) == 0) by_zone[random_below(3)] = 1;
-    Selection selection = index_.select(query, tasks, by_zone);
-    auto expected = full_scan::select(query, state_, tasks, by_zone, candidates_);
+    for (TaskNumber task = 0; task < spec.tasks; ++task) tasks[task] = task;
+    std::vector<std::uint32_t> tasks_per_zone(3);
+    if (random_below(4) == 0) tasks_per_zone[random_below(3)] = 1;
+    Selection selection = index_.select(query, tasks, tasks_per_zone);
+    auto expected = full_scan::select(query, state_, tasks, tasks_per_zone, candidates_);
     std::vector<std::pair<TaskNumber, MachineIndex>> chosen;
-    for (const TaskAssignment& c : selection.assignments) {
-      chosen.emplace_back(c.task, selection.machines[c.candidate].machine);
+    for (const TaskAssignment& assignment : selection.assignments) {
+      chosen.emplace_back(assignment.task, selection.machines[assignment.candidate].machine);
       index_.take(chosen.back().second, spec.task_resources);
     }
     ASSERT_EQ(chosen, expected);
@@ -83,20 +83,21 @@
     MachineIndex machine = state_.intern_machine("m" + std::to_string(i));
     Machine& current_machine = state_.edit_machine(machine);
     MachineCapacity capacity;
-    CandidateMachine& node = capacity.candidate;
-    node = {machine, TypeIndex{random_below(2)}, ZoneIndex{random_below(3)}, random_below(2) == 0, 0, {}};
-    node.free_capacity = state_.catalog[node.type.value].capacity;
+    CandidateMachine& candidate = capacity.candidate;
+    candidate = {machine, TypeIndex{random_below(2)}, ZoneIndex{random_below(3)}, random_below(2) == 0, 0,
+                 {}};
+    candidate.free_capacity = state_.catalog[candidate.type.value].capacity;
     if (random_below(3) != 0)
-      node.free_capacity -= {static_cast<double>(random_below(40)), static_cast<double>(random_below(5)),
-                             static_cast<double>(random_below(100))};
-    node.long_running = random_below(4) == 0;
+      candidate.free_capacity -= {static_cast<double>(random_below(40)), static_cast<double>(random_below(5)),
+                                  static_cast<double>(random_below(100))};
+    candidate.long_running = random_below(4) == 0;
     for (std::uint32_t image = 0; image < 2; ++image) {
       if (random_below(3) == 0) capacity.images.push_back(ImageIndex{image});
     }
     current_machine.cached_images = capacity.images;
     fetch_backlog_s_.push_back(random_below(4) == 0 ? 1 + random_below(20) : 0);
     capacity.fetching_images = fetch_backlog_s_.back() > 0;
-    candidates_.push_back(node);
+    candidates_.push_back(candidate);
     candidates_.back().fetch_backlog_s = fetch_backlog_s_.back();
     index_.update(machine, capacity);
   }
@@ -109,10 +110,10 @@
 
 TEST(FreeCapacity, MatchesFullScanOnTenThousandRandomClusters) {
   for (std::uint32_t seed = 1; seed <= 10000; ++seed) {
-    RandomCluster fleet(seed);
-    std::uint32_t jobs = 1 + fleet.random_below(12);
+    RandomCluster cluster(seed);
+    std::uint32_t jobs = 1 + cluster.random_below(12);
     for (std::uint32_t i = 0; i < jobs; ++i) {
-      ASSERT_NO_FATAL_FAILURE(fleet.place_and_compare(fleet.random_job()))
+      ASSERT_NO_FATAL_FAILURE(cluster.place_and_compare(cluster.random_job()))
           << "seed " << seed << ", job " << i;
     }
   }
@@ -121,11 +122,11 @@
 /// Returns how many machines a selection visits in a cluster of machines with 4 GPUs in two zones, of which
 /// `free` are free and the others are full.
 std::uint64_t count_visits(std::uint32_t machines, std::uint32_t free, std::uint32_t tasks, double gpus) {
-  ClusterState model(simulation::test_settings("n"), simulation::test_names());
-  model.catalog = simulation::test_catalog();
-  FreeCapacity index(model);
+  ClusterState state(simulation::test_settings("n"), simulation::test_names());
+  state.catalog = simulation::test_catalog();
+  FreeCapacity index(state);
   for (std::uint32_t i = 0; i < machines; ++i) {
-    MachineIndex machine = model.intern_machine("m" + std::to_string(i));
+    MachineIndex machine = state.intern_machine("m" + std::to_string(i));
     MachineCapacity capacity;
     double used = i < free ? 0 : 4;
     capacity.candidate = {machine, TypeIndex{0}, ZoneIndex{i % 2}, false, 0, {32 - 2 * used, 4 - used, 128}};
@@ -135,7 +136,7 @@
   SelectionQuery query;
   query.spec = &spec;
   std::vector<TaskNumber> numbers(tasks);
-  for (TaskNumber t = 0; t < tasks; ++t) numbers[t] = t;
+  for (TaskNumber task = 0; task < tasks; ++task) numbers[task] = task;
   std::uint64_t before = index.visits();
   index.select(query, numbers, {0, 0});
   return index.visits() - before;
@@ -152,10 +153,10 @@
 }
 
 TEST(FreeCapacity, ProvisionalReservationsAreReleasedByTheNextUpdate) {
-  ClusterState model(simulation::test_settings("n"), simulation::test_names());
-  model.catalog = simulation::test_catalog();
-  FreeCapacity index(model);
-  MachineIndex machine = model.intern_machine("m");
+  ClusterState state(simulation::test_settings("n"), simulation::test_names());
+  state.catalog = simulation::test_catalog();
+  FreeCapacity index(state);
+  MachineIndex machine = state.intern_machine("m");
   MachineCapacity capacity;
   capacity.candidate = {machine, TypeIndex{0}, ZoneIndex{0}, false, 0, {32, 4, 128}};
   index.update(machine, capacity);
@@ -187,9 +188,9 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(3);
-  ClusterState& model = cluster.controller(0).cluster_state;
-  MachineIndex m1 = model.names.machines.find("m1");
-  model.edit_machine(m1).blocked_until = cluster.now + 5;
+  ClusterState& state = cluster.controller(0).cluster_state;
+  MachineIndex m1 = state.names.machines.find("m1");
+  state.edit_machine(m1).blocked_until = cluster.now + 5;
   cluster.submit(test_job("run-1", 1));
   cluster.run(3);
   EXPECT_TRUE(cluster.machines_of_task("run-1", 0).empty());
@@ -197,7 +198,7 @@
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   // A machine that no longer reports gets no new tasks, even before it counts as silent.
   cluster.silenced_workers.insert("m1");
-  cluster.run(model.settings.report_interval_s * 2.5 + 2);
+  cluster.run(state.settings.report_interval_s * 2.5 + 2);
   cluster.submit(test_job("run-2", 1));
   cluster.run(1);
   EXPECT_TRUE(cluster.machines_of_task("run-2", 0).empty());
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -20,12 +20,12 @@
     JobShape shape;
     std::uint32_t tasks;
     double gpus;
-    bool one_zone, scatter, spot;
+    bool single_zone, spread_zones, spot;
     std::vector<CandidateMachine> candidates;
-    std::size_t placed;
+    std::size_t expected_count;
   };
   const Case cases[] = {
-      {"array takes what fits",
+      {"an array places the tasks that fit",
        JobShape::array,
        6,
        1,
@@ -34,7 +34,7 @@
        false,
        {make_candidate(0, 4), make_candidate(1, 1)},
        5},
-      {"gang takes all",
+      {"a gang that fits places all members",
        JobShape::gang,
        5,
        1,
@@ -43,7 +43,7 @@
        false,
        {make_candidate(0, 4), make_candidate(1, 1)},
        5},
-      {"gang takes none",
+      {"a gang that does not fit places no member",
        JobShape::gang,
        6,
        1,
@@ -52,7 +52,7 @@
        false,
        {make_candidate(0, 4), make_candidate(1, 1)},
        0},
-      {"gang in one zone does not fit",
+      {"a single-zone gang does not use two zones",
        JobShape::gang,
        2,
        4,
@@ -61,7 +61,7 @@
        false,
        {make_candidate(0, 4), make_candidate(1, 4)},
        0},
-      {"gang in one zone fits",
+      {"a single-zone gang uses the zone that fits all members",
        JobShape::gang,
        2,
        4,
@@ -70,7 +70,7 @@
        false,
        {make_candidate(0, 4), make_candidate(1, 4), make_candidate(1, 4)},
        2},
-      {"half of the tasks per zone, rounded up",
+      {"a spread job places half of its tasks per zone, rounded up",
        JobShape::array,
        5,
        1,
@@ -79,8 +79,16 @@
        false,
        {make_candidate(0, 4), make_candidate(0, 4)},
        3},
-      {"one of one", JobShape::array, 1, 1, false, true, false, {make_candidate(0, 4)}, 1},
-      {"no spot machine without leave",
+      {"a spread job of one task needs one zone only",
+       JobShape::array,
+       1,
+       1,
+       false,
+       true,
+       false,
+       {make_candidate(0, 4)},
+       1},
+      {"a job that does not accept spot machines gets none",
        JobShape::array,
        1,
        1,
@@ -89,7 +97,7 @@
        false,
        {make_candidate(0, 4, false, true)},
        0},
-      {"spot machine with leave",
+      {"a job that accepts spot machines gets one",
        JobShape::array,
        1,
        1,
@@ -98,18 +106,26 @@
        true,
        {make_candidate(0, 4, false, true)},
        1},
-      {"too large", JobShape::array, 1, 5, false, false, false, {make_candidate(0, 4)}, 0},
+      {"a task larger than the free capacity is not placed",
+       JobShape::array,
+       1,
+       5,
+       false,
+       false,
+       false,
+       {make_candidate(0, 4)},
+       0},
   };
   for (const Case& test_case : cases) {
     JobSpec job_spec = test_job("run-1", test_case.tasks, test_case.gpus);
     job_spec.shape = test_case.shape;
-    job_spec.single_zone = test_case.one_zone;
-    job_spec.spread_zones = test_case.scatter;
+    job_spec.single_zone = test_case.single_zone;
+    job_spec.spread_zones = test_case.spread_zones;
     job_spec.spot = test_case.spot;
     std::vector<TaskNumber> tasks;
-    for (TaskNumber t = 0; t < test_case.tasks; ++t) tasks.push_back(t);
-    auto bins = test_case.candidates;
-    EXPECT_EQ(choose_machines(job_spec, tasks, bins, {0, 0}).size(), test_case.placed)
+    for (TaskNumber task = 0; task < test_case.tasks; ++task) tasks.push_back(task);
+    auto candidates = test_case.candidates;
+    EXPECT_EQ(choose_machines(job_spec, tasks, candidates, {0, 0}).size(), test_case.expected_count)
         << test_case.description;
   }
 }
@@ -117,39 +133,46 @@
 TEST(Placement, EarlierAttemptsFixTheZone) {
   JobSpec job_spec = test_job("run-1", 3);
   job_spec.single_zone = true;
-  std::vector<CandidateMachine> bins = {make_candidate(0, 4), make_candidate(1, 1)};
-  auto chosen = choose_machines(job_spec, {1, 2}, bins, {0, 1});
+  std::vector<CandidateMachine> candidates = {make_candidate(0, 4), make_candidate(1, 1)};
+  auto chosen = choose_machines(job_spec, {1, 2}, candidates, {0, 1});
   ASSERT_EQ(chosen.size(), 1U);
-  EXPECT_EQ(bins[chosen[0].candidate].zone.value, 1U);
-  EXPECT_TRUE(choose_machines(job_spec, {2}, bins, {1, 1}).empty());
+  EXPECT_EQ(candidates[chosen[0].candidate].zone.value, 1U);
+  EXPECT_TRUE(choose_machines(job_spec, {2}, candidates, {1, 1}).empty());
 }
 
 TEST(Placement, PrefersCachedImageThenFullestMachine) {
   JobSpec job_spec = test_job("run-1", 1);
-  std::vector<CandidateMachine> bins = {make_candidate(0, 4), make_candidate(0, 2),
-                                        make_candidate(0, 3, true)};
-  EXPECT_EQ(choose_machines(job_spec, {0}, bins, {0, 0})[0].candidate, 2U);
-  bins = {make_candidate(0, 4), make_candidate(0, 2)};
-  EXPECT_EQ(choose_machines(job_spec, {0}, bins, {0, 0})[0].candidate, 1U);
+  std::vector<CandidateMachine> candidates = {make_candidate(0, 4), make_candidate(0, 2),
+                                              make_candidate(0, 3, true)};
+  EXPECT_EQ(choose_machines(job_spec, {0}, candidates, {0, 0})[0].candidate, 2U);
+  candidates = {make_candidate(0, 4), make_candidate(0, 2)};
+  EXPECT_EQ(choose_machines(job_spec, {0}, candidates, {0, 0})[0].candidate, 1U);
 }
 
-TEST(DeadlineOrder, AbandonsTheFewestJobs) {
+TEST(DeadlineOrder, GivesUpTheFewestJobs) {
   struct Case {
     const char* description;
     std::vector<DueJob> jobs;
-    double rate;
-    std::vector<bool> abandoned;
+    double machines_per_s;
+    std::vector<bool> given_up;
   };
   const Case cases[] = {
-      {"all in time", {{10, 5}, {20, 5}}, 1, {false, false}},
-      {"the largest goes, whatever its time", {{10, 8}, {12, 4}, {14, 4}}, 1, {true, false, false}},
-      {"late already", {{-1, 1}, {5, 5}}, 1, {true, false}},
-      {"late already does not count against others", {{-1, 100}, {-2, 50}, {5, 5}}, 1, {true, true, false}},
-      {"no room comes", {{10, 1}, {20, 1}}, 0, {true, true}},
-      {"at its very time", {{5, 5}}, 1, {false}},
-      {"none", {}, 1, {}},
+      {"every job can start in time", {{10, 5}, {20, 5}}, 1, {false, false}},
+      {"the largest job is given up, although it is due first",
+       {{10, 8}, {12, 4}, {14, 4}},
+       1,
+       {true, false, false}},
+      {"a job that is already late is given up", {{-1, 1}, {5, 5}}, 1, {true, false}},
+      {"jobs that are already late do not delay others",
+       {{-1, 100}, {-2, 50}, {5, 5}},
+       1,
+       {true, true, false}},
+      {"no capacity becomes free", {{10, 1}, {20, 1}}, 0, {true, true}},
+      {"a job that starts exactly when it is due is in time", {{5, 5}}, 1, {false}},
+      {"no jobs", {}, 1, {}},
   };
-  for (const Case& c : cases) EXPECT_EQ(select_late_jobs(c.jobs, c.rate), c.abandoned) << c.description;
+  for (const Case& c : cases)
+    EXPECT_EQ(select_late_jobs(c.jobs, c.machines_per_s), c.given_up) << c.description;
 }
 
 TEST(Placement, CountsTasksThatFit) {
@@ -159,9 +182,9 @@
 }
 
 JobSpec gang_job(const std::string& ref, std::uint32_t tasks) {
-  JobSpec s = test_job(ref, tasks, 4);
-  s.shape = JobShape::gang;
-  return s;
+  JobSpec spec = test_job(ref, tasks, 4);
+  spec.shape = JobShape::gang;
+  return spec;
 }
 
 TEST(GangScheduling, StartsAllMembersWithOneAttemptAndFinishesTogether) {
@@ -254,7 +277,7 @@
   // Guards against a fault in which arrays took each machine emptied for a gang before the next one was
   // empty.
   SimulatedCluster cluster;
-  for (const char* m : {"m1", "m2", "m3"}) cluster.add_machine(m, "a", "blue");
+  for (const char* machine : {"m1", "m2", "m3"}) cluster.add_machine(machine, "a", "blue");
   JobSpec low = test_job("run-1", 40);
   low.partition = PartitionIndex{2};
   low.priority = Priority::low;
@@ -266,10 +289,11 @@
   high.priority = Priority::high;
   cluster.submit(high);
   cluster.run(6);
-  for (const char* t : {"run-2/0", "run-2/1", "run-2/2"}) EXPECT_EQ(cluster.run_log.starts[t], 1) << t;
+  for (const char* task : {"run-2/0", "run-2/1", "run-2/2"})
+    EXPECT_EQ(cluster.run_log.starts[task], 1) << task;
   int restarted = 0;
-  for (const auto& [task, n] : cluster.run_log.starts) {
-    if (task.compare(0, 6, "run-1/") == 0) restarted += n - before[task];
+  for (const auto& [task, count] : cluster.run_log.starts) {
+    if (task.compare(0, 6, "run-1/") == 0) restarted += count - before[task];
   }
   EXPECT_EQ(restarted, 0);
 }
@@ -305,7 +329,7 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
-  for (const char* m : {"m1", "m2"}) cluster.worker(m).first_phase = TaskPhase::gathering;
+  for (const char* machine : {"m1", "m2"}) cluster.worker(machine).first_phase = TaskPhase::gathering;
   cluster.submit(gang_job("run-1", 2));
   cluster.run(3);
   std::string task = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
@@ -342,10 +366,10 @@
   cluster.run(12);
   ASSERT_EQ(cluster.run_log.starts["run-1/0"], 2);
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
-  for (const char* m : {"m1", "m3"}) {
-    for (const char* t : {"run-1/0", "run-1/1"}) {
-      if (cluster.worker(m).has(t)) {
-        EXPECT_NE(cluster.worker(m).attempt(t), before);
+  for (const char* machine : {"m1", "m3"}) {
+    for (const char* task : {"run-1/0", "run-1/1"}) {
+      if (cluster.worker(machine).has(task)) {
+        EXPECT_NE(cluster.worker(machine).attempt(task), before);
       }
     }
   }
@@ -354,14 +378,14 @@
 TEST(GangScheduling, GangLargerThanATransactionIsPlacedInBatches) {
   SimulatedCluster cluster;
   for (int i = 0; i < 70; ++i) cluster.add_machine("m" + std::to_string(i), "a", "blue");
-  JobSpec s = gang_job("run-1", 70);  // more machines than one transaction can guard, in two chunk records
-  s.partition = PartitionIndex{2};
-  cluster.submit(s);
+  JobSpec spec = gang_job("run-1", 70);  // more machines than one transaction can guard, in two chunk records
+  spec.partition = PartitionIndex{2};
+  cluster.submit(spec);
   cluster.run(6);
   std::set<Attempt> attempts;
   for (int i = 0; i < 70; ++i) {
-    for (const TaskReport& t : cluster.worker("m" + std::to_string(i)).report(cluster.now).tasks)
-      attempts.insert(t.attempt);
+    for (const TaskReport& task : cluster.worker("m" + std::to_string(i)).report(cluster.now).tasks)
+      attempts.insert(task.attempt);
   }
   EXPECT_EQ(cluster.run_log.starts.size(), 70U);
   EXPECT_EQ(attempts.size(), 1U);
@@ -377,7 +401,7 @@
   cluster.submit(job_spec);
   cluster.run(8);
   int running = 0;
-  for (const auto& [task, n] : cluster.run_log.starts) running += n;
+  for (const auto& [task, count] : cluster.run_log.starts) running += count;
   EXPECT_GT(running, 2000);
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
   EXPECT_EQ(cluster.controller(0)
@@ -405,11 +429,12 @@
   cluster.now += 0.5;
   cluster.controller(0).run_cycle(cluster.now);
   std::set<std::string> notified_machines;
-  for (const DirectCommands& d : cluster.controller(0).direct_commands) {
-    notified_machines.insert(cluster.controller(0).cluster_state.names.machines.name(d.machine));
-    for (const AgentCommand& o : d.commands) {
-      EXPECT_EQ(o.kind, CommandKind::kill);
-      EXPECT_GE(o.termination_timeout_s, job_spec.flush_s);
+  for (const DirectCommands& direct_commands : cluster.controller(0).direct_commands) {
+    notified_machines.insert(
+        cluster.controller(0).cluster_state.names.machines.name(direct_commands.machine));
+    for (const AgentCommand& command : direct_commands.commands) {
+      EXPECT_EQ(command.kind, CommandKind::kill);
+      EXPECT_GE(command.termination_timeout_s, job_spec.flush_s);
     }
   }
   EXPECT_EQ(notified_machines, (std::set<std::string>{"m1", "m2"}));
@@ -418,10 +443,10 @@
 TEST(Services, ReplicasAreReplacedUntilCancelled) {
   SimulatedCluster cluster;
   cluster.add_machine("m1");
-  JobSpec s = test_job("run-1", 2);
-  s.shape = JobShape::service;
-  s.estimate_s = 0;
-  cluster.submit(s);
+  JobSpec spec = test_job("run-1", 2);
+  spec.shape = JobShape::service;
+  spec.estimate_s = 0;
+  cluster.submit(spec);
   cluster.run(3);
   cluster.worker("m1").finish("run-1/0", EndCause::error);
   cluster.run(5);
@@ -462,9 +487,9 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 1));
-  OperatorSettings& op = cluster.controller(0).cluster_state.settings.operator_settings;
-  op.release_to_pool_s = 5;
-  cluster.run(op.boot_timeout_factor * 20 + 20);
+  OperatorSettings& operator_settings = cluster.controller(0).cluster_state.settings.operator_settings;
+  operator_settings.release_to_pool_s = 5;
+  cluster.run(operator_settings.boot_timeout_factor * 20 + 20);
   cluster.worker("m1").finish("run-1/0", EndCause::done);
   cluster.run(1.5);
   cluster.silenced_workers.insert("m1");  // the idle pool's owner gets no report of it for a while
@@ -481,9 +506,9 @@
   for (int i = 0; i < size; ++i)
     cluster.add_unregistered_machine("m" + std::to_string(i), i % 2 == 0 ? "a" : "b");
   for (int i = 0; i < size; ++i) {
-    JobSpec s = gang_job("run-" + std::to_string(i), 1);
-    s.partition = PartitionIndex{2};
-    cluster.submit(s);
+    JobSpec spec = gang_job("run-" + std::to_string(i), 1);
+    spec.partition = PartitionIndex{2};
+    cluster.submit(spec);
   }
   cluster.controller(0).sync(cluster.now);
   std::size_t before = cluster.store.events().size();
@@ -509,12 +534,12 @@
   cluster.run(4);
   EXPECT_TRUE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{0}, cluster.now));
   EXPECT_FALSE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{1}, cluster.now));
-  JobSpec s = test_job("run-1", 40);  // more than fit in zone b
-  s.partition = PartitionIndex{2};
-  cluster.submit(s);
+  JobSpec spec = test_job("run-1", 40);  // more than fit in zone b
+  spec.partition = PartitionIndex{2};
+  cluster.submit(spec);
   cluster.run(6);
   ASSERT_FALSE(cluster.controller(0).scale_outs.empty());
-  for (const ScaleOutRequest& r : cluster.controller(0).scale_outs) EXPECT_EQ(r.zone.value, 1U);
+  for (const ScaleOutRequest& request : cluster.controller(0).scale_outs) EXPECT_EQ(request.zone.value, 1U);
   EXPECT_EQ(cluster.run_log.starts.size(), 20U);
   cluster.silenced_workers.clear();
   cluster.run(2);
@@ -532,9 +557,9 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1", "a", ".pool");
   simulation::Worker unregistered_worker("host-9", "b", cluster.run_log);
-  auto a = cluster.controller(0).handle_report(unregistered_worker.report(cluster.now), cluster.now);
-  EXPECT_EQ(a.kind, ReportAnswer::Kind::ok);
-  EXPECT_TRUE(a.commands.empty());
+  auto answer = cluster.controller(0).handle_report(unregistered_worker.report(cluster.now), cluster.now);
+  EXPECT_EQ(answer.kind, ReportAnswer::Kind::ok);
+  EXPECT_TRUE(answer.commands.empty());
   cluster.run(1);
   EXPECT_EQ(cluster.store.keys().at("o/m/host-9").value.at("part"), ".pool");
 }
