--- a/src/scheduling/done_mark_collector.cpp
+++ b/src/scheduling/done_mark_collector.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-constexpr double collecting_write_fraction = 0.15;  // of the state service's writes, from which on marks wait
+/// Done marks are postponed while this controller uses more than this fraction of the state service's write
+/// limit.
+constexpr double postponing_write_fraction = 0.15;
 
-/// The placements of a job by how much of their record is still open.
+/// Counts of a job's placements whose end is not durable yet.
 struct EndedTasks {
-  std::size_t ended = 0;     // off their machines
-  std::size_t finished = 0;  // of those, with their work done
+  std::size_t ended = 0;     // tasks that are off their machines
+  std::size_t finished = 0;  // those among them that finished their work
   bool restart_requested = false;
 };
 
@@ -26,13 +28,14 @@
   return count;
 }
 
-/// No task of a gang that is being stopped can start before all of its tasks have left their machines.
+/// Whether the gang is being stopped and some member is still on its machine: no member can start before all
+/// have left.
 bool is_stopping_gang(const Job& job, const EndedTasks& count) {
   return job.spec.shape == JobShape::gang && gang_state(job) == GangState::stopping &&
          count.ended < job.placements.size();
 }
 
-/// Tasks are left whose end will be written later anyway, and nothing can be placed before.
+/// Whether other ends of tasks have to be written later anyway and no placement waits for the ones at hand.
 bool has_later_write(const Job& job, const EndedTasks& count) {
   if (job.is_final()) return count.ended < job.placements.size();
   return count.ended == count.finished && job.done_count + count.finished < job.spec.tasks &&
@@ -49,21 +52,21 @@
   }
 }
 
-bool DoneMarkCollector::may_wait(JobIndex job_index, Seconds now) {
+bool DoneMarkCollector::may_postpone(JobIndex job_index, Seconds now) {
   Job& job = state_.job(job_index);
   EndedTasks count = count_ended(job);
   if (count.restart_requested || count.ended == 0) return false;
   bool stopping_gang = is_stopping_gang(job, count);
   if (!stopping_gang && (!has_later_write(job, count) || job.done_marks_urgent)) return false;
   if (job.done_marks_due_at < 0) {
-    if (!write_rate_.exceeds(collecting_write_fraction)) return false;
+    if (!write_rate_.exceeds(postponing_write_fraction)) return false;
     job.done_marks_due_at = now + state_.settings.operator_settings.done_mark_delay_s;
     due_.emplace(job.done_marks_due_at, job_index);
   }
   return now < job.done_marks_due_at;
 }
 
-void DoneMarkCollector::release_due(Seconds now) {
+void DoneMarkCollector::mark_due_jobs_dirty(Seconds now) {
   while (!due_.empty() && due_.begin()->first <= now) {
     if (state_.live_job(due_.begin()->second) != nullptr) state_.dirty_jobs.insert(due_.begin()->second);
     due_.erase(due_.begin());
--- a/src/scheduling/job_transaction_builder.cpp
+++ b/src/scheduling/job_transaction_builder.cpp
@@ -16,9 +16,9 @@
   result_.job = job_index;
 }
 
-bool JobTransactionBuilder::touch(TaskNumber task) {
+bool JobTransactionBuilder::collect_chunk_of(TaskNumber task) {
   if (records_.count(task / tasks_per_chunk) != 0) return true;
-  if (records_.size() >= max_chunks(state_.settings)) return false;
+  if (records_.size() >= max_chunks_per_transaction(state_.settings)) return false;
   records_[task / tasks_per_chunk];
   return true;
 }
@@ -28,13 +28,13 @@
   for (auto& [task, placement] : job_.placements) {
     if (placement.state != PlacementState::reported) placement.restart_requested = false;
     bool changed = is_off_machine(placement.state) || (placement.restart_requested && !placement.restarting);
-    if (changed && touch(task)) has_update = true;
+    if (changed && collect_chunk_of(task)) has_update = true;
     has_finished_ = has_finished_ || placement.state == PlacementState::finished;
     has_terminated_ = has_terminated_ || placement.state == PlacementState::terminated;
     ended_count_ += is_off_machine(placement.state) ? 1 : 0;
   }
   for (const PlacedTask& placed : planned_) {
-    if (is_open() && touch(placed.task)) has_update = true;
+    if (is_open() && collect_chunk_of(placed.task)) has_update = true;
   }
   return has_update || is_cleanup();
 }
@@ -72,7 +72,7 @@
     if (placement.state == PlacementState::finished) {
       add_finish(placement, record);
     } else if (placement.state == PlacementState::terminated) {
-      // Without a cause no report has shown its end: there is nothing to clear.
+      // Without a cause no report has shown the task's end, so its agent has nothing to clear.
       if (placement.cause != EndCause::none)
         result_.released_tasks.push_back({placement.machine, placement.task, placement.attempt});
     } else {
@@ -117,7 +117,7 @@
   for (const PlacedTask& placed : result_.placed_tasks) machines.insert(placed.machine);
   for (MachineIndex machine_index : machines)
     result_.txn.guards.push_back({MachineKey{machine_index}, state_.machine(machine_index).revision});
-  // Nothing is placed on a decision that has changed since.
+  // The placement fails if a decision that limits it has changed since.
   for (Guard& guard : state_.placement_limits(job_index_).guards)
     result_.txn.guards.push_back(std::move(guard));
 }
@@ -167,7 +167,7 @@
 }
 
 Urgency JobTransactionBuilder::urgency() const {
-  // What was terminated waits to be placed again, which it cannot be until its removal is durable.
+  // A terminated task of an open job cannot be placed again until its removal is durable.
   bool replaces = !result_.placed_tasks.empty() || (has_terminated_ && is_open());
   if (replaces) return Urgency::placement;
   return has_finished_ ? Urgency::done_mark : Urgency::other;
--- a/src/scheduling/partition_ownership.cpp
+++ b/src/scheduling/partition_ownership.cpp
@@ -29,24 +29,24 @@
   for (std::uint32_t p = 0; p < state_.partition_count(); ++p) {
     PartitionIndex partition{p};
     if (!owns(partition)) continue;
-    Revision& prepared = prepared_revisions_[p];
-    if (prepared == state_.ownership(partition).revision) continue;
-    prepared = state_.ownership(partition).revision;
+    Revision& failover_revision = failover_revisions_[p];
+    if (failover_revision == state_.ownership(partition).revision) continue;
+    failover_revision = state_.ownership(partition).revision;
     state_.failover(partition, now);
     SPDLOG_INFO("failover: acquired partition partition={} revision={} machines={} jobs={}",
-                state_.names.partitions.name(partition), prepared, state_.machines_of(partition).size(),
-                state_.live_jobs(partition).size());
+                state_.names.partitions.name(partition), failover_revision,
+                state_.machines_of(partition).size(), state_.live_jobs(partition).size());
   }
 }
 
 Seconds PartitionOwnership::exclusively_owned_since(const Machine& machine) const {
   Seconds after_read_only_period =
       machine.in_partition_since + state_.settings.read_only_period_s() * (1 + 2 * Settings::clock_drift);
-  // A machine that was moved may still be answered by its previous owner, whose lease continues.
+  // A machine that was moved here may still be answered by its previous owner, whose lease continues.
   if (!machine.inherited) return after_read_only_period;
-  // The earlier owner's read-only period need not be waited for once every controller has reacquired a lease:
-  // what was answered to this agent on behalf of the partition was answered under a lease that has ended
-  // since, and its holder answers nothing under it any more (docs/reconciliation.md, "Safety").
+  // After a failover, the earlier owner's read-only period can be cut short once every controller has
+  // reacquired a lease: every earlier answer to this agent on behalf of the partition was given under a lease
+  // that has ended since, and under which its holder answers nothing more (docs/reconciliation.md, "Safety").
   Seconds reacquired_since = state_.all_leases_reacquired_since();
   return reacquired_since < 0
              ? after_read_only_period
@@ -54,9 +54,9 @@
 }
 
 Seconds PartitionOwnership::proven_empty_at(const Machine& machine) const {
-  bool unproved = machine.state == MachineState::unreconciled ||
-                  (machine.state == MachineState::deleting && machine.inherited);
-  Seconds from = unproved ? exclusively_owned_since(machine) : machine.in_partition_since;
+  bool unreconciled = machine.state == MachineState::unreconciled ||
+                      (machine.state == MachineState::deleting && machine.inherited);
+  Seconds from = unreconciled ? exclusively_owned_since(machine) : machine.in_partition_since;
   return std::max(machine.last_answered_report_at, from) + state_.settings.lease_expiry_s();
 }
 
