--- a/app/main.cpp
+++ b/app/main.cpp
@@ -1,4 +1,4 @@
-// The program: arguments and settings, then the event loop.
+// The oxbowmill program: parses the arguments, loads the settings and runs one controller.
 #include <event2/event.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -28,10 +28,10 @@
 struct Arguments {
   std::string config_file;
   std::vector<std::string> operator_files;
-  bool check = false;  ///< only check the settings
+  bool check = false;  ///< check the settings and exit
 };
 
-/// The exit status where the program has to end now: help, version or arguments that are not understood.
+/// Returns the exit status if the program has to end now: after help or version, or for invalid arguments.
 std::optional<int> parse_arguments(int argc, char** argv, Arguments& arguments) {
   CLI::App app{"oxbowmill, a cluster scheduler: runs one controller"};
   app.add_option("--config", arguments.config_file, "the platform's settings (TOML)")->required();
@@ -51,7 +51,7 @@
   return std::nullopt;
 }
 
-/// Nothing, and the reason on stderr, where the settings cannot be used.
+/// Prints the reason to standard error and returns nothing if the settings are invalid.
 std::optional<oxbowmill::config::Config> load_settings(const Arguments& arguments) {
   try {
     return oxbowmill::config::load(arguments.config_file, arguments.operator_files);
@@ -61,7 +61,7 @@
   }
 }
 
-/// Loads the calendar again on SIGHUP; one that cannot be read leaves the previous one in force.
+/// Reloads the release calendar on SIGHUP. If it is invalid, the previous one stays in force.
 struct CalendarReload {
   oxbowmill::service::Controller* controller = nullptr;
   const std::vector<std::string>& files;
@@ -76,7 +76,7 @@
 
 using Signal = std::unique_ptr<event, void (*)(event*)>;
 
-/// `reload` must outlive the signal.
+/// Installs the SIGHUP handler. `reload` must outlive the returned event.
 Signal reload_on_hangup(event_base* base, CalendarReload& reload) {
   Signal hangup(
       evsignal_new(
@@ -88,12 +88,13 @@
   return hangup;
 }
 
-/// Runs the event loop until it ends; returns the exit status.
+/// Runs a controller until its event loop ends; returns the exit status.
 int run_controller(oxbowmill::config::Config config, const std::vector<std::string>& operator_files) {
   try {
     auto base = oxbowmill::net::make_event_base();
-    // The handler is installed before the log says that the controller listens: without it a signal sent at
-    // once would end the program. It runs only inside the loop, when the controller exists.
+    // Installed before the controller logs that it is listening, because a SIGHUP that is sent right after
+    // that line would otherwise end the program. The handler runs only in the event loop, when the controller
+    // exists.
     CalendarReload reload{nullptr, operator_files};
     Signal hangup = reload_on_hangup(base.get(), reload);
     oxbowmill::service::Controller controller(base.get(), std::move(config));
--- a/app/oxbowctl.cpp
+++ b/app/oxbowctl.cpp
@@ -1,4 +1,5 @@
-// The users' command line: submit a job, read its status, wait for it, withdraw it.
+// The oxbowctl program, the command line for users: submits a job, prints its status, waits for it or
+// withdraws it.
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
@@ -18,7 +19,7 @@
 using client::RequestOutcome;
 using wire::Json;
 
-/// Exit statuses, as docs/clients.md lists them.
+/// Exit statuses, documented in docs/clients.md.
 enum ExitCode {
   ok = 0,
   cancelled = 1,
@@ -44,14 +45,14 @@
   return ExitCode::unavailable;
 }
 
-/// An argument that cannot be used.
+/// A missing or invalid argument.
 class ArgumentError : public Error {
  public:
   using Error::Error;
   ArgumentError(const std::string& name, const std::string& reason) : Error(name + ": " + reason) {}
 };
 
-/// A job file that cannot be used; `key` is the field where it is wrong.
+/// An invalid job file; `key` is the invalid field.
 class JobFileError : public Error {
  public:
   JobFileError(const std::string& file, const std::string& reason) : Error(file + ": " + reason) {}
@@ -76,7 +77,8 @@
   return controllers;
 }
 
-/// Converts to the type that the protocol wants of each field. Throws UnknownFieldError or YAML::Exception.
+/// Converts the value of a job's field to the type that the protocol requires. Throws UnknownFieldError for
+/// an unknown field and YAML::Exception for a value of another type.
 Json value_of(const std::string& key, const YAML::Node& yaml_node) {
   static const std::set<std::string> texts = {"ref", "jobclass", "owner", "shape", "rank", "bundle", "yard"};
   static const std::set<std::string> flags = {"same_place", "scatter", "loaners"};
@@ -127,7 +129,7 @@
   }
 }
 
-/// The fields of a job that the user leaves out.
+/// Values of the fields that the user may leave out.
 Json default_job() {
   return {{"jobclass", "default"}, {"shape", "batch"},    {"rank", "standard"}, {"shards", 1},
           {"vcpus", 1.0},          {"accelerators", 0.0}, {"memory_gb", 1.0},   {"bundle", "none"},
@@ -136,17 +138,18 @@
           {"flush_s", 0.0},        {"due_s", nullptr}};
 }
 
-/// The arguments and what they were read into; the options point into it, so it is never moved.
+/// The arguments and the variables that they are parsed into. It cannot be copied or moved, because the
+/// options keep pointers to these variables.
 class CommandLine {
  public:
   CommandLine();
   CommandLine(const CommandLine&) = delete;
   CommandLine& operator=(const CommandLine&) = delete;
 
-  /// Exit status of the program. Throws CLI::ParseError for arguments that are not understood, Error for
-  /// others that cannot be used.
+  /// Runs the command and returns the program's exit status. Throws CLI::ParseError for arguments that cannot
+  /// be parsed and Error for other invalid arguments and job files.
   int run(int argc, char** argv);
-  /// Prints help, version or what is wrong; returns the exit status.
+  /// Prints the help, the version or the parse error; returns the exit status.
   int report(const CLI::ParseError& error) const {
     return app_.exit(error) == 0 ? 0 : static_cast<int>(ExitCode::bad_usage);
   }
@@ -163,7 +166,8 @@
   CLI::App app_{"oxbowctl: submit jobs to oxbowmill and follow them"};
   CLI::App *submit_ = nullptr, *status_ = nullptr, *wait_ = nullptr, *withdraw_ = nullptr;
   std::string controllers_, owner_, job_file_, job_id_;
-  std::map<std::string, std::string> job_fields_;  // given as flags; empty where not given
+  std::map<std::string, std::string>
+      job_fields_;  // field values given as flags; empty if the flag was not given
   client::RetryPolicy retry_policy_;
   double wait_within_s_ = 3600;
   bool as_json_ = false;
@@ -178,7 +182,8 @@
 void CommandLine::add_common_options() {
   app_.require_subcommand(1);
   app_.set_version_flag("--version", std::string("oxbowctl ") + version);
-  // A TOML file with the long options as keys. The environment has precedence over it, arguments over both.
+  // The config file is TOML with the long options as keys. The environment takes precedence over it, and
+  // arguments over both.
   app_.set_config("--config", std::getenv("OXBOW_CONFIG") != nullptr ? std::getenv("OXBOW_CONFIG") : "");
   app_.add_option("--nodes", controllers_, "controllers, IPv4:port with commas between")
       ->envname("OXBOW_NODES");
@@ -205,7 +210,7 @@
   for (auto* command : {status_, wait_, withdraw_}) command->add_option("ref", job_id_, "job id")->required();
 }
 
-/// Flags have precedence over the file, the file over --team and the defaults.
+/// Flags take precedence over the job file, and the job file over --team and the defaults.
 Json CommandLine::job_to_submit() const {
   Json job = default_job();
   if (!owner_.empty()) job["owner"] = owner_;
@@ -247,7 +252,7 @@
   if (reply.status.ref.empty()) reply.status.ref = job_id_;
   print(reply, as_json_);
   int code = exit_code_of(reply);
-  // Withdrawing is meant to cancel.
+  // For `withdraw` a cancelled job is a success.
   return withdraw_->parsed() && code == ExitCode::cancelled ? static_cast<int>(ExitCode::ok) : code;
 }
 
--- a/app/oxbowmill_sim.cpp
+++ b/app/oxbowmill_sim.cpp
@@ -1,4 +1,5 @@
-// oxbowmill-sim: experiments on a simulated clock or on loopback. No part of it is linked into a controller.
+// The oxbowmill-sim program: runs experiments on a simulated clock or over loopback. No part of it is linked
+// into a controller.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -77,7 +78,7 @@
   auto rows = simulation::play(scenario, seeds, threads);
   auto summary = simulation::summarise(scenario, rows);
   write_results(scenario.name + " on " + scenario.cluster, rows, summary, report);
-  // A violated invariant is a failure whatever the figures are.
+  // A violated invariant fails the run, whatever its figures are.
   return std::any_of(summary.begin(), summary.end(), [](const auto& x) { return x.violations != 0; }) ? 1 : 0;
 }
 
@@ -137,15 +138,15 @@
   return 0;
 }
 
-/// Options that several commands share; each command reads those it adds.
+/// Values of the options of all commands; each command uses those that it adds.
 struct Options {
   std::string file, report;
   unsigned seeds = 200, threads = std::max(1U, std::thread::hardware_concurrency());
   unsigned long long single_seed = 0, first_seed = 1;
-  std::string policy = "planner";              // of the markets command
-  std::string variant = "now", fleet;          // of the cluster command
-  simulation::ScaleOptions scale;              // of the scale command
-  std::string market, listen = "127.0.0.1:0";  // of market
+  std::string policy = "planner";              // for the markets command
+  std::string variant = "now", fleet;          // for the cluster command
+  simulation::ScaleOptions scale;              // for the scale command
+  std::string market, listen = "127.0.0.1:0";  // for the market command
 };
 
 using Command = std::function<int()>;
--- a/include/oxbowmill/client/client.h
+++ b/include/oxbowmill/client/client.h
@@ -1,6 +1,6 @@
-// The users' side of the protocol: submit, poll, wait for and withdraw jobs through several controllers. A
-// client owns its requests under way and nothing that outlives it; the threads allowed are said with each
-// class.
+// Client library of the user protocol: submits, polls, waits for and withdraws jobs through several
+// controllers. A client owns its requests in flight and nothing that outlives it. The comment on each class
+// says which threads may use it.
 #pragma once
 
 #include <functional>
@@ -16,26 +16,27 @@
 /// A job as a controller reports it.
 struct JobStatus {
   std::string ref;            ///< the job's id, chosen by its user
-  std::string phase;          ///< queued, running, done or cancelled
-  std::uint32_t done = 0;     ///< tasks that are done
-  std::uint32_t running = 0;  ///< tasks that run
-  /// The job's phase no longer changes.
+  std::string phase;          ///< "queued", "running", "done" or "cancelled"
+  std::uint32_t done = 0;     ///< number of tasks that are done
+  std::uint32_t running = 0;  ///< number of tasks that are running
+  /// Whether the job's phase can no longer change.
   bool is_final() const { return phase == "done" || phase == "cancelled"; }
 };
 
 /// How a request ended.
 struct Reply {
   RequestOutcome outcome = RequestOutcome::retry;  ///< what the caller may conclude
-  JobStatus status;                                ///< only with `ok`
-  std::string reason;                              ///< for people; only without `ok`
-  int attempts = 0;                                ///< how often the request was sent
-  bool timed_out = false;                          ///< of a wait: the time is over and the job goes on
+  JobStatus status;                                ///< of the job; set only if `outcome` is `ok`
+  std::string reason;      ///< why it failed, as text for people; empty if `outcome` is `ok`
+  int attempts = 0;        ///< number of times that the request was sent
+  bool timed_out = false;  ///< for a wait: its timeout passed before the job ended
 };
-/// Receives a reply, in the thread of the event loop.
+/// Callback for a reply; runs on the thread of the event loop.
 using ReplyHandler = std::function<void(const Reply&)>;
 
-/// Event-driven, for one event loop and its thread. Handlers are never called from inside the call that they
-/// were given to. Destroying the client drops its requests without calling their handlers.
+/// Event-driven client, to be used only on the thread of its event loop. A handler is never called from
+/// within the call that it was passed to. Destroying the client drops its requests without calling their
+/// handlers.
 class AsyncClient {
  public:
   /// `base` must outlive the client.
@@ -44,13 +45,15 @@
   AsyncClient(const AsyncClient&) = delete;
   AsyncClient& operator=(const AsyncClient&) = delete;
 
-  /// `job`: the fields of a submission as the protocol names them. Safe to repeat under the same `ref`.
+  /// Submits a job. `job` holds the fields of a submission under their names in the protocol. Safe to repeat
+  /// with the same `ref`.
   void submit(const wire::Json& job, ReplyHandler on_reply);
   /// Reads the status of a job.
   void poll(const std::string& ref, ReplyHandler on_reply);
   /// Cancels a job.
   void withdraw(const std::string& ref, ReplyHandler on_reply);
-  /// Polls until the phase is final or `within_s` is over; `progress` receives each status before that.
+  /// Polls until the job's phase is final or `within_s` seconds have passed; until then `progress` receives
+  /// each status.
   void wait(const std::string& ref, double within_s, ReplyHandler progress, ReplyHandler on_reply);
 
  private:
@@ -72,15 +75,15 @@
   std::uint64_t next_id_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Request>> requests_;
   std::map<std::uint64_t, std::unique_ptr<PendingWait>> waits_;
-  std::vector<std::unique_ptr<Request>> finished_;  // kept until their timers' callbacks have returned
+  std::vector<std::unique_ptr<Request>> finished_;  // kept until the callbacks of their timers have returned
   net::Timer cleanup_timer_;
-  std::shared_ptr<bool> alive_;
+  std::shared_ptr<bool> alive_;  // false once the client is destroyed; callbacks of open requests check it
 };
 
-/// Synchronous; every call has an event loop of its own, so any number of threads may share one client.
+/// Synchronous client. Every call runs an event loop of its own, so several threads may share one client.
 class Client {
  public:
-  /// Opens no connection: each call does.
+  /// Opens no connections; each call opens its own.
   explicit Client(std::vector<net::Address> controllers, RetryPolicy policy = {})
       : controllers_(std::move(controllers)), retry_policy_(policy) {}
   /// See AsyncClient::submit; blocks until the reply.
@@ -89,7 +92,7 @@
   Reply poll(const std::string& ref) const;
   /// See AsyncClient::withdraw; blocks until the reply.
   Reply withdraw(const std::string& ref) const;
-  /// See AsyncClient::wait; blocks until the reply, calling `progress` in the same thread.
+  /// See AsyncClient::wait; blocks until the reply and calls `progress` on the calling thread.
   Reply wait(const std::string& ref, double within_s, const ReplyHandler& progress = nullptr) const;
 
  private:
--- a/include/oxbowmill/client/request_retrier.h
+++ b/include/oxbowmill/client/request_retrier.h
@@ -1,5 +1,5 @@
-// When a client sends a request again, and to which controller. It owns the state of one request; pure,
-// without clock or sockets. Times are in seconds of the caller's clock. For one thread.
+// Decides when a client sends a request again, and to which controller. Owns the state of one request and
+// uses neither a clock nor sockets. Times are in seconds of the caller's clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -9,64 +9,65 @@
 
 namespace oxbowmill::client {
 
-/// State of a request between its attempts.
+/// State of a request.
 enum class AttemptState : std::uint8_t {
-  ready,        ///< to be sent to `controller()` now
-  sent,         ///< waits for a response
-  backing_off,  ///< to be sent again at `next_attempt_at()`
-  answered,     ///< a final response came
-  gave_up,      ///< the total timeout has passed
+  ready,        ///< must be sent to `controller()` now
+  sent,         ///< sent and waiting for the response
+  backing_off,  ///< must be sent again at `next_attempt_at()`
+  answered,     ///< a final response was received
+  gave_up,      ///< no further attempt fits into the total timeout
 };
-/// Name for logs and tests.
+/// Name of the state for logs and tests.
 const char* name_of(AttemptState state);
 
-/// What a response means for the caller.
+/// What the caller may conclude from a response.
 enum class RequestOutcome : std::uint8_t {
-  ok,          ///< 200, 201
-  malformed,   ///< 400: must not be sent again
-  impossible,  ///< 422: must not be sent again
-  unknown,     ///< 404: no job with this id was ever acknowledged
-  retry,       ///< refused for now, or no response: may be sent again under the same id
+  ok,          ///< 200 or 201: accepted
+  malformed,   ///< 400: the request is invalid and must not be sent again
+  impossible,  ///< 422: the job can never run and must not be sent again
+  unknown,     ///< 404: no job with this id was ever accepted
+  retry,       ///< refused for now, or no response: may be sent again with the same id
 };
-/// The outcome that an HTTP status stands for; `status` 0 means no response.
+/// Outcome for an HTTP status; `status` 0 means that there was no response.
 RequestOutcome outcome_of(int status);
 /// Whether the caller may send the same request again.
 inline bool is_retryable(RequestOutcome outcome) {
   return outcome == RequestOutcome::retry;
 }
 
-/// Limits of one request; all in seconds.
+/// Time limits of one request, in seconds.
 struct RetryPolicy {
-  double response_timeout_s = 5;  ///< for one response
-  double total_timeout_s = 60;    ///< for the whole request, backoffs included
-  double initial_backoff_s = 1;   ///< shortest backoff
-  double max_backoff_s = 30;      ///< longest backoff, also where the controller asks for a longer one
+  double response_timeout_s = 5;  ///< for the response to one attempt
+  double total_timeout_s = 60;    ///< for the whole request, including its backoffs
+  double initial_backoff_s = 1;   ///< minimum backoff
+  double max_backoff_s = 30;      ///< maximum backoff, even if the controller asks for a longer one
 };
 
-/// State machine of one request over several controllers.
+/// State machine of one request that may be sent to several controllers.
 class RequestRetrier {
  public:
-  /// `controllers`: how many there are; the first one is drawn with `seed`.
+  /// `controllers` is their number; `seed` decides which of them is tried first.
   RequestRetrier(std::size_t controllers, RetryPolicy policy, std::uint64_t seed, double now);
 
   /// What the caller has to do next.
   AttemptState state() const { return state_; }
   /// Index of the controller of the current or next attempt.
   std::size_t controller() const { return controller_; }
-  /// End of the backoff; meaningful in `backing_off`.
+  /// When the backoff ends; valid only in state `backing_off`.
   double next_attempt_at() const { return next_attempt_at_; }
-  /// When the request is given up.
+  /// When the client gives up the request.
   double deadline() const { return deadline_; }
-  /// How long to wait for the response to an attempt sent now.
+  /// Seconds to wait for the response to an attempt that is sent at `now`.
   double response_timeout(double now) const;
-  /// Attempts sent so far.
+  /// Number of attempts sent so far.
   int attempts() const { return attempts_; }
 
-  /// The request was sent to `controller()`.
+  /// Records that the request was sent to `controller()`.
   void on_sent(double now);
-  /// `status` 0: no response or no connection. `retry_after_s` 0: the controller named no time.
+  /// Records the response to the last attempt. `status` 0: no connection or no response. `retry_after_s` 0:
+  /// the controller did not say when to retry.
   void on_response(int status, double retry_after_s, double now);
-  /// Ends a backoff or the whole request when its time has passed.
+  /// Ends the backoff or gives up the request if its time has passed at `now`.
   void tick(double now);
 
  private:
@@ -77,7 +78,7 @@
   std::mt19937_64 random_;
   AttemptState state_ = AttemptState::ready;
   std::size_t controller_ = 0;
-  std::size_t unresponsive_in_a_row_ = 0;  // controllers in a row that gave no response
+  std::size_t unresponsive_in_a_row_ = 0;  // successive controllers that did not respond
   int backoffs_ = 0, attempts_ = 0;
   double next_attempt_at_ = 0, deadline_ = 0;
 };
--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -40,7 +40,7 @@
   return body.contains(key) && body[key].is_string();
 }
 
-/// Nothing where the body has no id or phase.
+/// Returns nothing if the body has no id or no phase.
 std::optional<JobStatus> read_status(const Json& body) {
   if (!has_text(body, "ref") || !has_text(body, "phase")) return std::nullopt;
   return JobStatus{body["ref"].get<std::string>(), body["phase"].get<std::string>(), read_count(body, "done"),
@@ -54,7 +54,7 @@
   auto body = wire::decode_map(http_response.body);
   if (reply.outcome == RequestOutcome::ok) {
     std::optional<JobStatus> status = body ? read_status(*body) : std::nullopt;
-    // A success that cannot be read proves nothing about the job.
+    // A success that cannot be decoded says nothing about the job, so the request may be sent again.
     if (!status) return Reply{RequestOutcome::retry, {}, "an answer that cannot be read", 0, false};
     reply.status = std::move(*status);
   } else if (body && has_text(*body, "error")) {
@@ -104,7 +104,7 @@
                   })});
   Request& started = *request;
   requests_[id] = std::move(request);
-  // Handlers must not be called from inside the call that they were given to.
+  // Sent from the event loop, because a handler must not be called from within the call it was passed to.
   started.timer.schedule(0);
 }
 
@@ -155,7 +155,8 @@
 void AsyncClient::finish(Request& request, Reply reply) {
   reply.attempts = request.retrier.attempts();
   ReplyHandler on_reply = std::move(request.on_reply);
-  // The caller is the request's own timer, which must not be destroyed inside its callback.
+  // This runs in the callback of the request's own timer, which must not destroy that timer. The request is
+  // therefore kept until `cleanup_timer_` fires.
   auto it = requests_.find(request.id);
   finished_.push_back(std::move(it->second));
   requests_.erase(it);
--- a/src/client/request_retrier.cpp
+++ b/src/client/request_retrier.cpp
@@ -31,7 +31,7 @@
   }
 }
 
-// The random first controller spreads clients that start together.
+// A random first controller spreads the load of clients that start at the same time.
 RequestRetrier::RequestRetrier(std::size_t controllers, RetryPolicy policy, std::uint64_t seed, double now)
     : policy_(policy),
       controller_count_(std::max<std::size_t>(controllers, 1)),
@@ -59,7 +59,7 @@
   if (outcome_of(status) != RequestOutcome::retry) return set_state(AttemptState::answered);
   controller_ = (controller_ + 1) % controller_count_;
   if (status == 0 && ++unresponsive_in_a_row_ < controller_count_ && now < deadline_) {
-    // One unresponsive controller does not imply the others are: each is tried once without backoff.
+    // The other controllers may still respond, so each of them is tried once without backoff.
     return set_state(AttemptState::ready);
   }
   if (status != 0 || unresponsive_in_a_row_ >= controller_count_) unresponsive_in_a_row_ = 0;
@@ -67,8 +67,8 @@
 }
 
 void RequestRetrier::back_off(double retry_after_s, double now) {
-  // Exponential, with jitter so that clients that were refused together do not return together; not before
-  // the time that the controller asked for, which counts up to the longest backoff.
+  // Exponential backoff with jitter, so that clients that were refused at the same time do not retry at the
+  // same time. It is at least as long as the controller asked for, up to `max_backoff_s`.
   double longest = std::min(policy_.max_backoff_s,
                             policy_.initial_backoff_s * std::exp2(std::min(backoffs_++, max_doublings)));
   double backoff = std::uniform_real_distribution<>(std::min(policy_.initial_backoff_s, longest),
--- a/tests/client_test.cpp
+++ b/tests/client_test.cpp
@@ -1,5 +1,5 @@
-// The client library: when it retries, and how it copes with controllers that refuse, stall, give false
-// answers and disappear.
+// The client library: its retries, and its behavior when controllers refuse requests, do not respond, send
+// invalid responses or cannot be reached.
 #include "oxbowmill/client/client.h"
 
 #include <gtest/gtest.h>
@@ -80,11 +80,11 @@
   late.on_sent(0);
   late.tick(61);
   EXPECT_EQ(late.state(), AttemptState::gave_up);
-  late.on_response(200, 0, 62);  // the caller already has the outcome
+  late.on_response(200, 0, 62);  // the caller already has the outcome "gave up"
   EXPECT_EQ(late.state(), AttemptState::gave_up);
 }
 
-/// A controller that responds as scripted, on its own thread.
+/// A controller whose responses the test's handler sends, on its own thread.
 class FakeController {
  public:
   using Handler = std::function<void(Request&&)>;
@@ -136,7 +136,7 @@
   retry_policy.max_backoff_s = 0.2;
   retry_policy.total_timeout_s = 30;
   Client c({stalls.address(), garbles.address(), closed, serves.address()}, retry_policy);
-  for (int i = 0; i < 4; ++i) {  // whichever controller it begins with
+  for (int i = 0; i < 4; ++i) {  // the client chooses its first controller at random
     Reply reply = c.submit({{"ref", "run-1"}});
     EXPECT_EQ(reply.outcome, RequestOutcome::ok) << reply.reason;
     EXPECT_EQ(reply.status.phase, "queued");
--- a/tests/controller_process_test.cpp
+++ b/tests/controller_process_test.cpp
@@ -1,4 +1,5 @@
-// The real program over loopback against stubs of the state service, the cloud and an agent.
+// The controller program over loopback with stand-ins for the state service, the cloud, the markets and an
+// agent.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -82,8 +83,8 @@
     }
     if (request.path == "/watch") {
       watch_responder_ = request.responder;
-      // From the requested revision: events sent on the watch of an ended process are unknown to its
-      // successor.
+      // Answered from the requested revision, because a restarted process does not know the events that were
+      // sent to its predecessor.
       std::size_t at = request.query.find("from=");
       watched_from_ =
           at == std::string::npos ? 0 : std::strtoull(request.query.c_str() + at + 5, nullptr, 10);
@@ -152,7 +153,8 @@
     request.responder->reply(200, wire::encode(out));
   }
 
-  /// The agent's side of one report, while the machine is rented.
+  /// Sends the agent's report and passes the response to the agent, unless the machine is not up or another
+  /// report is in flight.
   void send_report() {
     if (!machine_is_up_ || reporting_) return;
     reporting_ = true;
@@ -205,7 +207,7 @@
       _exit(127);
     }
     close(log_pipe[1]);
-    // The system chooses the ports, so that tests can run in parallel; the program's log names them.
+    // The system chooses the program's ports, so that tests can run in parallel; the program logs them.
     std::ifstream lines("/dev/fd/" + std::to_string(log_pipe[0]));
     std::string line;
     while (controller_address_.port == 0 && std::getline(lines, line)) {
@@ -232,7 +234,7 @@
     controller_address_ = {};
   }
 
-  /// Runs the users' command line beside the loop; returns its exit code, and its output in `out`.
+  /// Runs oxbowctl while the event loop goes on. Returns its exit status and stores its output in `out`.
   int run_command_line(const std::string& args, std::string& out) {
     std::string file = ::testing::TempDir() + "oxbow-out-" + std::to_string(::getpid());
     std::string command = "OXBOW_NODES=" + net::to_string(controller_address_) + " " + CLIENT_PROGRAM + " " +
@@ -250,7 +252,8 @@
     return WEXITSTATUS(status);
   }
 
-  /// Runs the loop until `done`, with a time limit that only a hang reaches.
+  /// Runs the event loop and calls `step` periodically until `done` returns true. Fails after a time limit
+  /// that only a hang reaches.
   void run_until(const std::function<bool()>& done, const std::function<void()>& step) {
     on_poll_ = [this, done, step] {
       if (done()) {
@@ -274,15 +277,15 @@
   simulation::RunLog run_log_;
   simulation::Worker worker_;
   net::Address controller_address_;
-  std::thread log_reader_;  // forwards the program's log
+  std::thread log_reader_;  // forwards the program's log to standard error
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
   net::ResponderPtr watch_responder_;
-  std::uint64_t watched_from_ = 0;  // revision
+  std::uint64_t watched_from_ = 0;  // the watch wants the changes after this revision
   double watch_since_ = 0, long_poll_s_ = 0.5;
   int job_reads_ = 0;
-  double lease_duration_factor_ = 1;  // how many times its duration a controller lease lasts here
+  double lease_duration_factor_ = 1;  // a controller lease lasts this many times its duration
   bool cloud_exhausted_ = false;      // the cloud has no capacity left
-  double type_vcpus_ = 8;             // of the cloud's only type
+  double type_vcpus_ = 8;             // vCPUs of the cloud's only machine type
   bool machine_is_up_ = false, reporting_ = false, timed_out_ = false;
   net::Timer time_limit_, poll_timer_;
   std::function<void()> on_poll_;
@@ -376,11 +379,11 @@
             [&] { request_once(EVHTTP_REQ_POST, "/submissions/run-2/withdraw", Json(), status, answer); });
   run_until([&] { return !worker_.has("run-2/0") && !worker_.has("run-2/1"); }, [] {});
   EXPECT_TRUE(run_log_.duplicated_tasks.empty());
-  EXPECT_EQ(waitpid(pid_, nullptr, WNOHANG), 0);  // it keeps running
+  EXPECT_EQ(waitpid(pid_, nullptr, WNOHANG), 0);  // the controller is still running
 }
 
 TEST_F(Loopback, RestartedControllerDoesNotWaitForItsEarlierLease) {
-  // Here no controller lease expires by itself: the partitions become free only if the new process ends the
+  // No controller lease expires in this test, so the partitions become free only if the new process ends the
   // lease of the old one.
   lease_duration_factor_ = 1e6;
   int status = 0;
@@ -408,7 +411,7 @@
 }
 
 TEST_F(Loopback, RepeatedSubmissionIsAcceptedAfterCatalogChange) {
-  // The retry reaches a process whose catalog has no machine type that fits the job.
+  // The repeated submission reaches a process whose catalog has no machine type that fits the job.
   int status = 0;
   bool asking = false;
   Json answer;
@@ -429,7 +432,7 @@
   stop_program();
   type_vcpus_ = 4;
   start_program();
-  // A job that was never accepted shows which catalog the process uses, and is rejected.
+  // New jobs are submitted until one is rejected, which shows that the process uses the changed catalog.
   std::uint64_t n = 1;
   run_until([&] { return answered(422); }, [&] { submit("run-" + std::to_string(++n), 8); });
   status = 0;
@@ -478,7 +481,7 @@
   run_until([&] { return state_.keys().count("f/run-1") != 0; }, [] {});
   stop_program();
   start_program();
-  // The French edition is rendered by a different job than the file named before.
+  // In the new calendar another job renders the French edition.
   calendar(2, "run-5");
   kill(pid_, SIGHUP);
   submit("run-5");
@@ -550,7 +553,7 @@
 }
 
 TEST_F(Loopback, StatusPollsShareAWatchAndReadTheLatestState) {
-  // One read of the state service per poll once used up its whole request limit.
+  // Polls that each read the job from the state service once used up its whole request limit.
   long_poll_s_ = 0;
   start_program();
   int up_status = 0, asked = 0, answered = 0, status = 0;
@@ -582,7 +585,7 @@
               }
             });
   run_until([&] { return asked == answered; }, [] {});
-  // Another controller has confirmed the cancellation to the user: no later poll may report less.
+  // Another controller has confirmed the cancellation to the user, so every later poll must return it.
   Json cancelled = state_.keys().at("o/j/run-1").value;
   cancelled["p"] = "cancelled";
   state_.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/j/run-1"}, {"value", cancelled}}}}});
@@ -594,7 +597,7 @@
 }
 
 TEST_F(Loopback, RestartedControllerResumesItsBid) {
-  // The cloud has no capacity; one market runs a long auction, another accepts requests and never responds.
+  // The cloud has no capacity. One market runs a long auction, the other accepts requests but never responds.
   simulation::MarketBehavior slow;
   slow.name = "north";
   slow.price = 2;
@@ -648,7 +651,7 @@
             [&] { request_once(EVHTTP_REQ_POST, "/submissions", job, status); });
   run_until([&] { return !bids.empty(); }, [] {});
   stop_program();
-  EXPECT_TRUE(north.market().hosts().empty());  // ended before the auction was over
+  EXPECT_TRUE(north.market().hosts().empty());  // the controller was killed before the auction ended
   start_program();
   simulation::Worker bought("north.m1", "a", run_log_);
   worker_ = std::move(bought);
@@ -658,12 +661,12 @@
               north.market().tick(clock());
               machine_is_up_ = machine_is_up_ || !north.market().hosts().empty();
             });
-  EXPECT_EQ(bids.size(), 1U);  // the second controller resumed the first one's bid instead of placing another
+  EXPECT_EQ(bids.size(), 1U);  // the restarted controller resumed the bid instead of placing another
   EXPECT_EQ(not_durable, 0);
   for (const char* t : {"run-1/0", "run-1/1"}) worker_.finish(t, EndCause::done);
   run_until([&] { return answer.value("phase", "") == "done"; },
             [&] { request_once(EVHTTP_REQ_GET, "/submissions/run-1", Json(), status); });
-  // The machine is returned, and its actual cost replaces the committed amount.
+  // The machine has been returned, and its actual cost has replaced the committed amount.
   run_until([&] { return state_.keys().count("o/l/ledger") == 1; }, [] {});
   EXPECT_TRUE(north.market().hosts().at("north.m1").returned);
   for (const auto& [key, e] : state_.keys()) EXPECT_NE(key.rfind("o/b/", 0), 0U) << key;
@@ -694,7 +697,7 @@
   };
   const Case before[] = {
       {"--team red submit " + job, 0, "run-1 queued"},
-      {"--team red submit " + job, 0, "run-1 "},  // repeated: the same job
+      {"--team red submit " + job, 0, "run-1 "},  // repeated submission of the same job
       {"--team nobody submit " + job + " --ref run-2", 3, "can never run"},
       {"submit " + job, 2, "owner: missing"},
       {"--team red submit " + job + " --shards many", 2, "--shards: not of the right kind"},
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,5 +1,5 @@
-// A second fault during a first (docs/fault-combinations.md): each combination caused with several
-// controllers.
+// Combinations of faults, of which a second one occurs during the first (docs/fault-combinations.md). Each is
+// caused step by step in a simulated cluster of several controllers.
 #include <gtest/gtest.h>
 
 #include "oxbowmill/service/admission.h"
@@ -15,7 +15,7 @@
 using simulation::test_job;
 using Kind = ReportAnswer::Kind;
 
-/// One task runs on m1 under controller 0; m2 is free.
+/// One task runs on m1, which controller 0 owns; m2 is idle.
 struct RunningTaskFixture {
   RunningTaskFixture() {
     cluster.add_machine("m1");
@@ -35,9 +35,9 @@
 };
 
 TEST(FaultCombinations, ReadOnlyOwnerKillsTasksKnownToBeCancelled) {
-  // Cancelled while the old owner received nothing; its successor knows, and loses the state service before
-  // the agent reports to it. Kept alive through a second read-only period, the task once ran for longer than
-  // cancel_s.
+  // The job is cancelled while its owner receives no updates. The new owner knows of the cancellation, but
+  // loses the state service before the agent reports to it. It once kept the task alive through its own
+  // read-only period, a second one, so that the task ran for longer than cancel_s.
   for (bool cancelled : {true, false}) {
     RunningTaskFixture fixture;
     if (cancelled) {
@@ -70,8 +70,8 @@
 }
 
 TEST(FaultCombinations, LateEndOfAnEarlierAttemptDoesNotReleaseAGangMember) {
-  // The member ended `incomplete` and was started again on the same machine under the same attempt; the new
-  // owner receives the old report first.
+  // A member ends because the gang is incomplete, and is started again on the same machine with the same
+  // attempt. The new owner receives the old report of that end first.
   SimulatedCluster cluster;
   for (const char* m : {"m1", "m2"}) cluster.add_machine(m);
   JobSpec gang = test_job("run-1", 2, 4);
@@ -101,9 +101,9 @@
 }
 
 TEST(FaultCombinations, DelayedReportsOfOldAgentEpochsDoNotProveATaskGone) {
-  // The start was lost with the agent epoch that received it, and sent again under its attempt in the next
-  // epoch. The new owner receives late copies of reports of the first epoch, which show the task, and of the
-  // second from before the start arrived.
+  // The agent's lease expires after it received the start, and the start is sent again with the same attempt
+  // in the next agent epoch. The new owner receives late copies of two reports: one of the first epoch, which
+  // shows the task, and one of the second epoch from before the start arrived.
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.run(2);
@@ -135,9 +135,9 @@
 }
 
 TEST(FaultCombinations, MachineNotReceivingResponsesOfItsNewOwnerIsProvedEmpty) {
-  // Its reports arrive, so it is never silent; responses do not, so it never shows the new fencing token. But
-  // an agent that shows no token of ours has received no response of ours: its lease is over once nobody else
-  // can have responded.
+  // The machine's reports arrive, so it is never silent; responses to it do not, so its reports never show
+  // the new owner's fencing token. An agent that does not show this token has received no response of the new
+  // owner, so its lease has expired once no other controller can have responded.
   RunningTaskFixture fixture;
   fixture.cluster.fail_over(0, 1, 0);
   const Settings& settings = fixture.cluster.controller(1).cluster_state.settings;
@@ -158,7 +158,7 @@
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m2"});
   EXPECT_TRUE(cluster.worker("m2").has("run-1/0"));
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
-  // Responses reach it again: usable as before, with nothing left on it.
+  // Once responses reach the machine again, it is usable as before and has no tasks.
   cluster.run(1, 1);
   EXPECT_EQ(fixture.machine("m1").state, MachineState::ready);
   EXPECT_TRUE(fixture.machine("m1").placed_tasks.empty());
@@ -189,8 +189,8 @@
 }
 
 TEST(FaultCombinations, NoMachineIsAvoidedWhenMostResponsesAreLost) {
-  // The owner is slow, so every agent drops its responses: tasks that are to start stay where they were
-  // placed.
+  // No agent receives a response, as when the owner is so slow that the agents drop its responses. Tasks
+  // whose start has not arrived stay on the machines where they were placed.
   SimulatedCluster cluster;
   std::vector<std::string> names;
   for (int i = 0; i < 8; ++i) names.push_back("m" + std::to_string(i));
@@ -219,7 +219,7 @@
 }
 
 TEST(FaultCombinations, ListedStateIsAsFreshAsItsFirstPage) {
-  // Ten seconds passed between the pages: a job on the first may have been cancelled since.
+  // Ten seconds pass between the two pages, so a job on the first one may have been cancelled meanwhile.
   service::ReplicaFreshness view;
   view.on_listing_started();
   view.on_page(110, 50);
@@ -237,7 +237,7 @@
   view.on_watch_response(140, 62);
   EXPECT_EQ(view.as_of(), 62);
   EXPECT_EQ(view.revision(), 140U);
-  // Listed again: never less fresh than before.
+  // A second listing does not make the replica less fresh than it was.
   view.on_listing_started();
   view.on_page(150, 61);
   view.on_listing_finished();
@@ -246,8 +246,8 @@
 }
 
 TEST(FaultCombinations, LateReportOfADeletedMachineIsAdoptedThenReleased) {
-  // The report reaches the leader after the machine was deleted: adopted, assigned to the waiting partition,
-  // and given up.
+  // The report reaches the leader after the machine was deleted. The leader adopts the machine and assigns it
+  // to the partition that waits for capacity, which gives it up when it does not report.
   SimulatedCluster cluster;
   cluster.add_unregistered_machine("gone");
   WorkerReport late = cluster.worker("gone").report(cluster.now);
@@ -265,7 +265,7 @@
 }
 
 TEST(FaultCombinations, JobWaitCountsFromFirstSubmissionAttempt) {
-  // Refused throughout an outage of a minute, the job would otherwise look a minute younger than it is.
+  // A job that is refused throughout an outage of a minute would otherwise seem a minute younger than it is.
   struct SubmissionAttempt {
     simulation::Json body;
     double submitted_at_s, first_submitted_at_s;
@@ -273,8 +273,8 @@
   const SubmissionAttempt tries[] = {
       {{{"ref", "run-1"}}, 100, 100}, {{{"ref", "run-1"}}, 140, 100},
       {{{"ref", "run-2"}}, 141, 141}, {{{"ref", "run-1"}}, 160, 100},
-      {{{"ref", "run-1"}}, 161, 161},  // no client repeats for so long
-      {{{"ref", "run-1"}}, 150, 150},  // a clock that was set back
+      {{{"ref", "run-1"}}, 161, 161},  // clients do not repeat a submission for so long
+      {{{"ref", "run-1"}}, 150, 150},  // the clock was set back
       {{{"ref", ""}}, 10, 10},        {{{"ref", ""}}, 20, 20},
       {{{"ref", 7}}, 30, 30},         {simulation::Json::object(), 40, 40},
   };
@@ -285,7 +285,7 @@
   for (int i = 0; i < 20000; ++i) known.record_attempt({{"ref", "swarm-" + std::to_string(i)}}, 200);
   EXPECT_EQ(known.record_attempt({{"ref", "swarm-19999"}}, 201), 200);
   EXPECT_EQ(known.record_attempt({{"ref", "swarm-0"}}, 201), 201) << "memory is bounded";
-  // The record has the time of the first attempt.
+  // The admitted job has the time of the first attempt.
   Names names = simulation::test_names();
   Settings settings = simulation::test_settings("n");
   simulation::Json body = wire::write_submission(test_job("run-1", 1), names);
@@ -303,7 +303,7 @@
   struct Case {
     const char* description;
     bool state_is_current;
-    std::vector<Read> reads;  // in the order in which they are requested
+    std::vector<Read> reads;  // results, in the order of the reads
     Step final_step;
     std::size_t read_count;
   };
@@ -342,8 +342,8 @@
 }
 
 TEST(FaultCombinations, RegistrationLostWithAnEarlierLeaseIsRenewed) {
-  // An earlier process's registration is applied after its successor's, and ends with the earlier controller
-  // lease.
+  // The registration of an earlier process is applied after that of its successor, and is deleted when the
+  // earlier process's controller lease expires.
   SimulatedCluster cluster;
   SimulatedController& controller = cluster.controller(0);
   std::uint64_t earlier = cluster.store.grant_lease(2, cluster.now);
@@ -358,9 +358,9 @@
   EXPECT_TRUE(needs_registration(controller.cluster_state, controller.lease, controller.name));
   put(controller.lease.lease_id());
   EXPECT_FALSE(needs_registration(controller.cluster_state, controller.lease, controller.name));
-  put(earlier);  // late
+  put(earlier);  // the write of the earlier process, applied late
   EXPECT_TRUE(needs_registration(controller.cluster_state, controller.lease, controller.name));
-  cluster.run(3);  // the earlier controller lease ends and its key is removed with it
+  cluster.run(3);  // the earlier controller lease expires and its key is deleted with it
   EXPECT_TRUE(needs_registration(controller.cluster_state, controller.lease, controller.name));
   put(controller.lease.lease_id());
   EXPECT_FALSE(needs_registration(controller.cluster_state, controller.lease, controller.name));
--- a/tests/fault_histories_test.cpp
+++ b/tests/fault_histories_test.cpp
@@ -1,5 +1,5 @@
-// The invariant checker, and a small cluster under fault combinations (docs/fault-combinations.md), each
-// swept over the moment at which the second fault strikes.
+// The invariant checker, and a small simulated cluster under combinations of faults
+// (docs/fault-combinations.md). Each combination is run with its second faults at several moments.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 // --- The invariant checker.
 
 struct InvariantCase {
-  const char* rule;  // none: nothing is violated
+  const char* rule;  // name of the violated invariant; empty: none is violated
   const char* description;
   std::function<void(InvariantChecker&)> history;
 };
@@ -332,7 +332,8 @@
 
 // --- Fault combinations.
 
-/// Plays all of them, several at a time; returns the violations, each with the script that reproduces it.
+/// Simulates each scenario with the seeds 1 to `seeds`. Returns one text for each failed run, with its first
+/// violation and the script that reproduces it; empty if all runs passed.
 std::vector<std::string> broken_invariants(const std::vector<ClusterScenario>& all, std::uint64_t seeds) {
   std::vector<std::string> out(all.size() * seeds);
   simulation::run_in_parallel(out.size(), 2, [&](std::size_t i) {
@@ -344,7 +345,7 @@
     if (!result.violations.empty())
       out[i] =
           result.violations[0] + ", seed " + std::to_string(seed) + "\n" + simulation::to_script(scenario);
-    // A history in which nothing was queried or done proves nothing.
+    // A run in which hardly any task was done or query answered proves nothing.
     if (result.answers < 50 || result.done_by_class[0] + result.done_by_class[1] == 0)
       out[i] += "hardly anything was done or answered: " +
                 std::to_string(result.done_by_class[0] + result.done_by_class[1]) + " tasks, " +
@@ -354,11 +355,12 @@
   return out;
 }
 
-/// Two faults or more, of which the second ones strike at a moment that is swept.
+/// Two or more faults. The times of the second ones are shifted, so that they occur at several moments during
+/// the first ones.
 struct FaultCombination {
   const char* name;
   std::vector<Fault> first_faults, second_faults;
-  std::function<void(ClusterScenario&)> configure = {};  // how the cluster differs from the usual one
+  std::function<void(ClusterScenario&)> configure = {};  // changes the default cluster
 };
 
 Fault make_fault(FaultKind kind, double at_s, double for_s, double share = 0, double stagger = 0) {
@@ -397,7 +399,7 @@
   return all;
 }
 
-// Clusters that differ from the usual one.
+// Changes of the default cluster.
 void team_at_quota(ClusterScenario& scenario) {
   scenario.guaranteed_gpus = 8;
   scenario.max_gpus = 16;
@@ -424,7 +426,7 @@
   scenario.arrays_per_s = 0.8;
 }
 
-/// The combinations that the users named, in the order of their list (see docs/fault-combinations.md).
+/// The combinations that users asked for, in the order of their list (docs/fault-combinations.md).
 const std::vector<FaultCombination> fault_combinations = {
     {"CommandsHeldUpAndMachinesThatGoOn",
      {make_fault(Kind::delayed_responses, 0, 60, 0.4), make_fault(Kind::machines_hang, 4, 11, 0.4)},
@@ -558,20 +560,20 @@
                          testing::Range<std::size_t>(0, fault_combinations.size()),
                          [](const auto& p) { return std::string(fault_combinations[p.param].name); });
 
-/// The gap: the state service refuses only the leader, cancellations are confirmed through other controllers,
-/// then the service is down for all, for longer than cancel_s, while agents report to the old leader.
+/// The state service first refuses only the leader, while other controllers confirm cancellations. Then it is
+/// down for all controllers for longer than cancel_s, while agents report to the old leader.
 class CancellationDuringOutageTest : public testing::TestWithParam<int> {};
 
 struct LeaseTimes {
   double lease_s, cancel_s, controller_lease_s;
 };
 const LeaseTimes lease_time_cases[] = {
-    {12, 36, 4},    // the longest read-only period
-    {12, 24, 4},    // a shorter one
-    {12, 16.1, 4},  // the shortest accepted cancel_s: controller lease cut to a second, no read-only period
+    {12, 36, 4},    // longest read-only period
+    {12, 24, 4},    // shorter read-only period
+    {12, 16.1, 4},  // shortest valid cancel_s: controller lease reduced to 1 s, no read-only period
     {12, 19.1, 4},  // no read-only period
-    {36, 61, 4},    // the large fleets' times
-    {6, 60, 20},    // a controller lease far longer than an agent's lease
+    {36, 61, 4},    // times of large clusters
+    {6, 60, 20},    // controller lease much longer than the agents' lease
 };
 
 TEST_P(CancellationDuringOutageTest, CancelledTasksEndWithinTheLimit) {
@@ -601,9 +603,10 @@
 
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationDuringOutageTest, testing::Range(0, 6));
 
-/// An election that is interrupted at each of its steps: own earlier lease ended, lease granted, registered,
-/// ownership write sent, durable but unanswered, state listed, first response. The simulation's steps are of
-/// a tenth of a second, each moment of five seconds is tried, and what ends is back within three tenths.
+/// Interrupts an election at each of its steps: the process's earlier lease ended, lease granted, controller
+/// registered, ownership write sent, the write durable but unanswered, state listed, first response sent. The
+/// simulation advances in steps of 0.1 s, so the interruption is tried at each 0.1 s of the first 5 s.
+/// Controllers that end begin to return within 0.3 s.
 class InterruptedElectionTest : public testing::TestWithParam<std::uint32_t> {};
 
 TEST_P(InterruptedElectionTest, InterruptionAtEachStepKeepsInvariants) {
@@ -619,7 +622,7 @@
     for (const std::vector<Fault>& then : ways) {
       ClusterScenario scenario = simulation::fault_combination_scenario();
       scenario.controllers = GetParam();
-      // Old messages arrive late, requests that were executed are repeated.
+      // Copies of old reports arrive late, and transactions that got no response are applied late.
       scenario.faults = {make_fault(Kind::duplicate_reports, -5, 30, 0.3),
                          make_fault(Kind::delayed_writes, -5, 30, 0.3), make_fault(Kind::owner_down, 0, 0.2)};
       scenario.faults.insert(scenario.faults.end(), then.begin(), then.end());
@@ -634,8 +637,8 @@
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, InterruptedElectionTest, testing::Values(3U, 7U));
 
 TEST(FaultHistories, FourSingleTaskJobsPerSecondStayWithinTheLowestWriteLimit) {
-  // Each job takes a submission, a placement and its end (three keys): a fifth of the limit is left for the
-  // rest.
+  // Each job takes the writes of its submission, its placement and its end (three keys), which leaves a fifth
+  // of the limit for all other writes.
   ClusterScenario scenario = simulation::fault_combination_scenario();
   four_jobs_per_second(scenario);
   scenario.write_rps = 35;
@@ -647,7 +650,7 @@
   double changes = 0;
   for (const simulation::SecondSample& second : result.samples) changes += second.changes;
   EXPECT_GT(result.done_by_class[1], 500U);
-  // Of owners; a cancelled job has been placed and removed, or was never placed.
+  // Counts the changes of owners only. A cancelled job was placed and removed, or was never placed.
   EXPECT_LT(changes / (scenario.arrays_per_s * scenario.duration_s), 4.5);
   EXPECT_EQ(result.class_served[1].started, result.class_served[1].jobs);
   EXPECT_LT(result.class_served[1].longest_wait_s, 60);
--- a/tests/random_faults.h
+++ b/tests/random_faults.h
@@ -1,4 +1,4 @@
-// Faults that the random histories of releases and models share.
+// Faults that the random histories of releases and of served models inject.
 #pragma once
 
 #include "oxbowmill/simulation/simulated_cluster.h"
@@ -7,7 +7,8 @@
 
 enum class RandomFault { owner_crash, responses_lost, state_outage, delayed_duplicates };
 
-/// `world` has a cluster of three controllers, one of which is the owner; `pick(n)` draws from 0 to n - 1.
+/// Injects one fault into the cluster of `world`. It has three controllers; `world.owner` is the index of the
+/// one that owns the partition. `pick(n)` returns a random number from 0 to n - 1.
 template <class World, class Pick>
 void inject_fault(World& world, RandomFault what, Pick&& pick) {
   simulation::SimulatedController& owner = world.cluster.controller(world.owner);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// The scale run: a cell of real controllers on loopback with hollow workers (agents whose tasks are timers),
-// and how it handles bad input.
+// The scale run: real controllers over loopback with simulated agents, whose tasks are timers, and its
+// handling of invalid input.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -115,7 +115,7 @@
   EXPECT_TRUE(report.violations.empty()) << report.violations.front();
   EXPECT_GT(report.figures.at("starts").get<int>(), 0);
   EXPECT_GT(report.figures.at("classes").at("gang").at("begun").get<int>(), 0);
-  // None of its processes is left.
+  // The run has left no child process.
   EXPECT_EQ(waitpid(-1, nullptr, WNOHANG), -1);
   std::filesystem::remove_all(options.directory);
 }
