--- a/include/oxbowmill/autoscaling/environment.h
+++ b/include/oxbowmill/autoscaling/environment.h
@@ -17,7 +17,7 @@
 
   /// Whether the machine is silent while others of its zone report. Its capacity must not be relied on then.
   bool is_suspected(MachineIndex machine_index) const {
-    return recovery_admission != nullptr && recovery_admission->suspected(machine_index);
+    return recovery_admission != nullptr && recovery_admission->is_suspected(machine_index);
   }
   /// Whether reconciliation admits a scale-out for this job of the partition; an invalid job index stands for
   /// warm machines. Call it only if a request would follow, because reconciliation counts what it holds back.
--- a/include/oxbowmill/autoscaling/machine_adoption.h
+++ b/include/oxbowmill/autoscaling/machine_adoption.h
@@ -28,7 +28,7 @@
   /// already queued keeps its record. A nonzero `agent_epoch` marks the machine as booted.
   void queue(const std::string& name, const MachineRecord& record, std::uint64_t agent_epoch = 0);
   /// Queues a machine that reported without having a record. Ignores it if its type or zone is unknown.
-  void on_unregistered(const WorkerReport& report);
+  void on_unregistered(const AgentReport& report);
   /// Sets the partition of a queued machine. Throws std::out_of_range if the machine is not queued.
   void assign(MachineIndex machine_index, PartitionIndex partition);
   /// Writes records in at most one transaction for booted machines and one for booting machines.
--- a/include/oxbowmill/cluster/agent_messages.h
+++ b/include/oxbowmill/cluster/agent_messages.h
@@ -27,7 +27,7 @@
 };
 
 /// An agent's heartbeat.
-struct WorkerReport {
+struct AgentReport {
   std::string machine;                        ///< name of the machine
   std::string address;                        ///< address at which the agent can be reached
   std::string type;                           ///< name of the machine type
--- a/include/oxbowmill/reconciliation/difference.h
+++ b/include/oxbowmill/reconciliation/difference.h
@@ -50,7 +50,7 @@
 
 /// Compares a valid report with the recorded state. To be called before the scheduler handles the report.
 [[nodiscard]] DifferenceCounts compare(const ClusterState& state, MachineIndex machine_index,
-                                       const WorkerReport& report);
+                                       const AgentReport& report);
 
 /// Whether a report may be compared with the records.
 enum class ReportValidity : std::uint8_t {
@@ -63,6 +63,6 @@
 /// Checks a report of the machine. `machine_index` is invalid if there is no record; `is_owned` says whether
 /// this controller owns the machine's partition.
 [[nodiscard]] ReportValidity check_validity(const ClusterState& state, bool is_owned,
-                                            MachineIndex machine_index, const WorkerReport& report);
+                                            MachineIndex machine_index, const AgentReport& report);
 
 }  // namespace oxbowmill::reconciliation
--- a/include/oxbowmill/reconciliation/reconciler.h
+++ b/include/oxbowmill/reconciliation/reconciler.h
@@ -31,7 +31,7 @@
   std::function<void()> on_phase_change;
   /// Handles an agent's report. To be called after the scheduler has noticed takeovers and before it handles
   /// the report, and only while this controller has full authority.
-  void on_report(const WorkerReport& report, Seconds now);
+  void on_report(const AgentReport& report, Seconds now);
   /// Runs one cycle. To be called between the cycles of the scheduler and of the autoscaler, and only while
   /// this controller has full authority: without it, silence of an agent may be this controller's own fault,
   /// so silence is counted from the return of authority.
@@ -49,9 +49,9 @@
   }
 
   /// Whether this controller or a peer suspects the machine.
-  bool suspected(MachineIndex machine_index) const override;
+  bool is_suspected(MachineIndex machine_index) const override;
   /// Whether this controller suspects the machine and expects its deletion to be worthwhile.
-  bool marked_for_deletion(MachineIndex machine_index) const override;
+  bool is_marked_for_deletion(MachineIndex machine_index) const override;
   /// False while awaited reports may still show that the job needs no machine. Always true for guaranteed
   /// work.
   bool may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) override;
--- a/include/oxbowmill/scheduling/heartbeat_handler.h
+++ b/include/oxbowmill/scheduling/heartbeat_handler.h
@@ -16,7 +16,7 @@
 class HeartbeatHandler {
  public:
   /// Called with the report of a machine that has no record.
-  using UnregisteredCallback = std::function<void(const WorkerReport&)>;
+  using UnregisteredCallback = std::function<void(const AgentReport&)>;
 
   /// All arguments must outlive this object.
   HeartbeatHandler(ClusterState& state, const ControllerLease& controller_lease,
@@ -29,20 +29,19 @@
         responses_(state) {}
 
   /// Applies a report and returns the answer.
-  ReportAnswer on_report(const WorkerReport& report, Clock clock,
-                         const UnregisteredCallback& on_unregistered);
+  ReportAnswer on_report(const AgentReport& report, Clock clock, const UnregisteredCallback& on_unregistered);
 
  private:
-  ReportAnswer redirect(PartitionIndex partition, MachineIndex machine_index, const WorkerReport& report,
+  ReportAnswer redirect(PartitionIndex partition, MachineIndex machine_index, const AgentReport& report,
                         Seconds now) const;
-  ReportAnswer answer_unregistered(const WorkerReport& report,
+  ReportAnswer answer_unregistered(const AgentReport& report,
                                    const UnregisteredCallback& on_unregistered) const;
   /// Accepts a report that is newer than all earlier ones of the machine. Returns nothing if the report is
   /// stale or the agent would drop the response because it has seen a higher fencing token.
-  std::optional<ReportProof> accept(Machine& machine, const WorkerReport& report, Revision fencing_token,
+  std::optional<ReportProof> accept(Machine& machine, const AgentReport& report, Revision fencing_token,
                                     Seconds now) const;
-  bool matches_market_record(const Machine& machine, const WorkerReport& report) const;
-  void update_machine(MachineIndex machine_index, Machine& machine, const WorkerReport& report,
+  bool matches_market_record(const Machine& machine, const AgentReport& report) const;
+  void update_machine(MachineIndex machine_index, Machine& machine, const AgentReport& report,
                       const ReportProof& proof, Seconds now);
   void count_lost_responses(Machine& machine, const StartUpdate& starts, const ReportProof& proof);
   void block_machine(MachineIndex machine_index, Seconds now);
--- a/include/oxbowmill/scheduling/queue_order.h
+++ b/include/oxbowmill/scheduling/queue_order.h
@@ -18,8 +18,8 @@
 
 /// A job in the queue.
 struct WaitingJob {
-  JobIndex job;                                         ///< the job
-  StartUrgency start_deadline = StartUrgency::relaxed;  ///< how pressing its start is
+  JobIndex job;                                        ///< the job
+  StartUrgency start_urgency = StartUrgency::relaxed;  ///< how urgent its start is
 };
 
 /// Waiting jobs of a partition in the order of placement. Jobs whose start deadline is critical come first,
--- a/include/oxbowmill/scheduling/recovery_admission.h
+++ b/include/oxbowmill/scheduling/recovery_admission.h
@@ -23,10 +23,10 @@
   virtual ~RecoveryAdmission() = default;
   /// Whether the machine is suspected to be gone, because it is silent while others of its zone report. Its
   /// capacity is not counted on.
-  virtual bool suspected(MachineIndex machine_index) const = 0;
+  virtual bool is_suspected(MachineIndex machine_index) const = 0;
   /// Whether the machine is to be deleted now although tasks may run on it: the confirmed deletion proves
   /// that they have ended, and it comes sooner than the expiry of the machine's lease.
-  virtual bool marked_for_deletion(MachineIndex machine_index) const = 0;
+  virtual bool is_marked_for_deletion(MachineIndex machine_index) const = 0;
   /// Whether machines may be requested for this job of the partition, or, with an invalid job, to be kept
   /// ready.
   virtual bool may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) = 0;
--- a/include/oxbowmill/scheduling/scheduler.h
+++ b/include/oxbowmill/scheduling/scheduler.h
@@ -22,7 +22,7 @@
   Scheduler& operator=(const Scheduler&) = delete;
 
   /// Applies an agent's report and returns the answer.
-  ReportAnswer on_report(const WorkerReport& report, Clock clock) {
+  ReportAnswer on_report(const AgentReport& report, Clock clock) {
     return heartbeats_.on_report(report, clock, on_unregistered);
   }
   /// Runs a scheduling cycle of all owned partitions and adds its effects to `out`.
@@ -77,7 +77,7 @@
     machine_monitor_.set_recovery_admission(recovery_admission);
   }
   /// Called by the leader with the report of a machine that has no record, so that the machine is adopted.
-  std::function<void(const WorkerReport&)> on_unregistered;
+  std::function<void(const AgentReport&)> on_unregistered;
   /// Makes every cycle compare the index of free capacity with a full scan. For tests.
   void enable_capacity_check() { placement_.enable_capacity_check(); }
   /// Number of machines that placement has visited since the start.
--- a/include/oxbowmill/scheduling/task_report_reader.h
+++ b/include/oxbowmill/scheduling/task_report_reader.h
@@ -27,13 +27,13 @@
   TaskReportReader(ClusterState& state, GangController& gangs) : state_(state), gangs_(gangs) {}
 
   /// Applies a report that is newer than all earlier ones of the machine.
-  StartUpdate read(MachineIndex machine_index, const WorkerReport& report, const ReportProof& proof,
+  StartUpdate read(MachineIndex machine_index, const AgentReport& report, const ReportProof& proof,
                    Seconds now);
 
  private:
   /// A report that is being read, what it proves, and what was found so far.
   struct ReportContext {
-    const WorkerReport& report;
+    const AgentReport& report;
     const ReportProof& proof;
     Machine& machine;
     Seconds now;
--- a/include/oxbowmill/service/report_handler.h
+++ b/include/oxbowmill/service/report_handler.h
@@ -26,7 +26,7 @@
   void on_report(const net::Request& request, ReportOrigin origin);
 
  private:
-  std::optional<WorkerReport> read(const net::Request& request);
+  std::optional<AgentReport> read(const net::Request& request);
   void reply(const net::Request& request, ReportOrigin origin, const std::string& machine,
              const ReportAnswer& answer);
 
--- a/include/oxbowmill/simulation/agent.h
+++ b/include/oxbowmill/simulation/agent.h
@@ -34,7 +34,7 @@
   Worker(std::string name, std::string zone, RunLog& log, bool spot = false);
 
   /// The next report, with all tasks. Ends the epoch first when the lease has expired.
-  WorkerReport report(double now);
+  AgentReport report(double now);
   /// Applies the response to the last report: renews the lease and executes its commands. Ignored unless it
   /// is `ok`, when its fencing token is lower than the agent's, or when the epoch has ended since the
   /// report.
--- a/include/oxbowmill/simulation/agent_wire.h
+++ b/include/oxbowmill/simulation/agent_wire.h
@@ -10,7 +10,7 @@
 namespace oxbowmill::simulation {
 
 /// The body of `POST /hello`.
-wire::Json write_report(const WorkerReport& report);
+wire::Json write_report(const AgentReport& report);
 /// The response to a report; none where a field is missing or has the wrong type.
 std::optional<ReportAnswer> read_answer(const wire::Json& body);
 /// The body of `POST /commands`; none where a field is missing or has the wrong type.
--- a/include/oxbowmill/simulation/simulated_cluster.h
+++ b/include/oxbowmill/simulation/simulated_cluster.h
@@ -64,7 +64,7 @@
   /// Applies the outcome of a transaction, as its sender sees it.
   void on_write_result(const Write& write, TransactionOutcome outcome, Revision revision, double now);
   /// The response to an agent's report.
-  ReportAnswer handle_report(const WorkerReport& report, double now);
+  ReportAnswer handle_report(const AgentReport& report, double now);
   /// Reconciles after failovers from now on, as `deploy/recovery.yaml` switches it on.
   void enable_reconciliation(const reconciliation::Settings& settings);
   /// Follows this calendar and scales these models from now on.
--- a/include/oxbowmill/wire/agent_codec.h
+++ b/include/oxbowmill/wire/agent_codec.h
@@ -11,7 +11,7 @@
 
 /// An agent's report; nothing where a field is missing or malformed. An unknown cause of a task's end reads
 /// as an error, so that newer agents can report to this version.
-std::optional<WorkerReport> read_report(const Json& json);
+std::optional<AgentReport> read_report(const Json& json);
 /// The answer to a report: commands, or the controller to report to instead.
 Json write_report_answer(const ReportAnswer& answer);
 /// Commands that a controller sends without waiting for the next report.
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -15,7 +15,7 @@
       candidates_(environment_, adoption_, requests_, moves_, returns_),
       planner_(environment_, requests_, warm_machines_),
       demand_(environment_, candidates_, moves_, planner_, warm_machines_) {
-  scheduler.on_unregistered = [this](const WorkerReport& report) { adoption_.on_unregistered(report); };
+  scheduler.on_unregistered = [this](const AgentReport& report) { adoption_.on_unregistered(report); };
 }
 
 void Autoscaler::run_cycle(Clock clock, Effects& out) {
--- a/src/autoscaling/demand_order.cpp
+++ b/src/autoscaling/demand_order.cpp
@@ -50,8 +50,8 @@
                      bool left_guaranteed = order.guaranteed.count(left.job) != 0;
                      bool right_guaranteed = order.guaranteed.count(right.job) != 0;
                      if (left_guaranteed != right_guaranteed) return left_guaranteed;
-                     bool left_critical = left.start_deadline == StartUrgency::critical;
-                     bool right_critical = right.start_deadline == StartUrgency::critical;
+                     bool left_critical = left.start_urgency == StartUrgency::critical;
+                     bool right_critical = right.start_urgency == StartUrgency::critical;
                      if (left_critical || right_critical) return left_critical && !right_critical;
                      return state.job(left.job).spec.priority > state.job(right.job).spec.priority;
                    });
--- a/src/autoscaling/demand_reconciler.cpp
+++ b/src/autoscaling/demand_reconciler.cpp
@@ -78,7 +78,7 @@
   demand.index = waiting.job;
   demand.job = &job;
   demand.guaranteed = guaranteed;
-  demand.is_start_deadline_near = waiting.start_deadline != StartUrgency::relaxed;
+  demand.is_start_deadline_near = waiting.start_urgency != StartUrgency::relaxed;
   demand.may_preempt = settings.preempt && (job.spec.priority >= Priority::high || guaranteed);
   demand.avoid_whole_machines = !demand.is_start_deadline_near && partition.has_whole_machine_gangs &&
                                 planner_.is_spot_available_for(job.spec, cycle.clock.now);
--- a/src/autoscaling/machine_adoption.cpp
+++ b/src/autoscaling/machine_adoption.cpp
@@ -15,7 +15,7 @@
   adoption.agent_epoch = agent_epoch;
 }
 
-void MachineAdoption::on_unregistered(const WorkerReport& report) {
+void MachineAdoption::on_unregistered(const AgentReport& report) {
   ClusterState& state = environment_.state;
   MachineRecord record;
   record.partition = idle_pool;
--- a/src/reconciliation/difference.cpp
+++ b/src/reconciliation/difference.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-const TaskReport* find_task_report(const WorkerReport& report, const std::string& ref, TaskNumber task) {
+const TaskReport* find_task_report(const AgentReport& report, const std::string& ref, TaskNumber task) {
   auto found = std::find_if(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task_report) {
     return task_report.task == task && task_report.job == ref;
   });
@@ -59,7 +59,7 @@
 }
 
 /// Compares all placements that earlier owners made on the machine.
-void compare_placements(const ClusterState& state, const Machine& machine, const WorkerReport& report,
+void compare_placements(const ClusterState& state, const Machine& machine, const AgentReport& report,
                         DifferenceCounts& differences) {
   for (TaskId id : machine.placed_tasks) {
     const Job* job = state.known_job(id.job);
@@ -94,7 +94,7 @@
 }  // namespace
 
 ReportValidity check_validity(const ClusterState& state, bool is_owned, MachineIndex machine_index,
-                              const WorkerReport& report) {
+                              const AgentReport& report) {
   if (!machine_index.valid()) return ReportValidity::unregistered;
   if (!is_owned) return ReportValidity::not_owned;
   const Machine& machine = state.machine(machine_index);
@@ -105,7 +105,7 @@
   return ReportValidity::valid;
 }
 
-DifferenceCounts compare(const ClusterState& state, MachineIndex machine_index, const WorkerReport& report) {
+DifferenceCounts compare(const ClusterState& state, MachineIndex machine_index, const AgentReport& report) {
   DifferenceCounts differences;
   const Machine& machine = state.machine(machine_index);
   if (machine.record.market.valid()) differences.add(Difference::market_managed);
--- a/src/reconciliation/reconciler.cpp
+++ b/src/reconciliation/reconciler.cpp
@@ -76,7 +76,7 @@
   set_phase(partition, PartitionPhase::awaiting_reports, now);
 }
 
-void Reconciler::on_report(const WorkerReport& report, Seconds now) {
+void Reconciler::on_report(const AgentReport& report, Seconds now) {
   MachineIndex machine_index = state_.find_recorded(report.machine);
   PartitionIndex partition =
       machine_index.valid() ? state_.machine(machine_index).record.partition : idle_pool;
@@ -224,11 +224,11 @@
   return suspects;
 }
 
-bool Reconciler::suspected(MachineIndex machine_index) const {
+bool Reconciler::is_suspected(MachineIndex machine_index) const {
   return is_suspect(agent_liveness(machine_index)) || peer_hints_.is_suspected(machine_index);
 }
 
-bool Reconciler::marked_for_deletion(MachineIndex machine_index) const {
+bool Reconciler::is_marked_for_deletion(MachineIndex machine_index) const {
   return agent_liveness(machine_index) == AgentLiveness::marked_for_deletion;
 }
 
@@ -271,8 +271,9 @@
 }
 
 std::vector<Replacement> Reconciler::replacements(Seconds now) const {
-  return replacements_.replacements([this](MachineIndex machine_index) { return suspected(machine_index); },
-                                    liveness_.statistics(), now);
+  return replacements_.replacements(
+      [this](MachineIndex machine_index) { return is_suspected(machine_index); }, liveness_.statistics(),
+      now);
 }
 
 void Reconciler::replacement_started(MachineIndex suspect) {
--- a/src/scheduling/heartbeat_handler.cpp
+++ b/src/scheduling/heartbeat_handler.cpp
@@ -15,7 +15,7 @@
 constexpr double permanent_fault_duration_s = 1e9;
 }  // namespace
 
-ReportAnswer HeartbeatHandler::on_report(const WorkerReport& report, Clock clock,
+ReportAnswer HeartbeatHandler::on_report(const AgentReport& report, Clock clock,
                                          const UnregisteredCallback& on_unregistered) {
   const Seconds now = clock.now;
   Authority authority = controller_lease_.authority(now);
@@ -54,7 +54,7 @@
 }
 
 ReportAnswer HeartbeatHandler::redirect(PartitionIndex partition, MachineIndex machine_index,
-                                        const WorkerReport& report, Seconds now) const {
+                                        const AgentReport& report, Seconds now) const {
   ReportAnswer answer;
   const Ownership& ownership = state_.ownership(partition);
   if (ownership.revision == 0 || ownership.record.controller == state_.settings.controller_name)
@@ -71,7 +71,7 @@
   return answer;
 }
 
-ReportAnswer HeartbeatHandler::answer_unregistered(const WorkerReport& report,
+ReportAnswer HeartbeatHandler::answer_unregistered(const AgentReport& report,
                                                    const UnregisteredCallback& on_unregistered) const {
   ReportAnswer answer;
   answer.fencing_token = state_.ownership(idle_pool).revision;
@@ -81,7 +81,7 @@
   return answer;
 }
 
-std::optional<ReportProof> HeartbeatHandler::accept(Machine& machine, const WorkerReport& report,
+std::optional<ReportProof> HeartbeatHandler::accept(Machine& machine, const AgentReport& report,
                                                     Revision fencing_token, Seconds now) const {
   // An agent that has seen a higher token would drop the response.
   if (report.fencing_token > fencing_token) return std::nullopt;
@@ -101,7 +101,7 @@
   return proof;
 }
 
-bool HeartbeatHandler::matches_market_record(const Machine& machine, const WorkerReport& report) const {
+bool HeartbeatHandler::matches_market_record(const Machine& machine, const AgentReport& report) const {
   // A machine from a market is checked by its own report: if its type or zone differs from the bid, a job
   // might run where it must not.
   const MachineRecord& record = machine.record;
@@ -110,8 +110,8 @@
                      report.spot} == MachineKind{record.type, record.zone, record.spot};
 }
 
-void HeartbeatHandler::update_machine(MachineIndex machine_index, Machine& machine,
-                                      const WorkerReport& report, const ReportProof& proof, Seconds now) {
+void HeartbeatHandler::update_machine(MachineIndex machine_index, Machine& machine, const AgentReport& report,
+                                      const ReportProof& proof, Seconds now) {
   machine.address = report.address;
   if (machine.first_report_at < 0) machine.first_report_at = now;
   machine.has_booted = true;
--- a/src/scheduling/machine_monitor.cpp
+++ b/src/scheduling/machine_monitor.cpp
@@ -61,7 +61,7 @@
 bool MachineMonitor::delete_if_suspected(MachineIndex machine_index, Effects& out) {
   const Machine& machine = state_.machine(machine_index);
   if (recovery_admission_ == nullptr || machine.write_in_flight ||
-      !recovery_admission_->marked_for_deletion(machine_index))
+      !recovery_admission_->is_marked_for_deletion(machine_index))
     return false;
   // In the cluster state its tasks stay on it until the deletion is confirmed and its record is removed.
   SPDLOG_INFO("suspected machine marked for deletion machine={}", state_.names.machines.name(machine_index));
--- a/src/scheduling/placement_cycle.cpp
+++ b/src/scheduling/placement_cycle.cpp
@@ -93,7 +93,7 @@
   if (max_tasks == 0 || (gang && max_tasks < job.pending_count())) return PendingReason::quota;
   auto tasks = state_.pending_tasks(job, max_tasks);
   SelectionQuery query = selection_query_for(state_, capacity_, zones_, job, now);
-  query.has_start_deadline = waiting.start_deadline != StartUrgency::relaxed;
+  query.has_start_deadline = waiting.start_urgency != StartUrgency::relaxed;
   if (cycle.avoid_whole_machines && !query.has_start_deadline)
     tasks = keep_whole_machines_free(state_, job, now, cycle.capacity, query, tasks);
   if (tasks.empty()) return PendingReason::awaiting_spot;
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -20,7 +20,7 @@
   int tier = 0;
   double sort_key = 0, waiting_since = 0;
   JobIndex job;
-  StartUrgency start_deadline = StartUrgency::relaxed;
+  StartUrgency start_urgency = StartUrgency::relaxed;
 };
 
 /// Whether the gang can be placed as a whole, or lacks members in an attempt that has not run yet.
@@ -93,14 +93,14 @@
   std::vector<QueueEntry*> critical_entries;
   for (QueueEntry& entry : entries) {
     const Job& job = state.job(entry.job);
-    entry.start_deadline = start_urgency_of(state, job.spec, clock.wall);
-    if (entry.start_deadline < StartUrgency::urgent || !awaits_first_start(job)) {
-      entry.start_deadline = StartUrgency::relaxed;
+    entry.start_urgency = start_urgency_of(state, job.spec, clock.wall);
+    if (entry.start_urgency < StartUrgency::urgent || !awaits_first_start(job)) {
+      entry.start_urgency = StartUrgency::relaxed;
       continue;
     }
     entry.tier = -1;
     entry.sort_key = start_deadline_slack(state, job.spec, clock.wall);
-    if (entry.start_deadline == StartUrgency::critical) critical_entries.push_back(&entry);
+    if (entry.start_urgency == StartUrgency::critical) critical_entries.push_back(&entry);
   }
   std::sort(critical_entries.begin(), critical_entries.end(),
             [](const QueueEntry* left, const QueueEntry* right) {
@@ -115,7 +115,7 @@
     if (machines_ahead_left >= 0 || first) {
       entry->priority = above_all_priorities;
     } else {
-      entry->start_deadline = StartUrgency::urgent;
+      entry->start_urgency = StartUrgency::urgent;
     }
     first = false;
   }
@@ -189,7 +189,7 @@
            std::tie(right.priority, right.tier, right.sort_key, right.waiting_since, right.job);
   });
   std::vector<WaitingJob> order;
-  for (const QueueEntry& entry : entries) order.push_back({entry.job, entry.start_deadline});
+  for (const QueueEntry& entry : entries) order.push_back({entry.job, entry.start_urgency});
   return order;
 }
 
--- a/src/scheduling/response_builder.cpp
+++ b/src/scheduling/response_builder.cpp
@@ -6,7 +6,7 @@
 
 namespace oxbowmill {
 
-void ResponseBuilder::add_commands(MachineIndex machine_index, const WorkerReport& report, Seconds now,
+void ResponseBuilder::add_commands(MachineIndex machine_index, const AgentReport& report, Seconds now,
                                    std::vector<AgentCommand>& commands) {
   Machine& machine = state_.edit_machine(machine_index);
   add_kills(machine_index, report, Scope::all, now, commands);
@@ -24,12 +24,12 @@
   }
 }
 
-void ResponseBuilder::add_read_only_commands(MachineIndex machine_index, const WorkerReport& report,
+void ResponseBuilder::add_read_only_commands(MachineIndex machine_index, const AgentReport& report,
                                              Seconds now, std::vector<AgentCommand>& commands) const {
   add_kills(machine_index, report, Scope::cancelled_only, now, commands);
 }
 
-void ResponseBuilder::add_kills(MachineIndex machine_index, const WorkerReport& report, Scope scope,
+void ResponseBuilder::add_kills(MachineIndex machine_index, const AgentReport& report, Scope scope,
                                 Seconds now, std::vector<AgentCommand>& commands) const {
   for (const TaskReport& task_report : report.tasks) {
     // A task without a placement must not run here: its placement was removed when it was proved to have
--- a/src/scheduling/task_report_reader.cpp
+++ b/src/scheduling/task_report_reader.cpp
@@ -22,7 +22,7 @@
 constexpr double running_gap_report_intervals = 2;
 constexpr double running_gap_slack_s = 1;
 
-const TaskReport* find_task_report(const WorkerReport& report, const std::string& job_ref,
+const TaskReport* find_task_report(const AgentReport& report, const std::string& job_ref,
                                    const Placement& placement) {
   auto found = std::find_if(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task_report) {
     return task_report.task == placement.task && task_report.attempt == placement.attempt &&
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-StartUpdate TaskReportReader::read(MachineIndex machine_index, const WorkerReport& report,
+StartUpdate TaskReportReader::read(MachineIndex machine_index, const AgentReport& report,
                                    const ReportProof& proof, Seconds now) {
   Machine& machine = state_.edit_machine(machine_index);
   ReportContext context{report, proof, machine, now, {}};
@@ -121,7 +121,7 @@
 }
 
 void TaskReportReader::read_absent(ReportContext& context, Placement& placement) {
-  const WorkerReport& report = context.report;
+  const AgentReport& report = context.report;
   // A task's absence proves something only if the report shows this owner's fencing token or a later agent
   // epoch, or if the agent has received none of this owner's responses, and so not the one that carried the
   // start.
--- a/src/service/report_handler.cpp
+++ b/src/service/report_handler.cpp
@@ -19,7 +19,7 @@
       malformed_messages_(malformed_messages),
       clock_(std::move(clock)) {}
 
-std::optional<WorkerReport> ReportHandler::read(const net::Request& request) {
+std::optional<AgentReport> ReportHandler::read(const net::Request& request) {
   auto body = wire::decode_map(request.body);
   auto report = body ? wire::read_report(*body) : std::nullopt;
   if (!report) malformed_messages_.record("report", body ? body->value("host", Json()).dump() : "unknown");
--- a/src/simulation/agent.cpp
+++ b/src/simulation/agent.cpp
@@ -16,10 +16,10 @@
 Worker::Worker(std::string name, std::string zone, RunLog& log, bool spot)
     : name_(std::move(name)), zone_(std::move(zone)), spot_(spot), log_(&log) {}
 
-WorkerReport Worker::report(double now) {
+AgentReport Worker::report(double now) {
   if (renewed_at_ < 0) renewed_at_ = now;
   tick(now);
-  WorkerReport report;
+  AgentReport report;
   report.machine = name_;
   report.address = address;
   report.type = "std";
--- a/src/simulation/agent_wire.cpp
+++ b/src/simulation/agent_wire.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Json write_report(const WorkerReport& report) {
+Json write_report(const AgentReport& report) {
   Json tasks = Json::array();
   for (const TaskReport& task : report.tasks) {
     Json entry = {{"shard", task.job + "/" + std::to_string(task.task)},
--- a/src/simulation/cluster_agents.cpp
+++ b/src/simulation/cluster_agents.cpp
@@ -44,7 +44,7 @@
     machine.next_report = now + (hangs ? 5 : 1);
     return;
   }
-  WorkerReport report = machine.worker->report(now);
+  AgentReport report = machine.worker->report(now);
   if (reports_to_delay > 0) {
     --reports_to_delay;
     delayed_reports.push_back(report);
--- a/src/simulation/cluster_controllers.cpp
+++ b/src/simulation/cluster_controllers.cpp
@@ -12,11 +12,11 @@
   Oracle(const ClusterState& model, const Scheduler& scheduler, const reconciliation::Settings& s,
          std::function<bool(const std::string&)> dead)
       : Reconciler(model, scheduler, s), state_(model), is_dead_(std::move(dead)) {}
-  bool suspected(MachineIndex machine_index) const override {
+  bool is_suspected(MachineIndex machine_index) const override {
     return is_dead_(state_.names.machines.name(machine_index));
   }
-  bool marked_for_deletion(MachineIndex machine_index) const override {
-    return suspected(machine_index) && state_.machine(machine_index).record.mark == MachineMark::none;
+  bool is_marked_for_deletion(MachineIndex machine_index) const override {
+    return is_suspected(machine_index) && state_.machine(machine_index).record.mark == MachineMark::none;
   }
 
  private:
--- a/src/simulation/cluster_faults.cpp
+++ b/src/simulation/cluster_faults.cpp
@@ -268,7 +268,7 @@
   });
   replay_reports();
   if (delayed_reports_due_at > 0 && now >= delayed_reports_due_at) {
-    for (const WorkerReport& r : delayed_reports) {
+    for (const AgentReport& r : delayed_reports) {
       for (ControllerProcess& n : controllers) {
         // The agent has long stopped waiting for these: no response reaches it.
         if (acts(n) && n.state_loaded) n.controller->handle_report(r, now);
@@ -295,7 +295,7 @@
     }
   }
   if (!begins) return;
-  for (const WorkerReport& r : retained_reports) {
+  for (const AgentReport& r : retained_reports) {
     for (ControllerProcess& n : controllers) {
       if (acts(n) && n.state_loaded) n.controller->handle_report(r, now);
     }
--- a/src/simulation/cluster_simulation_impl.h
+++ b/src/simulation/cluster_simulation_impl.h
@@ -237,7 +237,7 @@
   struct ReportCopy {
     double at;
     std::size_t controller;
-    WorkerReport report;
+    AgentReport report;
   };
   template <class T>
   struct DelayedMessage {
@@ -285,7 +285,7 @@
   double lost_answers_fraction = 0, lost_answers_until = -1, replay_fraction = 0, replay_until = -1,
          isolated_until = -1, end_cancels_fraction = 0, end_cancels_until = -1, repeated_queries_until = -1,
          invalid_requests_until = -1, fast_boots_until = -1, next_invalid_request = 0, max_response_delay = 6;
-  std::vector<WorkerReport> retained_reports;
+  std::vector<AgentReport> retained_reports;
   std::map<std::uint32_t, Revision> ownership_revisions;  // by partition: of the latest owner seen
   std::uint64_t invalid_request_count = 0;
   std::string isolated_zone;
@@ -298,7 +298,7 @@
   std::deque<CloudCall> calls;
   std::vector<double> returned_at;
   std::vector<Fault> faults;
-  std::vector<WorkerReport> delayed_reports;
+  std::vector<AgentReport> delayed_reports;
   std::uint32_t reports_to_delay = 0, created = 0, created_spot = 0;
   std::uint64_t submitted = 0;
   double delayed_reports_due_at = 0, outage_until = 0, slow_until = 0, cloud_down_until = -1, cut_until = -1,
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -87,7 +87,7 @@
   cluster_state.constraints = &combined_constraints_;
 }
 
-ReportAnswer SimulatedController::handle_report(const WorkerReport& report, double now) {
+ReportAnswer SimulatedController::handle_report(const AgentReport& report, double now) {
   if (reconciler && lease.authority(now) == Authority::full) {
     scheduler.detect_failovers(now);
     reconciler->on_report(report, now);
--- a/src/wire/agent_codec.cpp
+++ b/src/wire/agent_codec.cpp
@@ -108,9 +108,9 @@
 
 }  // namespace
 
-std::optional<WorkerReport> read_report(const Json& json) {
+std::optional<AgentReport> read_report(const Json& json) {
   FieldReader fields(json);
-  WorkerReport report;
+  AgentReport report;
   report.machine = fields.text(field::machine);
   if (!valid_id(report.machine)) fields.fail(field::machine);
   report.address = fields.text(shared::address);
--- a/tests/bench/reconciliation_bench.cpp
+++ b/tests/bench/reconciliation_bench.cpp
@@ -30,7 +30,7 @@
       reports.push_back(cluster.worker("m" + std::to_string(i)).report(cluster.now));
   }
   simulation::SimulatedCluster cluster;
-  std::vector<WorkerReport> reports;
+  std::vector<AgentReport> reports;
 };
 
 /// Handles the first report of every agent to its new owner, and runs one cycle.
@@ -39,7 +39,7 @@
     state.PauseTiming();
     FailoverFixture fixture(state.range(0) != 0);
     state.ResumeTiming();
-    for (const WorkerReport& report : fixture.reports)
+    for (const AgentReport& report : fixture.reports)
       benchmark::DoNotOptimize(fixture.cluster.controller(1).handle_report(report, fixture.cluster.now));
     fixture.cluster.controller(1).run_cycle(fixture.cluster.now + 0.5);
   }
@@ -65,7 +65,7 @@
 void steady_state_report(benchmark::State& state) {
   FailoverFixture fixture(state.range(0) != 0);
   fixture.cluster.run(3, 1);
-  WorkerReport report = fixture.cluster.worker("m7").report(fixture.cluster.now);
+  AgentReport report = fixture.cluster.worker("m7").report(fixture.cluster.now);
   for (auto _ : state) {
     ++report.report_sequence;
     benchmark::DoNotOptimize(fixture.cluster.controller(1).handle_report(report, fixture.cluster.now));
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -61,7 +61,7 @@
 TEST(Difference, EachKindIsDetectedExclusively) {
   struct Case {
     const char* description;
-    std::function<void(SimulatedCluster&, WorkerReport&)> change;
+    std::function<void(SimulatedCluster&, AgentReport&)> change;
     Difference kind;
   };
   auto task = [](const char* job, TaskNumber number, Attempt attempt, TaskPhase phase, EndCause cause) {
@@ -75,38 +75,38 @@
   };
   const Case cases[] = {
       {"the report has an older fencing token",
-       [](SimulatedCluster&, WorkerReport& report) { report.fencing_token = 1; }, Difference::stale_token},
+       [](SimulatedCluster&, AgentReport& report) { report.fencing_token = 1; }, Difference::stale_token},
       {"a task placed here is not reported",
-       [](SimulatedCluster&, WorkerReport& report) { report.tasks.clear(); }, Difference::not_reported},
+       [](SimulatedCluster&, AgentReport& report) { report.tasks.clear(); }, Difference::not_reported},
       {"another attempt of the placed task is reported",
-       [](SimulatedCluster&, WorkerReport& report) { report.tasks[0].attempt += 1; },
+       [](SimulatedCluster&, AgentReport& report) { report.tasks[0].attempt += 1; },
        Difference::other_attempt},
       {"the placed task has ended",
-       [](SimulatedCluster&, WorkerReport& report) { report.tasks[0].phase = TaskPhase::ended; },
+       [](SimulatedCluster&, AgentReport& report) { report.tasks[0].phase = TaskPhase::ended; },
        Difference::ended_unreported},
       {"a task without a placement runs",
-       [&](SimulatedCluster&, WorkerReport& report) {
+       [&](SimulatedCluster&, AgentReport& report) {
          report.tasks.push_back(task("run-2", 0, 5, TaskPhase::running, {}));
        },
        Difference::not_placed},
       {"a task that is placed on another machine runs",
-       [&](SimulatedCluster&, WorkerReport& report) {
+       [&](SimulatedCluster&, AgentReport& report) {
          report.tasks.push_back(task("run-1", 1, 5, TaskPhase::running, {}));
        },
        Difference::placed_elsewhere},
       {"a task of an unknown job runs",
-       [&](SimulatedCluster&, WorkerReport& report) {
+       [&](SimulatedCluster&, AgentReport& report) {
          report.tasks.push_back(task("run-9", 0, 5, TaskPhase::running, {}));
        },
        Difference::job_finished},
       {"the job of the task was cancelled after the failover",
-       [](SimulatedCluster& cluster, WorkerReport&) {
+       [](SimulatedCluster& cluster, AgentReport&) {
          ASSERT_EQ(cluster.withdraw("run-1"), 200);
          cluster.controller(1).sync(cluster.now);
        },
        Difference::job_finished},
       {"an ended task without a placement is reported",
-       [&](SimulatedCluster&, WorkerReport& report) {
+       [&](SimulatedCluster&, AgentReport& report) {
          report.tasks.push_back(task("run-9", 0, 5, TaskPhase::ended, EndCause::done));
        },
        Difference::uncleared_task},
@@ -116,7 +116,7 @@
     fixture.cluster.submit(test_job("run-2", 1, 64));  // known, but too large to be placed
     fixture.fail_over();
     fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
-    WorkerReport report = fixture.cluster.worker("m0").report(fixture.cluster.now);
+    AgentReport report = fixture.cluster.worker("m0").report(fixture.cluster.now);
     report.fencing_token = ~0ULL;
     ASSERT_EQ(report.tasks.size(), 1U);
     // Each machine has one task of run-1; the owner chooses which.
@@ -149,7 +149,7 @@
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.controller(1).run_cycle(cluster.now);
-  WorkerReport report = cluster.worker("m0").report(cluster.now);
+  AgentReport report = cluster.worker("m0").report(cluster.now);
   report.fencing_token = ~0ULL;
   MachineIndex machine_index = cluster.controller(1).cluster_state.names.machines.find("m0");
   ASSERT_EQ(report.tasks.size(), 1U);
@@ -232,14 +232,14 @@
   EXPECT_EQ(fixture.liveness(3), AgentLiveness::awaited);
   fixture.cluster.run(2, 1);
   EXPECT_EQ(fixture.liveness(3), AgentLiveness::suspected);
-  EXPECT_TRUE(fixture.reconciler().suspected(fixture.machine("m3")));
+  EXPECT_TRUE(fixture.reconciler().is_suspected(fixture.machine("m3")));
   EXPECT_EQ(fixture.reconciler().suspects(10).size(), 1U);
   EXPECT_EQ(fixture.cluster.machines_of_task("run-1", 3).size(), 1U)
       << "a suspicion does not prove that the machine is lost";
   fixture.cluster.silenced_workers.clear();
   fixture.cluster.run(1, 1);
   EXPECT_NE(fixture.liveness(3), AgentLiveness::suspected);
-  EXPECT_FALSE(fixture.reconciler().suspected(fixture.machine("m3")));
+  EXPECT_FALSE(fixture.reconciler().is_suspected(fixture.machine("m3")));
   EXPECT_DOUBLE_EQ(fixture.reconciler().suspicion_statistics().returned_weight(), 1);
 }
 
@@ -254,7 +254,7 @@
   fixture.cluster.run(read_only_period_s + first_report_timeout_s - 1, 1);
   EXPECT_EQ(fixture.liveness(3), AgentLiveness::awaited);
   fixture.cluster.run(2, 1);
-  EXPECT_TRUE(fixture.reconciler().suspected(fixture.machine("m3")));
+  EXPECT_TRUE(fixture.reconciler().is_suspected(fixture.machine("m3")));
 }
 
 TEST(Reconciler, NoSuspicionWithoutEnoughReports) {
@@ -315,7 +315,7 @@
   ASSERT_FALSE(empty_machine.empty());
   fixture.cluster.silenced_workers.insert(empty_machine);
   fixture.cluster.run(8, 1);
-  ASSERT_TRUE(fixture.reconciler().suspected(fixture.machine(empty_machine)));
+  ASSERT_TRUE(fixture.reconciler().is_suspected(fixture.machine(empty_machine)));
   fixture.cluster.controller(1).scale_outs.clear();
   fixture.cluster.submit(test_job("run-2", 1, 4));
   fixture.cluster.run(6.5, 1);  // longer than a job waits before machines are rented for it
@@ -394,7 +394,7 @@
       const_cast<reconciliation::SuspicionStatistics&>(fixture.reconciler().suspicion_statistics())
           .record_loss();
     fixture.cluster.run(8, 1);
-    EXPECT_TRUE(fixture.reconciler().suspected(fixture.machine("m3"))) << test_case.description;
+    EXPECT_TRUE(fixture.reconciler().is_suspected(fixture.machine("m3"))) << test_case.description;
     EXPECT_EQ(fixture.is_marked_for_deletion("m3"), test_case.is_deleted) << test_case.description;
   }
 }
@@ -509,9 +509,9 @@
       << "the peer's status has expired";
   reconciler.on_peer_suspect(fixture.machine("m0"), fixture.cluster.now);
   reconciler.on_peer_suspect(MachineIndex{}, fixture.cluster.now);
-  EXPECT_TRUE(reconciler.suspected(fixture.machine("m0")));
+  EXPECT_TRUE(reconciler.is_suspected(fixture.machine("m0")));
   for (int i = 0; i < 8; ++i) reconciler.run_cycle(fixture.cluster.now += 0.5);
-  EXPECT_FALSE(reconciler.suspected(fixture.machine("m0")));
+  EXPECT_FALSE(reconciler.is_suspected(fixture.machine("m0")));
 }
 
 TEST(Reconciler, PeerSuspectIsReplacedOnceDespiteFlappingStatus) {
@@ -664,7 +664,7 @@
         continue;
       double silent_s = fixture.cluster.now -
                         (last_report_at.count(machine_name(i)) != 0 ? last_report_at[machine_name(i)] : 0);
-      if (silent_s < 5.5) RC_ASSERT(!fixture.reconciler().suspected(machine));
+      if (silent_s < 5.5) RC_ASSERT(!fixture.reconciler().is_suspected(machine));
     }
     RC_ASSERT(fixture.cluster.run_log.duplicated_tasks.empty());
   }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -88,7 +88,7 @@
        "cancelled", 0, "", 1},
       {"a replica keeps running when a late report names an earlier attempt",
        [](SimulatedCluster& cluster) {
-         WorkerReport late_report = cluster.worker("m1").report(cluster.now);
+         AgentReport late_report = cluster.worker("m1").report(cluster.now);
          late_report.tasks[0].phase = TaskPhase::ended;
          late_report.tasks[0].cause = EndCause::error;
          late_report.tasks[0].attempt -= 1;
--- a/tests/start_deadline_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -190,7 +190,7 @@
   cluster.controller(0).run_cycle(cluster.now);
   auto order = waiting_order(cluster_state, PartitionIndex{1}, {cluster.now + 300, cluster.now + 300});
   ASSERT_EQ(order.size(), 1U);
-  EXPECT_EQ(order[0].start_deadline, StartUrgency::relaxed);
+  EXPECT_EQ(order[0].start_urgency, StartUrgency::relaxed);
 }
 
 TEST(StartDeadline, UrgentTasksAreNotPreemptedBeforeTheyStart) {
