--- a/app/main.cpp
+++ b/app/main.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // Exit statuses.
-constexpr int failed = 1, bad_usage = 2;
+constexpr int exit_failure = 1, exit_bad_usage = 2;
 
 void configure_logging() {
   spdlog::set_default_logger(spdlog::stderr_logger_st("oxbowmill"));
@@ -28,7 +28,7 @@
 struct Arguments {
   std::string config_file;
   std::vector<std::string> operator_files;
-  bool check = false;  ///< check the settings and exit
+  bool check_only = false;  ///< check the settings and exit
 };
 
 /// Returns the exit status if the program has to end now: after help or version, or for invalid arguments.
@@ -36,9 +36,9 @@
   CLI::App app{"oxbowmill, a cluster scheduler: runs one controller"};
   app.add_option("--config", arguments.config_file, "the platform's settings (TOML)")->required();
   app.add_option("--operator", arguments.operator_files,
-                 "operators' settings (YAML); several files add to each other")
+                 "operators' settings (YAML); may be repeated, the files add to each other")
       ->allow_extra_args(false);
-  app.add_flag("--check", arguments.check, "check the settings and exit");
+  app.add_flag("--check", arguments.check_only, "check the settings and exit");
   app.set_version_flag("--version", std::string("oxbowmill ") + oxbowmill::version);
   try {
     app.parse(argc, argv);
@@ -46,7 +46,7 @@
     return app.exit(success);
   } catch (const CLI::ParseError& error) {
     std::cerr << "oxbowmill: " << error.what() << '\n';
-    return bad_usage;
+    return exit_bad_usage;
   }
   return std::nullopt;
 }
@@ -69,16 +69,16 @@
     try {
       controller->load_calendar(oxbowmill::config::load_calendar(files));
     } catch (const std::exception& error) {
-      SPDLOG_ERROR("calendar not read again: {}", error.what());
+      SPDLOG_ERROR("release calendar not reloaded, the previous one stays in force: {}", error.what());
     }
   }
 };
 
-using Signal = std::unique_ptr<event, void (*)(event*)>;
+using SignalEvent = std::unique_ptr<event, void (*)(event*)>;
 
 /// Installs the SIGHUP handler. `reload` must outlive the returned event.
-Signal reload_on_hangup(event_base* base, CalendarReload& reload) {
-  Signal hangup(
+SignalEvent reload_on_hangup(event_base* base, CalendarReload& reload) {
+  SignalEvent hangup(
       evsignal_new(
           base, SIGHUP,
           [](evutil_socket_t, short, void* target) { static_cast<CalendarReload*>(target)->reload(); },
@@ -96,13 +96,13 @@
     // that line would otherwise end the program. The handler runs only in the event loop, when the controller
     // exists.
     CalendarReload reload{nullptr, operator_files};
-    Signal hangup = reload_on_hangup(base.get(), reload);
+    SignalEvent hangup = reload_on_hangup(base.get(), reload);
     oxbowmill::service::Controller controller(base.get(), std::move(config));
     reload.controller = &controller;
     event_base_dispatch(base.get());
   } catch (const std::exception& error) {
-    SPDLOG_ERROR("cannot run: {}", error.what());
-    return failed;
+    SPDLOG_ERROR("controller failed: {}", error.what());
+    return exit_failure;
   }
   return 0;
 }
@@ -114,8 +114,8 @@
   Arguments arguments;
   if (auto exit_status = parse_arguments(argc, argv, arguments)) return *exit_status;
   auto config = load_settings(arguments);
-  if (!config) return bad_usage;
-  if (arguments.check) {
+  if (!config) return exit_bad_usage;
+  if (arguments.check_only) {
     std::cout << "settings are valid\n";
     return 0;
   }
--- a/app/oxbowctl.cpp
+++ b/app/oxbowctl.cpp
@@ -25,7 +25,7 @@
   cancelled = 1,
   bad_usage = 2,
   refused = 3,
-  unknown = 4,
+  not_found = 4,
   unavailable = 5,
   timed_out = 6
 };
@@ -37,9 +37,9 @@
     case RequestOutcome::malformed:
     case RequestOutcome::impossible:
       return ExitCode::refused;
-    case RequestOutcome::unknown:
-      return ExitCode::unknown;
-    case RequestOutcome::retry:
+    case RequestOutcome::not_found:
+      return ExitCode::not_found;
+    case RequestOutcome::retryable:
       return reply.timed_out ? ExitCode::timed_out : ExitCode::unavailable;
   }
   return ExitCode::unavailable;
@@ -66,43 +66,46 @@
   UnknownFieldError() : Error("unknown field") {}
 };
 
-constexpr const char* wrong_kind = "not of the right kind";
+constexpr const char* wrong_type = "value has the wrong type";
 
-std::vector<net::Address> addresses(const std::string& list) {
+std::vector<net::Address> parse_controllers(const std::string& list) {
   std::vector<net::Address> controllers;
   std::stringstream in(list);
-  for (std::string one; std::getline(in, one, ',');) controllers.push_back(net::parse_address(one));
+  for (std::string address; std::getline(in, address, ',');)
+    controllers.push_back(net::parse_address(address));
   if (controllers.empty())
-    throw ArgumentError("no node: name some with --nodes, OXBOW_NODES or the config file");
+    throw ArgumentError("no controllers: give their addresses with --nodes, OXBOW_NODES or the config file");
   return controllers;
 }
 
 /// Converts the value of a job's field to the type that the protocol requires. Throws UnknownFieldError for
 /// an unknown field and YAML::Exception for a value of another type.
-Json value_of(const std::string& key, const YAML::Node& yaml_node) {
-  static const std::set<std::string> texts = {"ref", "jobclass", "owner", "shape", "rank", "bundle", "yard"};
-  static const std::set<std::string> flags = {"same_place", "scatter", "loaners"};
-  static const std::set<std::string> numbers = {"vcpus",     "accelerators", "memory_gb", "size_gb",
-                                                "runtime_s", "save_every_s", "flush_s",   "due_s"};
-  if (key != "shards" && key != "rigs" && texts.count(key) + flags.count(key) + numbers.count(key) == 0)
+Json field_value(const std::string& key, const YAML::Node& yaml_node) {
+  static const std::set<std::string> string_fields = {"ref",  "jobclass", "owner", "shape",
+                                                      "rank", "bundle",   "yard"};
+  static const std::set<std::string> bool_fields = {"same_place", "scatter", "loaners"};
+  static const std::set<std::string> number_fields = {"vcpus",     "accelerators", "memory_gb", "size_gb",
+                                                      "runtime_s", "save_every_s", "flush_s",   "due_s"};
+  if (key != "shards" && key != "rigs" &&
+      string_fields.count(key) + bool_fields.count(key) + number_fields.count(key) == 0)
     throw UnknownFieldError();
   if (yaml_node.IsNull()) return nullptr;
   if (key == "shards") return yaml_node.as<std::uint32_t>();
   if (key == "rigs") return yaml_node.as<std::vector<std::string>>();
-  if (flags.count(key) != 0) return yaml_node.as<bool>();
-  if (numbers.count(key) != 0) return yaml_node.as<double>();
+  if (bool_fields.count(key) != 0) return yaml_node.as<bool>();
+  if (number_fields.count(key) != 0) return yaml_node.as<double>();
   return yaml_node.as<std::string>();
 }
 
 void read_job(const std::string& file, Json& job) {
   YAML::Node root = yaml::load(file);
-  if (!root.IsMap()) throw JobFileError(file, "not a map of fields");
+  if (!root.IsMap()) throw JobFileError(file, "not a YAML map of job fields");
   for (const auto& field : root) {
     auto key = field.first.as<std::string>();
     try {
-      job[key] = value_of(key, field.second);
+      job[key] = field_value(key, field.second);
     } catch (const YAML::Exception&) {
-      throw JobFileError(file, key, wrong_kind);
+      throw JobFileError(file, key, wrong_type);
     } catch (const UnknownFieldError& error) {
       throw JobFileError(file, key, error.what());
     }
@@ -114,16 +117,16 @@
     Json json = {{"ref", reply.status.ref}, {"tries", reply.attempts}};
     if (reply.outcome == RequestOutcome::ok) {
       json["phase"] = reply.status.phase;
-      json["done"] = reply.status.done;
-      json["running"] = reply.status.running;
+      json["done"] = reply.status.done_tasks;
+      json["running"] = reply.status.running_tasks;
     } else {
       json["error"] = reply.reason;
       json["again"] = client::is_retryable(reply.outcome);
     }
     std::cout << json.dump() << std::endl;
   } else if (reply.outcome == RequestOutcome::ok) {
-    std::cout << reply.status.ref << " " << reply.status.phase << " done " << reply.status.done << " running "
-              << reply.status.running << std::endl;
+    std::cout << reply.status.ref << " " << reply.status.phase << " done " << reply.status.done_tasks
+              << " running " << reply.status.running_tasks << std::endl;
   } else {
     std::cerr << "oxbowctl: " << reply.reason << '\n';
   }
@@ -169,7 +172,7 @@
   std::map<std::string, std::string>
       job_fields_;  // field values given as flags; empty if the flag was not given
   client::RetryPolicy retry_policy_;
-  double wait_within_s_ = 3600;
+  double wait_timeout_s_ = 3600;
   bool as_json_ = false;
 };
 
@@ -185,27 +188,29 @@
   // The config file is TOML with the long options as keys. The environment takes precedence over it, and
   // arguments over both.
   app_.set_config("--config", std::getenv("OXBOW_CONFIG") != nullptr ? std::getenv("OXBOW_CONFIG") : "");
-  app_.add_option("--nodes", controllers_, "controllers, IPv4:port with commas between")
+  app_.add_option("--nodes", controllers_, "controllers as IPv4:port, separated by commas")
       ->envname("OXBOW_NODES");
-  app_.add_option("--team", owner_, "team that a job belongs to, unless it says so")->envname("OXBOW_TEAM");
+  app_.add_option("--team", owner_, "team that owns the job, unless the job file names its owner")
+      ->envname("OXBOW_TEAM");
   app_.add_option("--patience", retry_policy_.total_timeout_s, "seconds until a request is given up")
       ->check(CLI::PositiveNumber);
-  app_.add_flag("--json", as_json_, "answers as JSON");
+  app_.add_flag("--json", as_json_, "print replies as JSON");
 }
 
 void CommandLine::add_submit() {
-  submit_ = app_.add_subcommand("submit", "submit a job: a YAML file of the protocol's fields, and flags");
+  submit_ = app_.add_subcommand("submit", "submit a job, given by a YAML file, by flags or by both");
   submit_->add_option("file", job_file_, "job file");
   for (const char* field :
        {"ref", "jobclass", "shape", "rank", "shards", "vcpus", "accelerators", "memory_gb", "bundle",
         "size_gb", "yard", "runtime_s", "due_s", "save_every_s", "flush_s"})
-    submit_->add_option("--" + std::string(field), job_fields_[field], "the field " + std::string(field));
+    submit_->add_option("--" + std::string(field), job_fields_[field],
+                        "field " + std::string(field) + " of the job");
 }
 
 void CommandLine::add_job_commands() {
-  status_ = app_.add_subcommand("status", "what became of a job");
+  status_ = app_.add_subcommand("status", "print the status of a job");
   wait_ = app_.add_subcommand("wait", "wait until a job is done or cancelled");
-  wait_->add_option("--within", wait_within_s_, "seconds")->check(CLI::PositiveNumber);
+  wait_->add_option("--within", wait_timeout_s_, "seconds to wait at most")->check(CLI::PositiveNumber);
   withdraw_ = app_.add_subcommand("withdraw", "cancel a job");
   for (auto* command : {status_, wait_, withdraw_}) command->add_option("ref", job_id_, "job id")->required();
 }
@@ -215,12 +220,12 @@
   Json job = default_job();
   if (!owner_.empty()) job["owner"] = owner_;
   if (!job_file_.empty()) read_job(job_file_, job);
-  for (const auto& [key, text] : job_fields_) {
-    if (text.empty()) continue;
+  for (const auto& [key, value] : job_fields_) {
+    if (value.empty()) continue;
     try {
-      job[key] = value_of(key, YAML::Load(text));
+      job[key] = field_value(key, YAML::Load(value));
     } catch (const std::exception&) {
-      throw ArgumentError("--" + key, wrong_kind);
+      throw ArgumentError("--" + key, wrong_type);
     }
   }
   for (const char* key : {"ref", "owner"}) {
@@ -236,7 +241,7 @@
 }
 
 Reply CommandLine::wait(const client::Client& client) const {
-  return client.wait(job_id_, wait_within_s_, [this](const Reply& progress) { print(progress, as_json_); });
+  return client.wait(job_id_, wait_timeout_s_, [this](const Reply& reply) { print(reply, as_json_); });
 }
 
 Reply CommandLine::run_command(const client::Client& client) {
@@ -248,7 +253,7 @@
 
 int CommandLine::run(int argc, char** argv) {
   app_.parse(argc, argv);
-  Reply reply = run_command(client::Client(addresses(controllers_), retry_policy_));
+  Reply reply = run_command(client::Client(parse_controllers(controllers_), retry_policy_));
   if (reply.status.ref.empty()) reply.status.ref = job_id_;
   print(reply, as_json_);
   int code = exit_code_of(reply);
--- a/app/oxbowmill_sim.cpp
+++ b/app/oxbowmill_sim.cpp
@@ -27,78 +27,87 @@
 
 using namespace oxbowmill;
 
-bool ends_with(const std::string& text, const std::string& end) {
-  return text.size() >= end.size() && text.compare(text.size() - end.size(), end.size(), end) == 0;
+bool ends_with(const std::string& text, const std::string& suffix) {
+  return text.size() >= suffix.size() &&
+         text.compare(text.size() - suffix.size(), suffix.size(), suffix) == 0;
 }
 
 template <class Rows, class Summary>
 int write_results(const std::string& name, const Rows& rows, const Summary& summary,
-                  const std::string& report) {
+                  const std::string& report_file) {
   std::cout << simulation::table(name, summary);
-  if (report.empty()) return 0;
-  std::ofstream out(report);
-  if (ends_with(report, ".json")) {
+  if (report_file.empty()) return 0;
+  std::ofstream out(report_file);
+  if (ends_with(report_file, ".json")) {
     out << simulation::json(name, summary).dump(2) << '\n';
   } else {
     out << simulation::csv(name, rows);
   }
-  if (!out) throw Error(report + ": cannot be written");
+  if (!out) throw Error(report_file + ": cannot be written");
   return 0;
 }
 
-int run_markets(const std::string& file, unsigned seeds, unsigned threads, const std::string& report,
-                unsigned long long single_seed, const std::string& policy) {
+int run_markets(const std::string& file, unsigned seeds, unsigned threads, const std::string& report_file,
+                unsigned long long single_seed, const std::string& policy_name) {
   simulation::MarketScenario scenario = simulation::load_scenario(file);
   if (single_seed != 0) {
-    const auto* p = std::find_if(std::begin(simulation::policies), std::end(simulation::policies),
-                                 [&](simulation::Policy x) { return policy == simulation::name_of(x); });
-    if (p == std::end(simulation::policies)) throw Error("--policy: none is named " + policy);
+    const auto* policy =
+        std::find_if(std::begin(simulation::policies), std::end(simulation::policies),
+                     [&](simulation::Policy x) { return policy_name == simulation::name_of(x); });
+    if (policy == std::end(simulation::policies))
+      throw Error("--policy: unknown policy '" + policy_name + "'");
     std::cout << simulation::table(
         scenario.name,
         simulation::summarise(
-            {{*p, single_seed, simulation::MarketSimulation(scenario, *p, single_seed).run()}}));
+            {{*policy, single_seed, simulation::MarketSimulation(scenario, *policy, single_seed).run()}}));
     return 0;
   }
   auto rows = simulation::play(scenario, seeds, threads);
-  return write_results(scenario.name, rows, simulation::summarise(rows), report);
+  return write_results(scenario.name, rows, simulation::summarise(rows), report_file);
 }
 
 int run_cluster(const std::string& file, const std::string& fleet, unsigned seeds, unsigned threads,
-                const std::string& report, unsigned long long single_seed, const std::string& variant) {
+                const std::string& report_file, unsigned long long single_seed,
+                const std::string& variant_name) {
   simulation::ClusterScenario scenario = simulation::load_cluster_scenario(file, fleet);
   if (single_seed != 0) {
-    const auto* w =
+    const auto* variant =
         std::find_if(std::begin(simulation::simulation_variants), std::end(simulation::simulation_variants),
-                     [&](simulation::SimulationVariant x) { return variant == simulation::name_of(x); });
-    if (w == std::end(simulation::simulation_variants)) throw Error("--way: none is named " + variant);
+                     [&](simulation::SimulationVariant x) { return variant_name == simulation::name_of(x); });
+    if (variant == std::end(simulation::simulation_variants))
+      throw Error("--way: unknown variant '" + variant_name + "'");
     std::cout << simulation::csv(
-        scenario.name, {{*w, single_seed, simulation::ClusterSimulation(scenario, *w, single_seed).run()}});
+        scenario.name,
+        {{*variant, single_seed, simulation::ClusterSimulation(scenario, *variant, single_seed).run()}});
     return 0;
   }
   auto rows = simulation::play(scenario, seeds, threads);
   auto summary = simulation::summarise(scenario, rows);
-  write_results(scenario.name + " on " + scenario.cluster, rows, summary, report);
+  write_results(scenario.name + " on " + scenario.cluster, rows, summary, report_file);
   // A violated invariant fails the run, whatever its figures are.
   return std::any_of(summary.begin(), summary.end(), [](const auto& x) { return x.violations != 0; }) ? 1 : 0;
 }
 
-int run_histories(unsigned long long from, unsigned seeds, unsigned threads) {
+int run_histories(unsigned long long first_seed, unsigned seeds, unsigned threads) {
   std::vector<simulation::ClusterResult> results(seeds);
   simulation::run_in_parallel(seeds, threads, [&](std::size_t i) {
-    results[i] = simulation::ClusterSimulation(simulation::random_history(from + i),
-                                               simulation::SimulationVariant::with_reconciliation, from + i)
-                     .run();
+    results[i] =
+        simulation::ClusterSimulation(simulation::random_history(first_seed + i),
+                                      simulation::SimulationVariant::with_reconciliation, first_seed + i)
+            .run();
   });
-  unsigned broken = 0;
+  unsigned failed_histories = 0;
   for (unsigned i = 0; i < seeds; ++i) {
     if (results[i].violations.empty()) continue;
-    ++broken;
-    std::cout << "seed " << from + i << ": " << results[i].violations.front() << " and "
-              << results[i].violations.size() - 1 << " more; needs\n"
-              << simulation::to_script(simulation::shrunk(simulation::random_history(from + i), from + i));
+    ++failed_histories;
+    std::cout << "seed " << first_seed + i << ": " << results[i].violations.front() << " and "
+              << results[i].violations.size() - 1 << " more; reproduced by\n"
+              << simulation::to_script(
+                     simulation::shrunk(simulation::random_history(first_seed + i), first_seed + i));
   }
-  std::cout << seeds << " histories from seed " << from << ", " << broken << " with a rule broken\n";
-  return broken != 0 ? 1 : 0;
+  std::cout << seeds << " histories from seed " << first_seed << ", " << failed_histories
+            << " with a violated invariant\n";
+  return failed_histories != 0 ? 1 : 0;
 }
 
 int run_decisions(const std::string& file, unsigned seeds, unsigned threads) {
@@ -127,7 +136,7 @@
   simulation::MarketScenario scenario = simulation::load_scenario(file);
   auto market = std::find_if(scenario.markets.begin(), scenario.markets.end(),
                              [&](const simulation::MarketBehavior& x) { return x.name == name; });
-  if (market == scenario.markets.end()) throw Error(file + ": markets: none is named " + name);
+  if (market == scenario.markets.end()) throw Error(file + ": markets: no market is named '" + name + "'");
   auto base = net::make_event_base();
   auto start = std::chrono::steady_clock::now();
   simulation::MarketServer server(
@@ -140,7 +149,7 @@
 
 /// Values of the options of all commands; each command uses those that it adds.
 struct Options {
-  std::string file, report;
+  std::string file, report_file;
   unsigned seeds = 200, threads = std::max(1U, std::thread::hardware_concurrency());
   unsigned long long single_seed = 0, first_seed = 1;
   std::string policy = "planner";              // for the markets command
@@ -152,33 +161,34 @@
 using Command = std::function<int()>;
 
 void add_seeds(CLI::App& command, Options& options) {
-  command.add_option("--seeds", options.seeds, "how many seeds, from 1 on");
-  command.add_option("--threads", options.threads, "how many at a time");
+  command.add_option("--seeds", options.seeds, "number of seeds, from 1 on");
+  command.add_option("--threads", options.threads, "number of simulations that run in parallel");
 }
 
 Command add_markets(CLI::App& command, Options& options) {
   command.add_option("scenario", options.file, "scenario file (YAML)")->required();
   add_seeds(command, options);
-  command.add_option("--report", options.report, "file for the figures: .json by policy, else CSV by seed");
-  command.add_option("--one", options.single_seed,
-                     "play this seed alone (LOG_LEVEL=info tells what happens)");
+  command.add_option("--report", options.report_file,
+                     "file for the results: summary by policy if it ends in .json, otherwise CSV by seed");
+  command.add_option("--one", options.single_seed, "run only this seed (LOG_LEVEL=info logs the events)");
   command.add_option("--policy", options.policy, "with --one: planner, cheapest, one, even or bound");
   return [&options] {
-    return run_markets(options.file, options.seeds, options.threads, options.report, options.single_seed,
+    return run_markets(options.file, options.seeds, options.threads, options.report_file, options.single_seed,
                        options.policy);
   };
 }
 
 Command add_cluster(CLI::App& command, Options& options) {
   command.add_option("scenario", options.file, "scenario file (YAML)")->required();
-  command.add_option("--fleet", options.fleet, "the cluster that has its faults (YAML)")->required();
+  command.add_option("--fleet", options.fleet, "file of the cluster that gets the faults (YAML)")->required();
   add_seeds(command, options);
-  command.add_option("--report", options.report, "file for the figures: .json by way, else CSV by second");
+  command.add_option("--report", options.report_file,
+                     "file for the results: summary by variant if it ends in .json, otherwise CSV by second");
   command.add_option("--one", options.single_seed,
-                     "play this seed alone, second by second (LOG_LEVEL=info tells what happens)");
+                     "run only this seed and print CSV by second (LOG_LEVEL=info logs the events)");
   command.add_option("--way", options.variant, "with --one: twin, before, now or bound");
   return [&options] {
-    return run_cluster(options.file, options.fleet, options.seeds, options.threads, options.report,
+    return run_cluster(options.file, options.fleet, options.seeds, options.threads, options.report_file,
                        options.single_seed, options.variant);
   };
 }
@@ -190,25 +200,29 @@
 }
 
 Command add_histories(CLI::App& command, Options& options) {
-  command.add_option("--from", options.first_seed, "the first seed");
-  command.add_option("--seeds", options.seeds, "how many seeds");
-  command.add_option("--threads", options.threads, "how many at a time");
+  command.add_option("--from", options.first_seed, "first seed");
+  command.add_option("--seeds", options.seeds, "number of seeds");
+  command.add_option("--threads", options.threads, "number of simulations that run in parallel");
   return [&options] { return run_histories(options.first_seed, options.seeds, options.threads); };
 }
 
 Command add_scale(CLI::App& command, Options& options) {
-  command.add_option("settings", options.file, "what is played (YAML)")->required();
-  command.add_option("--program", options.scale.program, "the controller; the one beside this program");
-  command.add_option("--operator", options.scale.operators, "its operators' settings; several may be given");
-  command.add_option("--logs", options.scale.directory, "where settings and logs go; a new directory");
-  command.add_option("--report", options.report, "file for the figures (JSON)");
-  return [&options] { return run_scale(options.file, options.scale, options.report); };
+  command.add_option("settings", options.file, "settings file of the run (YAML)")->required();
+  command.add_option("--program", options.scale.program,
+                     "controller program; default: oxbowmill in the directory of this program");
+  command.add_option("--operator", options.scale.operators,
+                     "operators' settings of the controllers (YAML); may be repeated");
+  command.add_option("--logs", options.scale.directory,
+                     "directory for settings and logs; default: a new temporary one");
+  command.add_option("--report", options.report_file, "file for the results (JSON)");
+  return [&options] { return run_scale(options.file, options.scale, options.report_file); };
 }
 
 Command add_market(CLI::App& command, Options& options) {
   command.add_option("scenario", options.file, "scenario file (YAML)")->required();
-  command.add_option("name", options.market, "which of its markets")->required();
-  command.add_option("--listen", options.listen, "IPv4:port; port 0: the system's choice");
+  command.add_option("name", options.market, "name of a market of the scenario")->required();
+  command.add_option("--listen", options.listen,
+                     "address to listen on, IPv4:port; with port 0 the system chooses the port");
   return [&options] { return serve_market(options.file, options.market, options.listen); };
 }
 
@@ -233,20 +247,21 @@
     CLI::App* command = app.add_subcommand(name, description);
     commands[command] = add_options(*command, options);
   };
-  add("markets", "bidding on simulated markets, beside its baselines", add_markets);
-  add("cluster", "a whole cluster through a start, beside its undisturbed twin", add_cluster);
-  add("agreed", "releases or a model with its calls, beside simpler variants", add_decisions);
-  add("histories", "random faults in a small cluster; one that breaks an invariant is reduced",
+  add("markets", "bid on simulated markets and compare with baseline policies", add_markets);
+  add("cluster", "simulate a cluster with faults and compare with a run without them", add_cluster);
+  add("agreed", "simulate releases, or a served model with its calls, and compare with simpler variants",
+      add_decisions);
+  add("histories", "simulate random faults in a small cluster and reduce histories that violate an invariant",
       add_histories);
-  add("scale", "real controllers beside thousands of simulated agents, on loopback", add_scale);
-  add("market", "one simulated market of a scenario on a socket, until it is ended", add_market);
+  add("scale", "run real controllers with thousands of simulated agents over loopback", add_scale);
+  add("market", "serve one simulated market of a scenario until the process is ended", add_market);
   try {
     app.parse(argc, argv);
     return commands.at(app.get_subcommands().front())();
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : usage_error;
-  } catch (const std::exception& e) {
-    std::cerr << "oxbowmill-sim: " << e.what() << '\n';
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : usage_error;
+  } catch (const std::exception& error) {
+    std::cerr << "oxbowmill-sim: " << error.what() << '\n';
     return usage_error;
   }
 }
--- a/include/oxbowmill/client/client.h
+++ b/include/oxbowmill/client/client.h
@@ -15,18 +15,18 @@
 
 /// A job as a controller reports it.
 struct JobStatus {
-  std::string ref;            ///< the job's id, chosen by its user
-  std::string phase;          ///< "queued", "running", "done" or "cancelled"
-  std::uint32_t done = 0;     ///< number of tasks that are done
-  std::uint32_t running = 0;  ///< number of tasks that are running
+  std::string ref;                  ///< the job's id, chosen by its user
+  std::string phase;                ///< "queued", "running", "done" or "cancelled"
+  std::uint32_t done_tasks = 0;     ///< number of tasks that are done
+  std::uint32_t running_tasks = 0;  ///< number of tasks that are running
   /// Whether the job's phase can no longer change.
   bool is_final() const { return phase == "done" || phase == "cancelled"; }
 };
 
 /// How a request ended.
 struct Reply {
-  RequestOutcome outcome = RequestOutcome::retry;  ///< what the caller may conclude
-  JobStatus status;                                ///< of the job; set only if `outcome` is `ok`
+  RequestOutcome outcome = RequestOutcome::retryable;  ///< what the caller may conclude
+  JobStatus status;                                    ///< status of the job; valid if `outcome` is `ok`
   std::string reason;      ///< why it failed, as text for people; empty if `outcome` is `ok`
   int attempts = 0;        ///< number of times that the request was sent
   bool timed_out = false;  ///< for a wait: its timeout passed before the job ended
@@ -52,9 +52,9 @@
   void poll(const std::string& ref, ReplyHandler on_reply);
   /// Cancels a job.
   void withdraw(const std::string& ref, ReplyHandler on_reply);
-  /// Polls until the job's phase is final or `within_s` seconds have passed; until then `progress` receives
-  /// each status.
-  void wait(const std::string& ref, double within_s, ReplyHandler progress, ReplyHandler on_reply);
+  /// Polls until the job's phase is final or `timeout_s` seconds have passed; until then `on_progress`
+  /// receives each status.
+  void wait(const std::string& ref, double timeout_s, ReplyHandler on_progress, ReplyHandler on_reply);
 
  private:
   struct Request;
@@ -92,8 +92,8 @@
   Reply poll(const std::string& ref) const;
   /// See AsyncClient::withdraw; blocks until the reply.
   Reply withdraw(const std::string& ref) const;
-  /// See AsyncClient::wait; blocks until the reply and calls `progress` on the calling thread.
-  Reply wait(const std::string& ref, double within_s, const ReplyHandler& progress = nullptr) const;
+  /// See AsyncClient::wait; blocks until the reply and calls `on_progress` on the calling thread.
+  Reply wait(const std::string& ref, double timeout_s, const ReplyHandler& on_progress = nullptr) const;
 
  private:
   Reply run(const std::function<void(AsyncClient&, ReplyHandler)>& call) const;
--- a/include/oxbowmill/client/request_retrier.h
+++ b/include/oxbowmill/client/request_retrier.h
@@ -10,29 +10,29 @@
 namespace oxbowmill::client {
 
 /// State of a request.
-enum class AttemptState : std::uint8_t {
-  ready,        ///< must be sent to `controller()` now
+enum class RequestState : std::uint8_t {
+  ready,        ///< must be sent to `controller_index()` now
   sent,         ///< sent and waiting for the response
   backing_off,  ///< must be sent again at `next_attempt_at()`
   answered,     ///< a final response was received
   gave_up,      ///< no further attempt fits into the total timeout
 };
 /// Name of the state for logs and tests.
-const char* name_of(AttemptState state);
+const char* name_of(RequestState state);
 
 /// What the caller may conclude from a response.
 enum class RequestOutcome : std::uint8_t {
   ok,          ///< 200 or 201: accepted
   malformed,   ///< 400: the request is invalid and must not be sent again
   impossible,  ///< 422: the job can never run and must not be sent again
-  unknown,     ///< 404: no job with this id was ever accepted
-  retry,       ///< refused for now, or no response: may be sent again with the same id
+  not_found,   ///< 404: no job with this id was ever accepted
+  retryable,   ///< refused for now, or no response: may be sent again with the same id
 };
 /// Outcome for an HTTP status; `status` 0 means that there was no response.
 RequestOutcome outcome_of(int status);
 /// Whether the caller may send the same request again.
 inline bool is_retryable(RequestOutcome outcome) {
-  return outcome == RequestOutcome::retry;
+  return outcome == RequestOutcome::retryable;
 }
 
 /// Time limits of one request, in seconds.
@@ -46,13 +46,13 @@
 /// State machine of one request that may be sent to several controllers.
 class RequestRetrier {
  public:
-  /// `controllers` is their number; `seed` decides which of them is tried first.
-  RequestRetrier(std::size_t controllers, RetryPolicy policy, std::uint64_t seed, double now);
+  /// `seed` decides which of the controllers is tried first.
+  RequestRetrier(std::size_t controller_count, RetryPolicy policy, std::uint64_t seed, double now);
 
   /// What the caller has to do next.
-  AttemptState state() const { return state_; }
+  RequestState state() const { return state_; }
   /// Index of the controller of the current or next attempt.
-  std::size_t controller() const { return controller_; }
+  std::size_t controller_index() const { return controller_index_; }
   /// When the backoff ends; valid only in state `backing_off`.
   double next_attempt_at() const { return next_attempt_at_; }
   /// When the client gives up the request.
@@ -62,7 +62,7 @@
   /// Number of attempts sent so far.
   int attempts() const { return attempts_; }
 
-  /// Records that the request was sent to `controller()`.
+  /// Records that the request was sent to `controller_index()`.
   void on_sent(double now);
   /// Records the response to the last attempt. `status` 0: no connection or no response. `retry_after_s` 0:
   /// the controller did not say when to retry.
@@ -71,15 +71,15 @@
   void tick(double now);
 
  private:
-  void set_state(AttemptState state);
+  void set_state(RequestState state);
   void back_off(double retry_after_s, double now);
   RetryPolicy policy_;
   std::size_t controller_count_;
   std::mt19937_64 random_;
-  AttemptState state_ = AttemptState::ready;
-  std::size_t controller_ = 0;
-  std::size_t unresponsive_in_a_row_ = 0;  // successive controllers that did not respond
-  int backoffs_ = 0, attempts_ = 0;
+  RequestState state_ = RequestState::ready;
+  std::size_t controller_index_ = 0;
+  std::size_t consecutive_unanswered_ = 0;  // consecutive attempts that got no response
+  int backoff_count_ = 0, attempts_ = 0;
   double next_attempt_at_ = 0, deadline_ = 0;
 };
 
--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -9,7 +9,7 @@
 using wire::Json;
 
 namespace {
-constexpr double poll_interval_s = 5, poll_timeout_s = 2, min_poll_interval_s = 0.05;
+constexpr double poll_interval_s = 5, poll_response_timeout_s = 2, min_poll_interval_s = 0.05;
 constexpr double min_backoff_delay_s = 0.001;
 
 double now() {
@@ -21,13 +21,13 @@
     case RequestOutcome::ok:
       return "";
     case RequestOutcome::malformed:
-      return "malformed";
+      return "malformed request";
     case RequestOutcome::impossible:
-      return "can never run";
-    case RequestOutcome::unknown:
+      return "the job can never run";
+    case RequestOutcome::not_found:
       return "no such job";
-    case RequestOutcome::retry:
-      return "no node took it in time";
+    case RequestOutcome::retryable:
+      return "no controller accepted the request in time";
   }
   return "";
 }
@@ -36,13 +36,13 @@
   return body.contains(key) && body[key].is_number_unsigned() ? body[key].get<std::uint32_t>() : 0U;
 }
 
-bool has_text(const Json& body, const char* key) {
+bool has_string(const Json& body, const char* key) {
   return body.contains(key) && body[key].is_string();
 }
 
 /// Returns nothing if the body has no id or no phase.
 std::optional<JobStatus> read_status(const Json& body) {
-  if (!has_text(body, "ref") || !has_text(body, "phase")) return std::nullopt;
+  if (!has_string(body, "ref") || !has_string(body, "phase")) return std::nullopt;
   return JobStatus{body["ref"].get<std::string>(), body["phase"].get<std::string>(), read_count(body, "done"),
                    read_count(body, "running")};
 }
@@ -55,9 +55,9 @@
   if (reply.outcome == RequestOutcome::ok) {
     std::optional<JobStatus> status = body ? read_status(*body) : std::nullopt;
     // A success that cannot be decoded says nothing about the job, so the request may be sent again.
-    if (!status) return Reply{RequestOutcome::retry, {}, "an answer that cannot be read", 0, false};
+    if (!status) return Reply{RequestOutcome::retryable, {}, "the response cannot be decoded", 0, false};
     reply.status = std::move(*status);
-  } else if (body && has_text(*body, "error")) {
+  } else if (body && has_string(*body, "error")) {
     reply.reason += ": " + (*body)["error"].get<std::string>();
   }
   return reply;
@@ -111,25 +111,25 @@
 void AsyncClient::advance(Request& request) {
   double current_time = now();
   switch (request.retrier.state()) {
-    case AttemptState::ready:
+    case RequestState::ready:
       return send(request, current_time);
-    case AttemptState::sent:
+    case RequestState::sent:
       return;
-    case AttemptState::backing_off:
+    case RequestState::backing_off:
       request.timer.schedule(std::max(min_backoff_delay_s, request.retrier.next_attempt_at() - current_time));
       return;
-    case AttemptState::answered:
+    case RequestState::answered:
       return finish(request, request.last_reply);
-    case AttemptState::gave_up:
+    case RequestState::gave_up:
       return give_up(request);
   }
 }
 
 void AsyncClient::send(Request& request, double current_time) {
   double timeout = request.retrier.response_timeout(current_time);
-  std::size_t controller = request.retrier.controller();
+  std::size_t controller_index = request.retrier.controller_index();
   request.retrier.on_sent(current_time);
-  net::send_once(base_, controllers_[controller], request.method, request.path, request.body, timeout,
+  net::send_once(base_, controllers_[controller_index], request.method, request.path, request.body, timeout,
                  [this, id = request.id, alive = alive_](const net::Response& http_response) {
                    if (*alive) on_response(id, http_response);
                  });
@@ -140,15 +140,16 @@
   if (it == requests_.end()) return;
   Request& request = *it->second;
   request.last_reply = read_reply(http_response);
-  bool unreadable = request.last_reply.outcome == RequestOutcome::retry && http_response.status == 200;
-  request.retrier.on_response(unreadable ? 0 : http_response.status, http_response.retry_after_s, now());
+  bool is_undecodable =
+      request.last_reply.outcome == RequestOutcome::retryable && http_response.status == 200;
+  request.retrier.on_response(is_undecodable ? 0 : http_response.status, http_response.retry_after_s, now());
   request.timer.schedule(0);
 }
 
 void AsyncClient::give_up(Request& request) {
   Reply reply = request.last_reply;
-  reply.outcome = RequestOutcome::retry;
-  if (reply.reason.empty()) reply.reason = describe(RequestOutcome::retry);
+  reply.outcome = RequestOutcome::retryable;
+  if (reply.reason.empty()) reply.reason = describe(RequestOutcome::retryable);
   finish(request, std::move(reply));
 }
 
@@ -170,7 +171,7 @@
 
 void AsyncClient::poll(const std::string& ref, ReplyHandler on_reply) {
   RetryPolicy policy = retry_policy_;
-  policy.response_timeout_s = std::min(policy.response_timeout_s, poll_timeout_s);
+  policy.response_timeout_s = std::min(policy.response_timeout_s, poll_response_timeout_s);
   start(EVHTTP_REQ_GET, "/submissions/" + ref, "", policy, std::move(on_reply));
 }
 
@@ -185,11 +186,11 @@
   net::Timer timer;
 };
 
-void AsyncClient::wait(const std::string& ref, double within_s, ReplyHandler progress,
+void AsyncClient::wait(const std::string& ref, double timeout_s, ReplyHandler on_progress,
                        ReplyHandler on_reply) {
   std::uint64_t id = ++next_id_;
   waits_[id] = std::unique_ptr<PendingWait>(
-      new PendingWait{ref, now() + within_s, std::move(progress), std::move(on_reply),
+      new PendingWait{ref, now() + timeout_s, std::move(on_progress), std::move(on_reply),
                       net::Timer(base_, [this, id] { poll_again(id); })});
   poll_again(id);
 }
@@ -201,22 +202,23 @@
 void AsyncClient::on_poll_reply(std::uint64_t id, const Reply& reply) {
   auto it = waits_.find(id);
   PendingWait& pending_wait = *it->second;
-  bool over = reply.outcome == RequestOutcome::ok ? reply.status.is_final() : !is_retryable(reply.outcome);
-  double left = pending_wait.deadline - now();
-  if (!over && left > 0) {
+  bool is_final =
+      reply.outcome == RequestOutcome::ok ? reply.status.is_final() : !is_retryable(reply.outcome);
+  double remaining_s = pending_wait.deadline - now();
+  if (!is_final && remaining_s > 0) {
     if (pending_wait.on_progress && reply.outcome == RequestOutcome::ok) pending_wait.on_progress(reply);
-    pending_wait.timer.schedule(std::min(poll_interval_s, std::max(min_poll_interval_s, left)));
+    pending_wait.timer.schedule(std::min(poll_interval_s, std::max(min_poll_interval_s, remaining_s)));
     return;
   }
-  Reply last = reply;
-  if (!over) {
-    last.outcome = RequestOutcome::retry;
-    last.reason = "not over in time";
-    last.timed_out = true;
+  Reply final_reply = reply;
+  if (!is_final) {
+    final_reply.outcome = RequestOutcome::retryable;
+    final_reply.reason = "the job did not end in time";
+    final_reply.timed_out = true;
   }
   ReplyHandler on_done = std::move(pending_wait.on_done);
   waits_.erase(it);
-  on_done(last);
+  on_done(final_reply);
 }
 
 Reply Client::run(const std::function<void(AsyncClient&, ReplyHandler)>& call) const {
@@ -240,9 +242,9 @@
 Reply Client::withdraw(const std::string& ref) const {
   return run([&](AsyncClient& async, ReplyHandler on_reply) { async.withdraw(ref, std::move(on_reply)); });
 }
-Reply Client::wait(const std::string& ref, double within_s, const ReplyHandler& progress) const {
+Reply Client::wait(const std::string& ref, double timeout_s, const ReplyHandler& on_progress) const {
   return run([&](AsyncClient& async, ReplyHandler on_reply) {
-    async.wait(ref, within_s, progress, std::move(on_reply));
+    async.wait(ref, timeout_s, on_progress, std::move(on_reply));
   });
 }
 
--- a/tests/controller_process_test.cpp
+++ b/tests/controller_process_test.cpp
@@ -23,11 +23,11 @@
 using net::Response;
 using wire::Json;
 
-class Loopback : public ::testing::Test {
+class ControllerProcess : public ::testing::Test {
  protected:
-  Loopback()
+  ControllerProcess()
       : base_(net::make_event_base()),
-        worker_("host-1", "a", run_log_),
+        agent_("host-1", "a", run_log_),
         time_limit_(base_.get(),
                     [this] {
                       timed_out_ = true;
@@ -37,7 +37,7 @@
           if (on_poll_) on_poll_();
           poll_timer_.schedule(0.05);
         }) {
-    worker_.lease_s = 6;
+    agent_.lease_s = 6;
     state_server_ =
         std::make_unique<net::HttpServer>(base_.get(), net::Address{"127.0.0.1", 0}, 1 << 20,
                                           [this](Request&& request) { serve_state(std::move(request)); });
@@ -45,16 +45,16 @@
         std::make_unique<net::HttpServer>(base_.get(), net::Address{"127.0.0.1", 0}, 1 << 20,
                                           [this](Request&& request) { serve_cloud(std::move(request)); });
   }
-  ~Loopback() override {
+  ~ControllerProcess() override {
     stop_program();
     if (!config_file_.empty()) std::remove(config_file_.c_str());
     if (!operator_file_.empty()) std::remove(operator_file_.c_str());
   }
 
   static double now() {
-    timespec t;
-    clock_gettime(CLOCK_MONOTONIC, &t);
-    return static_cast<double>(t.tv_sec) + 1e-9 * static_cast<double>(t.tv_nsec);
+    timespec clock_time;
+    clock_gettime(CLOCK_MONOTONIC, &clock_time);
+    return static_cast<double>(clock_time.tv_sec) + 1e-9 * static_cast<double>(clock_time.tv_nsec);
   }
 
   void serve_state(Request&& request) {
@@ -85,16 +85,18 @@
       watch_responder_ = request.responder;
       // Answered from the requested revision, because a restarted process does not know the events that were
       // sent to its predecessor.
-      std::size_t at = request.query.find("from=");
-      watched_from_ =
-          at == std::string::npos ? 0 : std::strtoull(request.query.c_str() + at + 5, nullptr, 10);
+      std::size_t parameter = request.query.find("from=");
+      watched_from_ = parameter == std::string::npos
+                          ? 0
+                          : std::strtoull(request.query.c_str() + parameter + 5, nullptr, 10);
       watch_since_ = now();
       return answer_watch();
     }
     if (request.path == "/store") {
       Json items = Json::array();
-      for (const auto& [key, e] : state_.keys()) {
-        if (key.rfind("o/", 0) == 0) items.push_back({{"k", key}, {"value", e.value}, {"stamp", e.revision}});
+      for (const auto& [key, entry] : state_.keys()) {
+        if (key.rfind("o/", 0) == 0)
+          items.push_back({{"k", key}, {"value", entry.value}, {"stamp", entry.revision}});
       }
       return reply(200, {{"items", items}, {"truncated", false}, {"ledger_rev", state_.revision()}});
     }
@@ -121,24 +123,24 @@
       }
       updates.push_back(entry);
     }
-    auto to = std::move(watch_responder_);
-    to->reply(200, wire::encode({{"ledger_rev", state_.revision()}, {"news", updates}}));
+    auto responder = std::move(watch_responder_);
+    responder->reply(200, wire::encode({{"ledger_rev", state_.revision()}, {"news", updates}}));
   }
 
   void serve_cloud(Request&& request) {
-    Json out = Json::object();
+    Json answer = Json::object();
     if (request.path == "/catalog") {
-      out = {{"rigs",
-              {{{"sku", "std"},
-                {"vcpus", type_vcpus_},
-                {"accelerators", 2.0},
-                {"memory_gb", 32.0},
-                {"cache_gb", 50.0},
-                {"fetch_gb_per_s", 1.0},
-                {"rate", 3.0},
-                {"low_price", 1.0},
-                {"ready_s", 1.0},
-                {"yards", {"a"}}}}}};
+      answer = {{"rigs",
+                 {{{"sku", "std"},
+                   {"vcpus", type_vcpus_},
+                   {"accelerators", 2.0},
+                   {"memory_gb", 32.0},
+                   {"cache_gb", 50.0},
+                   {"fetch_gb_per_s", 1.0},
+                   {"rate", 3.0},
+                   {"low_price", 1.0},
+                   {"ready_s", 1.0},
+                   {"yards", {"a"}}}}}};
     } else if (request.path == "/rentals" && request.method == EVHTTP_REQ_POST) {
       Json hosts = Json::array();
       if (!cloud_exhausted_) {
@@ -146,38 +148,39 @@
         cloud_exhausted_ = machine_is_up_ = true;
       }
       if (hosts.empty()) return request.responder->reply(503, wire::encode({{"error", "no capacity"}}));
-      out = {{"hosts", hosts}};
+      answer = {{"hosts", hosts}};
     } else if (request.path == "/rentals") {
-      out = {{"hosts", Json::array()}, {"truncated", false}};
+      answer = {{"hosts", Json::array()}, {"truncated", false}};
     }
-    request.responder->reply(200, wire::encode(out));
+    request.responder->reply(200, wire::encode(answer));
   }
 
   /// Sends the agent's report and passes the response to the agent, unless the machine is not up or another
   /// report is in flight.
   void send_report() {
-    if (!machine_is_up_ || reporting_) return;
-    reporting_ = true;
-    send_request(EVHTTP_REQ_POST, "/hello", simulation::write_report(worker_.report(now())),
+    if (!machine_is_up_ || report_in_flight_) return;
+    report_in_flight_ = true;
+    send_request(EVHTTP_REQ_POST, "/hello", simulation::write_report(agent_.report(now())),
                  [this](int status, const Json& body) {
-                   reporting_ = false;
+                   report_in_flight_ = false;
                    if (status != 200) return;
                    auto answer = simulation::read_answer(body);
                    ASSERT_TRUE(answer.has_value());
-                   worker_.answer(*answer, now());
+                   agent_.answer(*answer, now());
                  });
   }
 
   void send_request(evhttp_cmd_type method, const std::string& path, const Json& body,
-                    const std::function<void(int, const Json&)>& fn) {
-    send_raw_request(method, path, body.is_null() ? "" : wire::encode(body), fn);
+                    const std::function<void(int, const Json&)>& on_response) {
+    send_raw_request(method, path, body.is_null() ? "" : wire::encode(body), on_response);
   }
   void send_raw_request(evhttp_cmd_type method, const std::string& path, const std::string& body,
-                        const std::function<void(int, const Json&)>& fn) {
-    net::send_once(base_.get(), controller_address_, method, path, body, 5, [fn](const Response& r) {
-      Json j = Json::from_cbor(r.body, true, false);
-      fn(r.status, j.is_object() ? j : Json::object());
-    });
+                        const std::function<void(int, const Json&)>& on_response) {
+    net::send_once(base_.get(), controller_address_, method, path, body, 5,
+                   [on_response](const Response& response) {
+                     Json json = Json::from_cbor(response.body, true, false);
+                     on_response(response.status, json.is_object() ? json : Json::object());
+                   });
   }
 
   void start_program() {
@@ -211,16 +214,17 @@
     std::ifstream lines("/dev/fd/" + std::to_string(log_pipe[0]));
     std::string line;
     while (controller_address_.port == 0 && std::getline(lines, line)) {
-      const std::string says = "listening on ";
-      std::size_t from = line.find(says), to = line.find(" for users");
-      if (from != std::string::npos)
-        controller_address_ = net::parse_address(line.substr(from + says.size(), to - from - says.size()));
+      const std::string prefix = "listening on ";
+      std::size_t begin = line.find(prefix), end = line.find(" for users");
+      if (begin != std::string::npos)
+        controller_address_ =
+            net::parse_address(line.substr(begin + prefix.size(), end - begin - prefix.size()));
     }
     ASSERT_NE(controller_address_.port, 0);
     log_reader_ = std::thread([log_fd = log_pipe[0]] {
-      char buf[4096];
-      for (ssize_t n = 0; (n = read(log_fd, buf, sizeof buf)) > 0;) {
-        if (write(STDERR_FILENO, buf, static_cast<std::size_t>(n)) < 0) break;
+      char buffer[4096];
+      for (ssize_t size = 0; (size = read(log_fd, buffer, sizeof buffer)) > 0;) {
+        if (write(STDERR_FILENO, buffer, static_cast<std::size_t>(size)) < 0) break;
       }
       close(log_fd);
     });
@@ -234,8 +238,8 @@
     controller_address_ = {};
   }
 
-  /// Runs oxbowctl while the event loop goes on. Returns its exit status and stores its output in `out`.
-  int run_command_line(const std::string& args, std::string& out) {
+  /// Runs oxbowctl while the event loop goes on. Returns its exit status and stores its output in `output`.
+  int run_command_line(const std::string& args, std::string& output) {
     std::string file = ::testing::TempDir() + "oxbow-out-" + std::to_string(::getpid());
     std::string command = "OXBOW_NODES=" + net::to_string(controller_address_) + " " + CLIENT_PROGRAM + " " +
                           args + " >" + file + " 2>&1";
@@ -246,17 +250,17 @@
     }
     int status = 0;
     run_until([&] { return waitpid(child, &status, WNOHANG) == child; }, [] {});
-    std::ifstream in(file);
-    out.assign(std::istreambuf_iterator<char>(in), {});
+    std::ifstream output_file(file);
+    output.assign(std::istreambuf_iterator<char>(output_file), {});
     std::remove(file.c_str());
     return WEXITSTATUS(status);
   }
 
-  /// Runs the event loop and calls `step` periodically until `done` returns true. Fails after a time limit
+  /// Runs the event loop and calls `step` periodically until `is_done` returns true. Fails after a time limit
   /// that only a hang reaches.
-  void run_until(const std::function<bool()>& done, const std::function<void()>& step) {
-    on_poll_ = [this, done, step] {
-      if (done()) {
+  void run_until(const std::function<bool()>& is_done, const std::function<void()>& step) {
+    on_poll_ = [this, is_done, step] {
+      if (is_done()) {
         event_base_loopbreak(base_.get());
         return;
       }
@@ -275,7 +279,7 @@
   net::EventBasePtr base_;
   simulation::StateStore state_;
   simulation::RunLog run_log_;
-  simulation::Worker worker_;
+  simulation::Worker agent_;
   net::Address controller_address_;
   std::thread log_reader_;  // forwards the program's log to standard error
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
@@ -286,7 +290,7 @@
   double lease_duration_factor_ = 1;  // a controller lease lasts this many times its duration
   bool cloud_exhausted_ = false;      // the cloud has no capacity left
   double type_vcpus_ = 8;             // vCPUs of the cloud's only machine type
-  bool machine_is_up_ = false, reporting_ = false, timed_out_ = false;
+  bool machine_is_up_ = false, report_in_flight_ = false, timed_out_ = false;
   net::Timer time_limit_, poll_timer_;
   std::function<void()> on_poll_;
   std::string config_file_, operator_file_;
@@ -301,17 +305,17 @@
           {"runtime_s", 1.0},   {"save_every_s", 0.0}, {"flush_s", 0.0},   {"due_s", nullptr}};
 }
 
-TEST_F(Loopback, JobCompletesAcrossControllerKill) {
+TEST_F(ControllerProcess, JobCompletesAcrossControllerKill) {
   start_program();
   int up_status = 0;
-  bool asking = false;
-  auto request_once = [&](evhttp_cmd_type m, const std::string& path, const Json& body, int& status,
+  bool request_in_flight = false;
+  auto request_once = [&](evhttp_cmd_type method, const std::string& path, const Json& body, int& status,
                           Json& answer) {
-    if (asking) return;
-    asking = true;
-    send_request(m, path, body, [&](int step, const Json& json) {
-      asking = false;
-      status = step;
+    if (request_in_flight) return;
+    request_in_flight = true;
+    send_request(method, path, body, [&](int response_status, const Json& json) {
+      request_in_flight = false;
+      status = response_status;
       answer = json;
     });
   };
@@ -347,7 +351,9 @@
                 if (sent) return;
                 sent = true;
                 send_raw_request(invalid_request.method, invalid_request.path, invalid_request.body,
-                                 [&](int step, const Json&) { status = step == 0 ? -1 : step; });
+                                 [&](int response_status, const Json&) {
+                                   status = response_status == 0 ? -1 : response_status;
+                                 });
               });
     EXPECT_EQ(status, invalid_request.status) << invalid_request.path;
   }
@@ -358,14 +364,14 @@
   status = 0;
   run_until([&] { return status == 200; },
             [&] { request_once(EVHTTP_REQ_POST, "/submissions", make_submission("run-1"), status, answer); });
-  run_until([&] { return worker_.has("run-1/0") && worker_.has("run-1/1"); }, [] {});
-  worker_.finish("run-1/0", EndCause::done);
+  run_until([&] { return agent_.has("run-1/0") && agent_.has("run-1/1"); }, [] {});
+  agent_.finish("run-1/0", EndCause::done);
 
   stop_program();
   start_program();
   run_until([&] { return status == 200 && answer.value("done", 0) == 1; },
             [&] { request_once(EVHTTP_REQ_GET, "/submissions/run-1", Json(), status, answer); });
-  worker_.finish("run-1/1", EndCause::done);
+  agent_.finish("run-1/1", EndCause::done);
   run_until([&] { return answer.value("phase", "") == "done"; },
             [&] { request_once(EVHTTP_REQ_GET, "/submissions/run-1", Json(), status, answer); });
   EXPECT_EQ(run_log_.starts["run-1/0"], 1);
@@ -374,125 +380,126 @@
   status = 0;
   run_until([&] { return status == 201; },
             [&] { request_once(EVHTTP_REQ_POST, "/submissions", make_submission("run-2"), status, answer); });
-  run_until([&] { return worker_.has("run-2/0"); }, [] {});
+  run_until([&] { return agent_.has("run-2/0"); }, [] {});
   run_until([&] { return answer.value("phase", "") == "cancelled"; },
             [&] { request_once(EVHTTP_REQ_POST, "/submissions/run-2/withdraw", Json(), status, answer); });
-  run_until([&] { return !worker_.has("run-2/0") && !worker_.has("run-2/1"); }, [] {});
+  run_until([&] { return !agent_.has("run-2/0") && !agent_.has("run-2/1"); }, [] {});
   EXPECT_TRUE(run_log_.duplicated_tasks.empty());
   EXPECT_EQ(waitpid(pid_, nullptr, WNOHANG), 0);  // the controller is still running
 }
 
-TEST_F(Loopback, RestartedControllerDoesNotWaitForItsEarlierLease) {
+TEST_F(ControllerProcess, RestartedControllerDoesNotWaitForItsEarlierLease) {
   // No controller lease expires in this test, so the partitions become free only if the new process ends the
   // lease of the old one.
   lease_duration_factor_ = 1e6;
   int status = 0;
-  bool asking = false;
+  bool request_in_flight = false;
   auto submit = [&](const std::string& ref) {
-    if (asking) return;
-    asking = true;
-    send_request(EVHTTP_REQ_POST, "/submissions", make_submission(ref), [&](int step, const Json&) {
-      asking = false;
-      status = step;
-    });
+    if (request_in_flight) return;
+    request_in_flight = true;
+    send_request(EVHTTP_REQ_POST, "/submissions", make_submission(ref),
+                 [&](int response_status, const Json&) {
+                   request_in_flight = false;
+                   status = response_status;
+                 });
   };
   start_program();
   run_until([&] { return status == 201; }, [&] { submit("run-1"); });
-  run_until([&] { return worker_.has("run-1/0") && worker_.has("run-1/1"); }, [] {});
+  run_until([&] { return agent_.has("run-1/0") && agent_.has("run-1/1"); }, [] {});
   stop_program();
   start_program();
   status = 0;
   run_until([&] { return status == 201; }, [&] { submit("run-2"); });
   // Only the partition's owner marks the job as done and starts the next one.
-  for (const char* task : {"run-1/0", "run-1/1"}) worker_.finish(task, EndCause::done);
-  run_until([&] { return worker_.has("run-2/0"); }, [] {});
+  for (const char* task : {"run-1/0", "run-1/1"}) agent_.finish(task, EndCause::done);
+  run_until([&] { return agent_.has("run-2/0"); }, [] {});
   EXPECT_EQ(run_log_.starts["run-1/0"], 1);
   EXPECT_TRUE(run_log_.duplicated_tasks.empty());
 }
 
-TEST_F(Loopback, RepeatedSubmissionIsAcceptedAfterCatalogChange) {
+TEST_F(ControllerProcess, RepeatedSubmissionIsConfirmedAfterCatalogChange) {
   // The repeated submission reaches a process whose catalog has no machine type that fits the job.
   int status = 0;
-  bool asking = false;
+  bool request_in_flight = false;
   Json answer;
   auto submit = [&](const std::string& ref, double vcpus) {
-    if (asking) return;
-    asking = true;
+    if (request_in_flight) return;
+    request_in_flight = true;
     Json body = make_submission(ref);
     body["vcpus"] = vcpus;
-    send_request(EVHTTP_REQ_POST, "/submissions", body, [&](int step, const Json& json) {
-      asking = false;
-      status = step;
+    send_request(EVHTTP_REQ_POST, "/submissions", body, [&](int response_status, const Json& json) {
+      request_in_flight = false;
+      status = response_status;
       answer = json;
     });
   };
-  auto answered = [&](int wanted) { return !asking && status == wanted; };
+  auto has_status = [&](int expected) { return !request_in_flight && status == expected; };
   start_program();
-  run_until([&] { return answered(201); }, [&] { submit("run-1", 8); });
+  run_until([&] { return has_status(201); }, [&] { submit("run-1", 8); });
   stop_program();
   type_vcpus_ = 4;
   start_program();
   // New jobs are submitted until one is rejected, which shows that the process uses the changed catalog.
-  std::uint64_t n = 1;
-  run_until([&] { return answered(422); }, [&] { submit("run-" + std::to_string(++n), 8); });
+  std::uint64_t job_number = 1;
+  run_until([&] { return has_status(422); }, [&] { submit("run-" + std::to_string(++job_number), 8); });
   status = 0;
-  run_until([&] { return !asking && status != 0 && status != 503; }, [&] { submit("run-1", 8); });
+  run_until([&] { return !request_in_flight && status != 0 && status != 503; }, [&] { submit("run-1", 8); });
   EXPECT_EQ(status, 200);
   EXPECT_EQ(answer.value("ref", ""), "run-1");
 }
 
-TEST_F(Loopback, ReleaseIsWithheldAcrossControllerKillAndCalendarReloaded) {
+TEST_F(ControllerProcess, ReleaseIsWithheldAcrossControllerKillAndCalendarReloaded) {
   operator_file_ = ::testing::TempDir() + "oxbowmill-loop-" + std::to_string(::getpid()) + ".yaml";
-  auto calendar =
-      [this](int version, const std::string& french) {
+  auto write_calendar =
+      [this](int version, const std::string& french_render_job) {
         std::ofstream(operator_file_)
             << "calendar:\n  version: " << version
             << "\n  releases:\n    - name: manual\n      revision: r1\n      editions:\n"
                "        ar: {render: [run-1], publish: run-3}\n        fr: {render: ["
-            << french << "], publish: run-4}\n";
+            << french_render_job << "], publish: run-4}\n";
       };
-  calendar(1, "run-2");
+  write_calendar(1, "run-2");
   start_program();
   int status = 0;
-  bool asking = false;
+  bool request_in_flight = false;
   auto submit = [&](const std::string& ref) {
     status = 0;
     run_until([&] { return status == 201; },
               [&] {
-                if (asking) return;
-                asking = true;
+                if (request_in_flight) return;
+                request_in_flight = true;
                 send_request(
                     EVHTTP_REQ_POST, "/submissions",
                     [&] {
-                      Json j = make_submission(ref);
-                      j["shards"] = 1;
-                      j["accelerators"] = 0.0;
-                      return j;
+                      Json job = make_submission(ref);
+                      job["shards"] = 1;
+                      job["accelerators"] = 0.0;
+                      return job;
                     }(),
-                    [&](int step, const Json&) {
-                      asking = false;
-                      status = step;
+                    [&](int response_status, const Json&) {
+                      request_in_flight = false;
+                      status = response_status;
                     });
               });
   };
   for (const char* ref : {"run-3", "run-4", "run-1"}) submit(ref);
-  run_until([&] { return worker_.has("run-1/0"); }, [] {});
-  worker_.finish("run-1/0", EndCause::done);
+  run_until([&] { return agent_.has("run-1/0"); }, [] {});
+  agent_.finish("run-1/0", EndCause::done);
   run_until([&] { return state_.keys().count("f/run-1") != 0; }, [] {});
   stop_program();
   start_program();
   // In the new calendar another job renders the French edition.
-  calendar(2, "run-5");
+  write_calendar(2, "run-5");
   kill(pid_, SIGHUP);
   submit("run-5");
-  run_until([&] { return worker_.has("run-5/0"); }, [] {});
+  run_until([&] { return agent_.has("run-5/0"); }, [] {});
   EXPECT_EQ(run_log_.starts["run-3/0"] + run_log_.starts["run-4/0"], 0);
-  worker_.finish("run-5/0", EndCause::done);
-  run_until([&] { return worker_.has("run-3/0") && worker_.has("run-4/0"); }, [] {});
+  agent_.finish("run-5/0", EndCause::done);
+  run_until([&] { return agent_.has("run-3/0") && agent_.has("run-4/0"); }, [] {});
   EXPECT_EQ(state_.keys().at("o/d/release/manual").value.at("s"), "decided");
 }
 
-TEST_F(Loopback, ConnectionsBeyondTheLimitAreNotKeptAlive) {
+TEST_F(ControllerProcess, ConnectionsBeyondTheLimitAreNotKeptAlive) {
   for (int limit : {1 << 20, 0}) {
     net::HttpServer server(base_.get(), {"127.0.0.1", 0}, 1024,
                            [](Request&& request) { request.responder->reply(200, "x"); });
@@ -501,24 +508,26 @@
       event_base* base;
       int status = 0;
       bool closes_connection = false;
-    } seen{base_.get()};
-    net::ConnectionPtr conn(
+    } result{base_.get()};
+    net::ConnectionPtr connection(
         evhttp_connection_base_new(base_.get(), nullptr, "127.0.0.1", server.address().port));
     evhttp_request* raw_request = evhttp_request_new(
         [](evhttp_request* response, void* arg) {
-          auto* result = static_cast<ConnectionResult*>(arg);
-          result->status = response != nullptr ? evhttp_request_get_response_code(response) : -1;
-          const char* c = response != nullptr
-                              ? evhttp_find_header(evhttp_request_get_input_headers(response), "Connection")
-                              : nullptr;
-          result->closes_connection = c != nullptr && std::string(c) == "close";
-          event_base_loopbreak(result->base);
+          auto* connection_result = static_cast<ConnectionResult*>(arg);
+          connection_result->status = response != nullptr ? evhttp_request_get_response_code(response) : -1;
+          const char* connection_header =
+              response != nullptr
+                  ? evhttp_find_header(evhttp_request_get_input_headers(response), "Connection")
+                  : nullptr;
+          connection_result->closes_connection =
+              connection_header != nullptr && std::string(connection_header) == "close";
+          event_base_loopbreak(connection_result->base);
         },
-        &seen);
-    evhttp_make_request(conn.get(), raw_request, EVHTTP_REQ_GET, "/");
+        &result);
+    evhttp_make_request(connection.get(), raw_request, EVHTTP_REQ_GET, "/");
     event_base_dispatch(base_.get());
-    EXPECT_EQ(seen.status, 200);
-    EXPECT_EQ(seen.closes_connection, limit == 0);
+    EXPECT_EQ(result.status, 200);
+    EXPECT_EQ(result.closes_connection, limit == 0);
   }
 }
 
@@ -538,33 +547,33 @@
   };
   for (const Case& test_case : cases) {
     std::string command = std::string(CONTROLLER_PROGRAM) + " " + test_case.args + " 2>&1";
-    FILE* out = popen(command.c_str(), "r");
-    ASSERT_NE(out, nullptr);
-    std::string text;
-    char buf[512];
-    while (fgets(buf, sizeof buf, out) != nullptr) text += buf;
-    int status = WEXITSTATUS(pclose(out));
+    FILE* output_pipe = popen(command.c_str(), "r");
+    ASSERT_NE(output_pipe, nullptr);
+    std::string output;
+    char buffer[512];
+    while (fgets(buffer, sizeof buffer, output_pipe) != nullptr) output += buffer;
+    int status = WEXITSTATUS(pclose(output_pipe));
     EXPECT_EQ(status, test_case.status) << test_case.args;
-    EXPECT_NE(text.find(test_case.message), std::string::npos) << test_case.args << ": " << text;
+    EXPECT_NE(output.find(test_case.message), std::string::npos) << test_case.args << ": " << output;
     if (status == 2) {
-      EXPECT_EQ(std::count(text.begin(), text.end(), '\n'), 1) << text;
+      EXPECT_EQ(std::count(output.begin(), output.end(), '\n'), 1) << output;
     }
   }
 }
 
-TEST_F(Loopback, StatusPollsShareAWatchAndReadTheLatestState) {
+TEST_F(ControllerProcess, StatusPollsShareAWatchAndReadTheLatestState) {
   // Polls that each read the job from the state service once used up its whole request limit.
   long_poll_s_ = 0;
   start_program();
-  int up_status = 0, asked = 0, answered = 0, status = 0;
+  int up_status = 0, sent_requests = 0, received_responses = 0, status = 0;
   Json answer;
-  auto request_once = [&](evhttp_cmd_type m, const std::string& path, const Json& body,
+  auto request_once = [&](evhttp_cmd_type method, const std::string& path, const Json& body,
                           int& received_status) {
-    if (asked > answered) return;
-    ++asked;
-    send_request(m, path, body, [&](int step, const Json& json) {
-      ++answered;
-      received_status = step;
+    if (sent_requests > received_responses) return;
+    ++sent_requests;
+    send_request(method, path, body, [&](int response_status, const Json& json) {
+      ++received_responses;
+      received_status = response_status;
       answer = json;
     });
   };
@@ -572,19 +581,20 @@
             [&] { request_once(EVHTTP_REQ_GET, "/up", Json(), up_status); });
   run_until([&] { return status == 201; },
             [&] { request_once(EVHTTP_REQ_POST, "/submissions", make_submission("run-1"), status); });
-  asked = answered = job_reads_ = 0;
-  run_until([&] { return answered >= job_reads_ + 20; },
+  sent_requests = received_responses = job_reads_ = 0;
+  run_until([&] { return received_responses >= job_reads_ + 20; },
             [&] {
-              if (asked > answered) return;
+              if (sent_requests > received_responses) return;
               for (int i = 0; i < 4; ++i) {
-                ++asked;
-                send_request(EVHTTP_REQ_GET, "/submissions/run-1", Json(), [&](int step, const Json&) {
-                  ++answered;
-                  EXPECT_EQ(step, 200);
-                });
+                ++sent_requests;
+                send_request(EVHTTP_REQ_GET, "/submissions/run-1", Json(),
+                             [&](int response_status, const Json&) {
+                               ++received_responses;
+                               EXPECT_EQ(response_status, 200);
+                             });
               }
             });
-  run_until([&] { return asked == answered; }, [] {});
+  run_until([&] { return sent_requests == received_responses; }, [] {});
   // Another controller has confirmed the cancellation to the user, so every later poll must return it.
   Json cancelled = state_.keys().at("o/j/run-1").value;
   cancelled["p"] = "cancelled";
@@ -596,31 +606,31 @@
   stop_program();
 }
 
-TEST_F(Loopback, RestartedControllerResumesItsBid) {
+TEST_F(ControllerProcess, RestartedControllerResumesItsBid) {
   // The cloud has no capacity. One market runs a long auction, the other accepts requests but never responds.
   simulation::MarketBehavior slow;
   slow.name = "north";
   slow.price = 2;
   slow.auction_s = 4;
   slow.delivery_s = 1;
-  simulation::MarketBehavior mute = slow;
-  mute.name = "south";
-  mute.price = 1;
-  mute.stall_chance = 1;
+  simulation::MarketBehavior unresponsive = slow;
+  unresponsive.name = "south";
+  unresponsive.price = 1;
+  unresponsive.stall_chance = 1;
   double start = now();
   auto clock = [start] { return now() - start; };
-  net::Address any{"127.0.0.1", 0};
-  simulation::MarketServer north(base_.get(), any, simulation::SimulatedMarket(slow, 1, {"std"}, {"a"}),
-                                 clock);
-  simulation::MarketServer south(base_.get(), any, simulation::SimulatedMarket(mute, 2, {"std"}, {"a"}),
+  net::Address any_port{"127.0.0.1", 0};
+  simulation::MarketServer north(base_.get(), any_port, simulation::SimulatedMarket(slow, 1, {"std"}, {"a"}),
                                  clock);
+  simulation::MarketServer south(base_.get(), any_port,
+                                 simulation::SimulatedMarket(unresponsive, 2, {"std"}, {"a"}), clock);
   std::set<std::string> bids;
-  int not_durable = 0;
-  north.on_request = [&](const Request& r) {
-    if (r.path != "/bids") return;
-    std::string bid = Json::from_cbor(r.body).at("bid").get<std::string>();
+  int bids_without_record = 0;
+  north.on_request = [&](const Request& request) {
+    if (request.path != "/bids") return;
+    std::string bid = Json::from_cbor(request.body).at("bid").get<std::string>();
     bids.insert(bid);
-    not_durable += state_.keys().count("o/b/" + bid) == 0 ? 1 : 0;
+    bids_without_record += state_.keys().count("o/b/" + bid) == 0 ? 1 : 0;
   };
   operator_file_ = ::testing::TempDir() + "oxbowmill-markets-" + std::to_string(::getpid()) + ".yaml";
   std::ofstream(operator_file_)
@@ -631,15 +641,15 @@
   cloud_exhausted_ = true;
   start_program();
   int up_status = 0, status = 0;
-  bool asking = false;
+  bool request_in_flight = false;
   Json answer;
-  auto request_once = [&](evhttp_cmd_type m, const std::string& path, const Json& body,
+  auto request_once = [&](evhttp_cmd_type method, const std::string& path, const Json& body,
                           int& received_status) {
-    if (asking) return;
-    asking = true;
-    send_request(m, path, body, [&](int step, const Json& json) {
-      asking = false;
-      received_status = step;
+    if (request_in_flight) return;
+    request_in_flight = true;
+    send_request(method, path, body, [&](int response_status, const Json& json) {
+      request_in_flight = false;
+      received_status = response_status;
       answer = json;
     });
   };
@@ -653,41 +663,41 @@
   stop_program();
   EXPECT_TRUE(north.market().hosts().empty());  // the controller was killed before the auction ended
   start_program();
-  simulation::Worker bought("north.m1", "a", run_log_);
-  worker_ = std::move(bought);
-  worker_.lease_s = 6;
-  run_until([&] { return worker_.has("run-1/0") && worker_.has("run-1/1"); },
+  simulation::Worker bought_machine_agent("north.m1", "a", run_log_);
+  agent_ = std::move(bought_machine_agent);
+  agent_.lease_s = 6;
+  run_until([&] { return agent_.has("run-1/0") && agent_.has("run-1/1"); },
             [&] {
               north.market().tick(clock());
               machine_is_up_ = machine_is_up_ || !north.market().hosts().empty();
             });
   EXPECT_EQ(bids.size(), 1U);  // the restarted controller resumed the bid instead of placing another
-  EXPECT_EQ(not_durable, 0);
-  for (const char* t : {"run-1/0", "run-1/1"}) worker_.finish(t, EndCause::done);
+  EXPECT_EQ(bids_without_record, 0);
+  for (const char* task : {"run-1/0", "run-1/1"}) agent_.finish(task, EndCause::done);
   run_until([&] { return answer.value("phase", "") == "done"; },
             [&] { request_once(EVHTTP_REQ_GET, "/submissions/run-1", Json(), status); });
   // The machine has been returned, and its actual cost has replaced the committed amount.
   run_until([&] { return state_.keys().count("o/l/ledger") == 1; }, [] {});
   EXPECT_TRUE(north.market().hosts().at("north.m1").returned);
-  for (const auto& [key, e] : state_.keys()) EXPECT_NE(key.rfind("o/b/", 0), 0U) << key;
+  for (const auto& [key, entry] : state_.keys()) EXPECT_NE(key.rfind("o/b/", 0), 0U) << key;
   EXPECT_TRUE(run_log_.duplicated_tasks.empty());
   EXPECT_EQ(waitpid(pid_, nullptr, WNOHANG), 0);
 }
 
-TEST_F(Loopback, CommandLineSubmitsWaitsAndCancels) {
+TEST_F(ControllerProcess, CommandLineSubmitsWaitsAndCancels) {
   start_program();
-  std::string out, job = ::testing::TempDir() + "oxbow-job-" + std::to_string(::getpid()) + ".yaml";
-  std::ofstream(job)
+  std::string output, job_file = ::testing::TempDir() + "oxbow-job-" + std::to_string(::getpid()) + ".yaml";
+  std::ofstream(job_file)
       << "ref: run-1\njobclass: c\nshards: 2\naccelerators: 1\nbundle: img\nsize_gb: 1\nloaners: true\n";
   int up_status = 0;
-  bool asking = false;
+  bool request_in_flight = false;
   run_until([&] { return up_status == 200; },
             [&] {
-              if (asking) return;
-              asking = true;
-              send_request(EVHTTP_REQ_GET, "/up", Json(), [&](int step, const Json&) {
-                asking = false;
-                up_status = step;
+              if (request_in_flight) return;
+              request_in_flight = true;
+              send_request(EVHTTP_REQ_GET, "/up", Json(), [&](int response_status, const Json&) {
+                request_in_flight = false;
+                up_status = response_status;
               });
             });
   struct Case {
@@ -695,34 +705,35 @@
     int exit_code;
     const char* message;
   };
-  const Case before[] = {
-      {"--team red submit " + job, 0, "run-1 queued"},
-      {"--team red submit " + job, 0, "run-1 "},  // repeated submission of the same job
-      {"--team nobody submit " + job + " --ref run-2", 3, "can never run"},
-      {"submit " + job, 2, "owner: missing"},
-      {"--team red submit " + job + " --shards many", 2, "--shards: not of the right kind"},
+  const Case commands_before_start[] = {
+      {"--team red submit " + job_file, 0, "run-1 queued"},
+      {"--team red submit " + job_file, 0, "run-1 "},  // repeated submission of the same job
+      {"--team nobody submit " + job_file + " --ref run-2", 3, "can never run"},
+      {"submit " + job_file, 2, "owner: missing"},
+      {"--team red submit " + job_file + " --shards many", 2, "--shards: value has the wrong type"},
       {"--team red submit /no/such/file", 2, "/no/such/file"},
       {"status run-77", 4, "no such job"},
       {"--json status run-77", 4, "\"again\":false"},
       {"status", 2, "ref is required"},
       {"--nodes nowhere status run-1", 2, "'nowhere' is not HOST:PORT"},
-      {"--nodes 127.0.0.1:1 --patience 1 status run-1", 5, "no node took it in time"},
+      {"--nodes 127.0.0.1:1 --patience 1 status run-1", 5, "no controller accepted the request in time"},
       {"--help", 0, "withdraw"},
   };
-  for (const Case& c : before) {
-    EXPECT_EQ(run_command_line(c.args, out), c.exit_code) << c.args << ": " << out;
-    EXPECT_NE(out.find(c.message), std::string::npos) << c.args << ": " << out;
+  for (const Case& test_case : commands_before_start) {
+    EXPECT_EQ(run_command_line(test_case.args, output), test_case.exit_code)
+        << test_case.args << ": " << output;
+    EXPECT_NE(output.find(test_case.message), std::string::npos) << test_case.args << ": " << output;
   }
-  run_until([&] { return worker_.has("run-1/0") && worker_.has("run-1/1"); }, [] {});
-  EXPECT_EQ(run_command_line("wait run-1 --within 1", out), 6) << out;
-  for (const char* t : {"run-1/0", "run-1/1"}) worker_.finish(t, EndCause::done);
-  EXPECT_EQ(run_command_line("--json wait run-1", out), 0) << out;
-  EXPECT_NE(out.find("\"phase\":\"done\""), std::string::npos) << out;
-  EXPECT_EQ(run_command_line("--team red submit " + job + " --ref run-3", out), 0) << out;
-  EXPECT_EQ(run_command_line("withdraw run-3", out), 0) << out;
-  EXPECT_EQ(run_command_line("status run-3", out), 1) << out;
-  EXPECT_NE(out.find("run-3 cancelled"), std::string::npos) << out;
-  std::remove(job.c_str());
+  run_until([&] { return agent_.has("run-1/0") && agent_.has("run-1/1"); }, [] {});
+  EXPECT_EQ(run_command_line("wait run-1 --within 1", output), 6) << output;
+  for (const char* task : {"run-1/0", "run-1/1"}) agent_.finish(task, EndCause::done);
+  EXPECT_EQ(run_command_line("--json wait run-1", output), 0) << output;
+  EXPECT_NE(output.find("\"phase\":\"done\""), std::string::npos) << output;
+  EXPECT_EQ(run_command_line("--team red submit " + job_file + " --ref run-3", output), 0) << output;
+  EXPECT_EQ(run_command_line("withdraw run-3", output), 0) << output;
+  EXPECT_EQ(run_command_line("status run-3", output), 1) << output;
+  EXPECT_NE(output.find("run-3 cancelled"), std::string::npos) << output;
+  std::remove(job_file.c_str());
 }
 
 }  // namespace
