--- a/tests/random_faults.h
+++ b/tests/random_faults.h
@@ -5,18 +5,18 @@
 
 namespace oxbowmill {
 
-enum class RandomFault { owner_crash, responses_lost, state_outage, delayed_duplicates };
+enum class RandomFault { owner_crash, writes_unanswered, state_outage, delayed_duplicates };
 
 /// Injects one fault into the cluster of `world`. It has three controllers; `world.owner` is the index of the
 /// one that owns the partition. `pick(n)` returns a random number from 0 to n - 1.
 template <class World, class Pick>
-void inject_fault(World& world, RandomFault what, Pick&& pick) {
+void inject_fault(World& world, RandomFault fault, Pick&& pick) {
   simulation::SimulatedController& owner = world.cluster.controller(world.owner);
-  switch (what) {
+  switch (fault) {
     case RandomFault::owner_crash:
       world.change_owner();
       break;
-    case RandomFault::responses_lost:
+    case RandomFault::writes_unanswered:
       owner.write_outcome =
           pick(2) == 0 ? simulation::WriteOutcome::answer_lost : simulation::WriteOutcome::not_arrived;
       world.run(0.5);
--- a/tests/release_calendar_test.cpp
+++ b/tests/release_calendar_test.cpp
@@ -449,7 +449,7 @@
           inject_fault(fixture, RandomFault::owner_crash, pick);
           break;
         case 5:
-          inject_fault(fixture, RandomFault::responses_lost, pick);
+          inject_fault(fixture, RandomFault::writes_unanswered, pick);
           break;
         case 6:
           inject_fault(fixture, RandomFault::state_outage, pick);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -38,13 +38,14 @@
     const char* message;
   };
   const Case cases[] = {
-      {"an unknown key", valid_settings() + "wokers: 3\n", "wokers"},
-      {"an unknown shape", "name: x\nclasses:\n  - {name: a, shape: swarm, rank: low}\n", "swarm"},
-      {"an unknown fault", valid_settings() + "faults:\n  - {kind: flood, at_s: 1}\n", "flood"},
-      {"too many workers", valid_settings() + "controllers: 10\n", "controllers"},
-      {"half a worker", "name: x\nworkers: 1.5\n", "workers"},
-      {"no classes", "name: x\n", "classes"},
-      {"a fault after the end", valid_settings() + "faults:\n  - {kind: state_outage, at_s: 21}\n", "at_s"},
+      {"unknown key", valid_settings() + "wokers: 3\n", "wokers"},
+      {"unknown job shape", "name: x\nclasses:\n  - {name: a, shape: swarm, rank: low}\n", "swarm"},
+      {"unknown fault kind", valid_settings() + "faults:\n  - {kind: flood, at_s: 1}\n", "flood"},
+      {"more controllers than allowed", valid_settings() + "controllers: 10\n", "controllers"},
+      {"number of agents is not an integer", "name: x\nworkers: 1.5\n", "workers"},
+      {"no job classes", "name: x\n", "classes"},
+      {"fault after the end of the run", valid_settings() + "faults:\n  - {kind: state_outage, at_s: 21}\n",
+       "at_s"},
   };
   EXPECT_EQ(load_scale_settings(write_settings(valid_settings())).workers, 10U);
   for (const Case& test_case : cases) {
@@ -52,11 +53,11 @@
     try {
       load_scale_settings(file);
       ADD_FAILURE() << test_case.description;
-    } catch (const yaml::Error& e) {
-      std::string said = e.what();
-      EXPECT_NE(said.find(test_case.message), std::string::npos) << said;
-      EXPECT_NE(said.find(file), std::string::npos) << said;
-      EXPECT_EQ(said.find('\n'), std::string::npos) << said;
+    } catch (const yaml::Error& error) {
+      std::string message = error.what();
+      EXPECT_NE(message.find(test_case.message), std::string::npos) << message;
+      EXPECT_NE(message.find(file), std::string::npos) << message;
+      EXPECT_EQ(message.find('\n'), std::string::npos) << message;
     }
   }
 }
@@ -71,29 +72,29 @@
   EXPECT_EQ(scale_job(settings, "other").job_class, nullptr);
 }
 
-TEST(ScaleEvents, RoundTrip) {
+TEST(ScaleEvents, RoundTripAndInvalidLinesAreRejected) {
   ScaleEvent event{ScaleEventKind::job_answered, 12.5, "run-0-1", "host-000001", 3, 4.5,
                    JobAnswer::cancelled};
-  auto read = parse_event(to_line(event));
-  ASSERT_TRUE(read.has_value());
-  EXPECT_EQ(to_line(*read), to_line(event));
+  auto parsed = parse_event(to_line(event));
+  ASSERT_TRUE(parsed.has_value());
+  EXPECT_EQ(to_line(*parsed), to_line(event));
   EXPECT_FALSE(parse_event("[1,2]").has_value());
   EXPECT_FALSE(parse_event("no event").has_value());
 }
 
-TEST(ScaleEvaluation, DetectsDuplicateTasksAndCountsWaits) {
+TEST(ScaleEvaluator, DetectsDuplicateTasksAndMeasuresWaits) {
   ScaleSettings settings = load_scale_settings(write_settings(valid_settings()));
-  ScaleEvaluator judge(settings, 0);
+  ScaleEvaluator evaluator(settings, 0);
   std::string ref = scale_job_ref(0, 1);
-  judge.add({ScaleEventKind::job_submitted, 6, ref, "", 0, 0, JobAnswer::no_answer});
-  judge.add({ScaleEventKind::task_starts, 7, ref, "host-000001", 0, 0, JobAnswer::no_answer});
-  judge.add({ScaleEventKind::task_runs, 8, ref, "host-000001", 0, 0, JobAnswer::no_answer});
-  EXPECT_TRUE(judge.violations().empty());
-  EXPECT_EQ(judge.waits()[0].first_s.quantile(1), 2);
-  EXPECT_EQ(judge.waits()[0].begun, 0U);
-  judge.add({ScaleEventKind::task_starts, 9, ref, "host-000002", 0, 0, JobAnswer::no_answer});
-  ASSERT_EQ(judge.violations().size(), 1U);
-  EXPECT_EQ(judge.violations()[0].rfind("ran_twice", 0), 0U);
+  evaluator.add({ScaleEventKind::job_submitted, 6, ref, "", 0, 0, JobAnswer::no_answer});
+  evaluator.add({ScaleEventKind::task_starts, 7, ref, "host-000001", 0, 0, JobAnswer::no_answer});
+  evaluator.add({ScaleEventKind::task_runs, 8, ref, "host-000001", 0, 0, JobAnswer::no_answer});
+  EXPECT_TRUE(evaluator.violations().empty());
+  EXPECT_EQ(evaluator.waits()[0].first_s.quantile(1), 2);
+  EXPECT_EQ(evaluator.waits()[0].begun, 0U);
+  evaluator.add({ScaleEventKind::task_starts, 9, ref, "host-000002", 0, 0, JobAnswer::no_answer});
+  ASSERT_EQ(evaluator.violations().size(), 1U);
+  EXPECT_EQ(evaluator.violations()[0].rfind("ran_twice", 0), 0U);
 }
 
 TEST(ScaleRun, MissingProgramFailsBeforeAnythingStarts) {
@@ -105,7 +106,7 @@
   EXPECT_FALSE(std::filesystem::exists(options.directory));
 }
 
-TEST(ScaleRun, FiftyWorkersSurviveAControllerCrash) {
+TEST(ScaleRun, FiftyAgentsRunWithoutViolationsAcrossAControllerCrash) {
   ScaleSettings settings = load_scale_settings(std::string(DEPLOY_DIR) + "/lab/scale/small.yaml");
   ScaleOptions options;
   options.program = CONTROLLER_PROGRAM;
--- a/tests/serving_test.cpp
+++ b/tests/serving_test.cpp
@@ -351,7 +351,7 @@
           inject_fault(fixture, RandomFault::owner_crash, pick);
           break;
         case 6:
-          inject_fault(fixture, RandomFault::responses_lost, pick);
+          inject_fault(fixture, RandomFault::writes_unanswered, pick);
           break;
         case 7:
           inject_fault(fixture, RandomFault::state_outage, pick);
