--- a/tests/fault_histories_test.cpp
+++ b/tests/fault_histories_test.cpp
@@ -340,8 +340,9 @@
 
 // --- Fault combinations.
 
-/// Simulates each scenario with the seeds 1 to `seeds`. Returns one text for each failed run, with its first
-/// violation and the script that reproduces it; empty if all runs passed.
+/// Simulates each scenario with the seeds 1 to `seeds`. Returns a text for each run that violated an
+/// invariant or did too little to check anything, with the script that reproduces it; empty if all runs
+/// passed.
 std::vector<std::string> run_and_collect_failures(const std::vector<ClusterScenario>& scenarios,
                                                   std::uint64_t seeds) {
   std::vector<std::string> failures(scenarios.size() * seeds);
--- a/tests/random_faults.h
+++ b/tests/random_faults.h
@@ -5,7 +5,12 @@
 
 namespace oxbowmill {
 
-enum class RandomFault { owner_crash, writes_unanswered, state_outage, delayed_duplicates };
+enum class RandomFault {
+  owner_crash,        // the owner ends and another controller takes over
+  writes_unanswered,  // the owner's writes, or the responses to them, are lost for 0.5 s
+  state_outage,       // the state service is down for 0.5 to 2 s
+  delayed_duplicates  // all writes that did not arrive so far are applied late, possibly once more
+};
 
 /// Injects one fault into the cluster of `world`. It has three controllers; `world.owner` is the index of the
 /// one that owns the partition. `pick(n)` returns a random number from 0 to n - 1.
