--- a/include/oxbowmill/net/address.h
+++ b/include/oxbowmill/net/address.h
@@ -8,34 +8,34 @@
 
 namespace oxbowmill::net {
 
-/// A host, by name or number, and a port.
+/// A host and a port.
 struct Address {
-  std::string host;        ///< not resolved
-  std::uint16_t port = 0;  ///< 0 only in an address to listen on: the system's choice
+  std::string host;        ///< name, not resolved, or IP address
+  std::uint16_t port = 0;  ///< 0 only in an address to listen on: the system chooses the port
 };
-/// "host:port".
+/// The address as "host:port".
 std::string to_string(const Address& address);
 
-/// A text is no address. It is a std::invalid_argument, as callers of `parse_address` expect.
+/// A text that is not an address. Derives from std::invalid_argument, which callers of `parse_address` catch.
 class AddressError : public std::invalid_argument {
  public:
-  /// `reason` completes the sentence that begins with the text in quotes.
+  /// `reason` is a predicate such as "has no port number". The message is the quoted text and the reason.
   AddressError(const std::string& text, std::string reason)
       : std::invalid_argument("'" + text + "' " + reason), text_(text), reason_(std::move(reason)) {}
-  /// The text that is no address.
+  /// The text that could not be parsed.
   const std::string& text() const { return text_; }
-  /// What is wrong with it, such as "has no port number".
+  /// The reason as passed to the constructor.
   const std::string& reason() const { return reason_; }
 
  private:
   std::string text_, reason_;
 };
 
-/// Throws AddressError unless it is "host:port" with a port from 1 to 65535.
+/// Parses "host:port" with a port from 1 to 65535. Throws AddressError.
 Address parse_address(const std::string& text);
-/// The same for an address to listen on, where port 0 leaves the choice to the system.
+/// Parses an address to listen on. Port 0 lets the system choose the port. Throws AddressError.
 Address parse_bind_address(const std::string& text);
-/// The same as `parse_address`; nothing where that throws.
+/// Like `parse_address`, but empty if the text is not an address.
 std::optional<Address> try_parse_address(const std::string& text);
 
 }  // namespace oxbowmill::net
--- a/include/oxbowmill/net/event_handles.h
+++ b/include/oxbowmill/net/event_handles.h
@@ -1,5 +1,5 @@
-// Owners of libevent's handles. Everything in this package runs in the thread that runs the event base;
-// callbacks come from its loop and may call back into the objects here.
+// Smart pointers for libevent's handles. All objects of this package belong to the thread that runs the event
+// loop. The loop calls their callbacks, which may use the objects again.
 #pragma once
 
 #include <event2/event.h>
@@ -9,15 +9,15 @@
 
 namespace oxbowmill::net {
 
-/// Frees the handles that this package owns.
+/// Frees libevent's handles.
 struct HandleDeleter {
-  /// Frees an event base; all handles on it must be gone.
+  /// Frees an event base. All handles that use it must have been freed before.
   void operator()(event_base* base) const { event_base_free(base); }
   /// Cancels and frees an event.
   void operator()(event* handle) const { event_free(handle); }
   /// Stops and frees a server with its connections.
   void operator()(evhttp* server) const { evhttp_free(server); }
-  /// Closes and frees a connection; its open request ends without a response.
+  /// Closes and frees a connection. Its open request completes without a response.
   void operator()(evhttp_connection* connection) const { evhttp_connection_free(connection); }
 };
 /// Owns an event base.
@@ -29,7 +29,7 @@
 /// Owns a connection of a client.
 using ConnectionPtr = std::unique_ptr<evhttp_connection, HandleDeleter>;
 
-/// A new event loop; throws oxbowmill::Error where the system has none left.
+/// Creates an event loop. Throws oxbowmill::Error if libevent cannot create one.
 EventBasePtr make_event_base();
 
 }  // namespace oxbowmill::net
--- a/include/oxbowmill/net/http.h
+++ b/include/oxbowmill/net/http.h
@@ -1,4 +1,4 @@
-// HTTP over libevent: all of this package.
+// Includes all headers of this package, HTTP over libevent.
 #pragma once
 
 #include "oxbowmill/net/address.h"
--- a/include/oxbowmill/net/http_client.h
+++ b/include/oxbowmill/net/http_client.h
@@ -1,4 +1,4 @@
-// A client of HTTP services; see event_handles.h for threads.
+// HTTP client. event_handles.h describes the threading rules.
 #pragma once
 
 #include <deque>
@@ -13,30 +13,31 @@
 
 namespace oxbowmill::net {
 
-/// What came back for a request.
+/// The response to a request.
 struct Response {
-  int status = 0;            ///< 0: no response (time-out, refused or broken connection)
-  std::string body;          ///< empty: none
-  double retry_after_s = 0;  ///< 0: not said
+  int status = 0;            ///< HTTP status; 0: no response (timeout, refused or broken connection)
+  std::string body;          ///< empty: no body
+  double retry_after_s = 0;  ///< value of the Retry-After header, in seconds; 0: no such header
 };
-/// Called once for each request, unless its client is destroyed before.
+/// Handles a response. Called once per request, unless the client is destroyed before.
 using ResponseHandler = std::function<void(const Response&)>;
 
-/// A few kept-alive connections to one address; requests beyond them wait in order.
+/// A fixed number of keep-alive connections to one address. Requests that find none free wait in a queue.
 class HttpClient {
  public:
-  /// `max_body`: a longer response counts as none; 0: no limit.
+  /// `connections` is the number of connections. `max_body` is the size limit of a response body in bytes (0:
+  /// no limit); a response with a larger body is treated as no response.
   HttpClient(event_base* base, Address address, std::size_t connections, std::size_t max_body = 0);
-  /// Handlers of open requests are not called.
+  /// Drops open requests without calling their handlers.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
-  /// The time-out in seconds counts from when the request gets a connection.
+  /// Sends a request. Its timeout, in seconds, starts when it gets a connection.
   void send(evhttp_cmd_type method, const std::string& path, std::string body, double timeout_s,
             ResponseHandler on_response);
-  /// Requests that wait for a connection.
+  /// Number of requests that wait for a connection.
   std::size_t queued() const { return queue_.size(); }
-  /// All connections are busy: a further request would wait.
+  /// Whether a further request would have to wait for a connection.
   bool all_busy() const;
 
  private:
@@ -53,7 +54,7 @@
   Timer dispatch_timer_;
 };
 
-/// A single request on a connection of its own.
+/// Sends one request on a new connection, which is closed afterwards. `timeout_s` is in seconds.
 void send_once(event_base* base, const Address& destination, evhttp_cmd_type method, const std::string& path,
                const std::string& body, double timeout_s, ResponseHandler on_response);
 
--- a/include/oxbowmill/net/http_server.h
+++ b/include/oxbowmill/net/http_server.h
@@ -1,4 +1,4 @@
-// A server of HTTP requests; see event_handles.h for threads.
+// HTTP server. event_handles.h describes the threading rules.
 #pragma once
 
 #include <functional>
@@ -12,70 +12,72 @@
 
 namespace oxbowmill::net {
 
-/// A server cannot listen on its address: it is in use, or not one of this host's.
+/// The server cannot listen on its address, for example because the address is in use or belongs to another
+/// host.
 class ListenError : public Error {
  public:
-  /// The address that was asked for.
+  /// `address` is the requested address.
   explicit ListenError(const Address& address)
       : Error("cannot listen on " + to_string(address)), address_(address) {}
-  /// The address that was asked for.
+  /// The requested address.
   const Address& address() const { return address_; }
 
  private:
   Address address_;
 };
 
-/// One request that may be answered later; the answer is dropped when its connection has closed. Not
-/// answered at all, it answers 503 when it goes out of scope.
+/// Answers one request, at once or later. The answer is dropped if the connection has closed. An unanswered
+/// request is answered with 503 when its responder is destroyed.
 class Responder {
  public:
-  /// What the server does when a request is answered.
+  /// What the server does with the connection after an answer.
   enum class AfterReply : std::uint8_t { keep_connection, close_connection };
-  /// `before_reply` is called once, with the connection, before the answer is sent on it.
+  /// Called once, with the connection, before the answer is sent on it.
   using BeforeReply = std::function<AfterReply(evhttp_connection*)>;
-  /// For servers: `raw_request` stays libevent's.
+  /// Called by the server. libevent keeps the ownership of `raw_request`.
   Responder(evhttp_request* raw_request, BeforeReply before_reply)
       : before_reply_(std::move(before_reply)), raw_request_(raw_request) {}
   Responder(const Responder&) = delete;
   Responder& operator=(const Responder&) = delete;
   ~Responder();
-  /// Answers; further answers are ignored. `retry_after_s`: in how many seconds the client may ask again; 0:
-  /// not said.
+  /// Sends the answer. Further answers are ignored. `retry_after_s` is the value of the Retry-After header,
+  /// in seconds (0: no such header).
   void reply(int status, const std::string& body, int retry_after_s = 0);
-  /// For servers: the request is no longer there, and answers are ignored from now on.
+  /// Called by the server when the request no longer exists. Later answers are ignored.
   void abandon() { raw_request_ = nullptr; }
 
  private:
   BeforeReply before_reply_;
   evhttp_request* raw_request_;
 };
-/// Keeps a request open until it is answered.
+/// Shared ownership of a responder.
 using ResponderPtr = std::shared_ptr<Responder>;
 
-/// A request as it was read from its connection.
+/// A received request.
 struct Request {
-  evhttp_cmd_type method = EVHTTP_REQ_GET;  ///< the verb
-  std::string path;                         ///< without the query
-  std::string query;                        ///< what follows the question mark; empty: nothing
-  std::string body;                         ///< empty: none
-  ResponderPtr responder;                   ///< answers it
+  evhttp_cmd_type method = EVHTTP_REQ_GET;  ///< HTTP method
+  std::string path;                         ///< path without the query
+  std::string query;                        ///< query without the question mark; empty: no query
+  std::string body;                         ///< empty: no body
+  ResponderPtr responder;                   ///< sends the answer
 };
 
-/// Listens on one address and hands requests to its handler. Must outlive the responders that it made,
-/// except those it has abandoned.
+/// Listens on one address and passes requests to a handler. Responders may outlive the server: its destructor
+/// abandons those of open requests.
 class HttpServer {
  public:
-  /// Takes a request; may answer at once or keep the responder.
+  /// Handles a request. May answer at once, or keep the responder and answer later.
   using Handler = std::function<void(Request&&)>;
-  /// Listens at once; throws ListenError. Bodies of up to four times `max_body` bytes reach the handler.
+  /// Starts to listen. Throws ListenError. Bodies of up to four times `max_body` bytes are passed to the
+  /// handler.
   HttpServer(event_base* base, const Address& bind, std::size_t max_body, Handler handler);
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
   ~HttpServer();
-  /// Sockets numbered from this on are closed after their answer, so that a controller near its limit of
-  /// sockets continues to accept connections.
+  /// Connections on sockets with this number or a higher one are closed after their answer, so that a
+  /// controller near its socket limit can still accept connections.
   void keep_alive_below(int socket_number) { keep_alive_below_ = socket_number; }
-  /// Where it listens; the system's choice where port 0 was asked for.
+  /// The address on which the server listens. If port 0 was requested, it has the port that the system chose.
   const Address& address() const { return address_; }
 
  private:
--- a/include/oxbowmill/net/timer.h
+++ b/include/oxbowmill/net/timer.h
@@ -1,4 +1,4 @@
-// A timer on the event loop; see event_handles.h for threads.
+// Timer on the event loop. event_handles.h describes the threading rules.
 #pragma once
 
 #include <functional>
@@ -7,16 +7,17 @@
 
 namespace oxbowmill::net {
 
-/// Calls back after a time, once for each `schedule`. Its address must not change.
+/// Calls a function once after a delay. Must not be moved or copied, because libevent holds its address.
 class Timer {
  public:
-  /// `on_expiry` may schedule the timer again.
+  /// `on_expiry` is the function that is called. It may schedule the timer again.
   Timer(event_base* base, std::function<void()> on_expiry);
-  /// Calls back in so many seconds, at the next turn of the loop for 0 or less; replaces an earlier schedule.
+  /// Schedules the call in `seconds`, or in the next iteration of the loop if that is 0 or less. Replaces an
+  /// earlier schedule.
   void schedule(double seconds);
-  /// No call comes until it is scheduled again.
+  /// Cancels the scheduled call, if there is one.
   void cancel();
-  /// Whether a call is to come.
+  /// Whether a call is scheduled.
   bool pending() const;
 
  private:
--- a/include/oxbowmill/state/store.h
+++ b/include/oxbowmill/state/store.h
@@ -1,7 +1,7 @@
-// Client of the state service: guarded transactions, reads, leases and the watch, within this controller's
-// share of the service's limits on requests and changes. It owns the calls that wait for their limits. Runs
-// in the event loop's thread; handlers are called from the loop, or from within a call that gives up stale
-// ones, and may issue further calls.
+// Client of the state service: transactions with guards, reads, leases and the watch. It stays within this
+// controller's share of the service's limits on requests and changes, and owns the calls that wait for these
+// limits. Event loop thread only. Handlers are called from the loop, or from within a call that drops expired
+// ones or cannot be sent; they may issue further calls.
 #pragma once
 
 #include <array>
@@ -17,44 +17,47 @@
 
 /// The response to one call.
 struct StoreResponse {
-  /// HTTP status; 0: no response, or one that cannot be read: a write may be applied, even later. 429 and
-  /// 503: not executed; 409: a guard of a transaction failed; 404: no such key or lease.
+  /// HTTP status. 0: no response, or one that cannot be read; a write may have been applied or may still be
+  /// applied later. 429 and 503: not executed. 409: a guard of a transaction failed. 404: no such key or
+  /// lease.
   int status = 0;
-  Json body;           ///< the map of the response; null where there is none
-  double sent_at = 0;  ///< when the call was sent, by the store's clock
+  Json body;           ///< the map in the response; null if the response has no body
+  double sent_at = 0;  ///< when the call was sent, in seconds of the store's clock
 };
-/// Takes the response to a call; called once for each.
+/// Handles the response to a call. Called once per call.
 using StoreResponseHandler = std::function<void(const StoreResponse&)>;
 
-/// Calls of one controller to the state service. Reads and transactions wait in order of urgency for the
-/// limits; leases and the watch have connections of their own and never wait.
+/// Calls of one controller to the state service. Reads and transactions wait for the limits in order of
+/// urgency. Lease calls and the watch have connections of their own and do not wait for the limits.
 class Store {
  public:
-  /// `now`: seconds of a steady clock. `settings` must outlive the store.
+  /// `now` returns the seconds of a steady clock. `settings` must outlive the store.
   Store(event_base* base, const net::Address& address, const Settings& settings, std::function<double()> now);
 
   /// Reads a key.
   void get(const std::string& key, Urgency urgency, StoreResponseHandler on_response);
-  /// Reads a page of the keys with a prefix, after the key `from` where that is not empty.
+  /// Reads a page of the keys with a prefix: the first page if `from` is empty, otherwise the page after the
+  /// key `from`.
   void list(const std::string& prefix, const std::string& from, StoreResponseHandler on_response);
-  /// Executes a transaction: `guards`, and changes under `apply`; all of it or nothing. Throws
-  /// nlohmann::json::exception where `apply` is missing.
+  /// Executes a transaction atomically: the changes under `apply`, if all `guards` hold. Throws
+  /// nlohmann::json::exception if `apply` is missing.
   void commit(const Json& body, Urgency urgency, StoreResponseHandler on_response);
-  /// Asks for a lease of so many seconds.
+  /// Requests a lease with a duration in seconds.
   void acquire_lease(double duration_s, StoreResponseHandler on_response);
-  /// Renews a lease for its duration.
+  /// Renews a lease for its whole duration.
   void renew_lease(std::uint64_t id, StoreResponseHandler on_response);
-  /// Ends a lease at once; the service deletes the keys attached to it.
+  /// Ends a lease immediately; the service deletes the keys attached to it.
   void end_lease(std::uint64_t id, StoreResponseHandler on_response);
-  /// Waits for changes of keys with a prefix after a revision, for up to `wait_s`.
+  /// Waits up to `wait_s` seconds for changes after the revision `from` of keys with a prefix.
   void watch(const std::string& prefix, Revision from, double wait_s, StoreResponseHandler on_response);
-  /// Divides the service's limits among so many controllers.
+  /// Sets the number of live controllers among which the service's limits are divided.
   void set_live_controllers(std::size_t count);
-  /// When a response other than 429 and 503 last came, by the store's clock.
+  /// Time of the last response other than 429 and 503, in seconds of the store's clock.
   double last_success_at() const { return last_success_at_; }
-  /// Calls that wait for a limit or a connection.
+  /// Number of calls that wait for a limit or a connection.
   std::size_t backlog() const;
-  /// Seconds for which calls have been out and none has been answered, with whatever status; 0: none is out.
+  /// Seconds since the last response with any status, or since the first unanswered call if that is later; 0
+  /// if no call is unanswered. Lease calls and the watch do not count.
   double unresponsive_for() const;
 
  private:
@@ -66,7 +69,7 @@
     double queued_at = 0;
   };
   using Queue = std::deque<Call>;
-  /// The call of a queue that is to be sent next, and for how long the limits delay it.
+  /// The next call to send from a queue, and how long the limits delay it.
   struct NextCall {
     Queue::iterator call;
     double wait_s = 0;
@@ -86,9 +89,9 @@
   TokenBucket request_limit_, change_limit_;
   std::array<Queue, urgency_count> queues_;
   net::Timer dispatch_timer_;
-  double last_success_at_ = -1e9;  // long before the clock's start
+  double last_success_at_ = -1e9;  // long before the clock starts: no response yet
   double paused_until_ = 0;
-  std::size_t unanswered_ = 0;  // calls without a response yet, without leases and the watch
+  std::size_t unanswered_ = 0;  // without lease calls and the watch
   double last_response_at_ = 0;
 };
 
--- a/include/oxbowmill/wire/agent_codec.h
+++ b/include/oxbowmill/wire/agent_codec.h
@@ -1,5 +1,5 @@
-// Bodies that agents and controllers exchange: reports, answers to them, and commands sent directly. The
-// names of all fields are in src/wire/agent_codec.cpp. Stateless.
+// Encodes and decodes the messages between agents and controllers: reports, answers to them, and commands
+// that controllers send directly. src/wire/agent_codec.cpp defines the names of the fields. Stateless.
 #pragma once
 
 #include <optional>
@@ -9,12 +9,12 @@
 
 namespace oxbowmill::wire {
 
-/// An agent's report; nothing where a field is missing or malformed. An unknown cause of a task's end reads
-/// as an error, so that newer agents can report to this version.
+/// Decodes an agent's report; empty if a field is missing or malformed. An unknown cause of a task's end is
+/// read as EndCause::error, so that newer agents can report to this version.
 std::optional<AgentReport> read_report(const Json& json);
-/// The answer to a report: commands, or the controller to report to instead.
+/// Encodes the answer to a report: commands, or the controller to report to instead.
 Json write_report_answer(const ReportAnswer& answer);
-/// Commands that a controller sends without waiting for the next report.
+/// Encodes commands that a controller sends without waiting for the next report.
 Json write_direct_commands(const DirectCommands& commands);
 
 }  // namespace oxbowmill::wire
--- a/include/oxbowmill/wire/cbor.h
+++ b/include/oxbowmill/wire/cbor.h
@@ -1,4 +1,4 @@
-// Bodies on the wire are CBOR maps. Stateless.
+// Encodes and decodes message bodies, which are CBOR maps. Stateless.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,18 @@
 
 namespace oxbowmill::wire {
 
-/// A body, read or to be sent.
+/// Content of a message body.
 using Json = nlohmann::json;
 
-/// Longest body that is read, in bytes; markets have a limit of their own.
+/// Size limit of a received body, in bytes. Bodies from markets have a limit of their own.
 constexpr std::size_t max_body_size = std::size_t{64} * 1024;
 
-/// Decodes a body; nothing when it is not CBOR, has trailing bytes, is too large or is not a map.
+/// Decodes a body; empty if it is not CBOR, has trailing bytes, is too large or is not a map.
 std::optional<Json> decode_map(const std::string& body);
-/// The CBOR form of a body.
+/// Encodes a body as CBOR.
 std::string encode(const Json& json);
 
-/// Whether a name that others chose can be used as a name here: up to 120 letters, digits, '-', '_' and '.'.
+/// Whether a name from outside is valid: 1 to 120 characters, each a letter, a digit, '-', '_' or '.'.
 bool valid_id(const std::string& text);
 
 }  // namespace oxbowmill::wire
--- a/include/oxbowmill/wire/codec.h
+++ b/include/oxbowmill/wire/codec.h
@@ -1,5 +1,6 @@
-// The names on the wire, by who speaks; only this package knows them. Names of machines, types, zones and
-// teams become indices here. The market protocol is in market_codec.h.
+// Includes the codecs of the messages of agents, users and the cloud. The codec of the market protocol is in
+// market_codec.h. Only this package knows the field names on the wire; its callers work with indices of
+// machine types, zones and teams.
 #pragma once
 
 #include "oxbowmill/wire/agent_codec.h"
--- a/include/oxbowmill/wire/market_codec.h
+++ b/include/oxbowmill/wire/market_codec.h
@@ -1,6 +1,6 @@
-// Bodies of the market protocol (docs/market-protocol.md); the names of all fields are in
-// src/wire/market_codec.cpp. Markets are not trusted: a number that is not finite, negative or implausibly
-// large reads as malformed. Stateless.
+// Encodes and decodes the messages of the market protocol (docs/market-protocol.md).
+// src/wire/market_codec.cpp defines the names of the fields. Markets are not trusted: a number that is
+// negative, not finite or implausibly large is malformed. Stateless.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +12,19 @@
 
 namespace oxbowmill::wire {
 
-/// A call in its HTTP form.
+/// A call as an HTTP request.
 struct MarketRequest {
-  bool is_post = false;  ///< otherwise a GET
-  std::string path;      ///< with the query, if there is one
-  Json body;             ///< null: none
+  bool is_post = false;  ///< whether the method is POST; otherwise it is GET
+  std::string path;      ///< path with the query, if there is one
+  Json body;             ///< null: no body
 };
-/// The request that a call stands for.
+/// Encodes a call.
 MarketRequest write_market_call(const market::Call& call, const Names& names);
 
-/// Longest body that is read from a market, in bytes.
+/// Size limit of a body from a market, in bytes.
 constexpr std::size_t max_market_body_size = std::size_t{256} * 1024;
-/// Reads the response to a call; status 0: there was none. What cannot be read gives AnswerKind::malformed
-/// and no contents.
+/// Decodes the response to a call. `status` is the HTTP status, or 0 without a response. A body that cannot
+/// be read gives AnswerKind::malformed without content.
 market::Answer read_market_answer(const market::Call& call, int status, const std::string& body,
                                   double retry_after_s, const Names& names);
 
--- a/include/oxbowmill/wire/submission_codec.h
+++ b/include/oxbowmill/wire/submission_codec.h
@@ -1,5 +1,5 @@
-// Bodies that users and controllers exchange: submissions of jobs and answers on their status. The names of
-// all fields are in src/wire/submission_codec.cpp. Stateless.
+// Encodes and decodes the messages between users and controllers: submissions of jobs and answers to status
+// queries. src/wire/submission_codec.cpp defines the names of the fields. Stateless.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,24 @@
 
 namespace oxbowmill::wire {
 
-/// Why a submission is refused.
+/// Reason for rejecting a submission.
 struct Rejection {
-  int status = 400;    ///< HTTP status: 400 malformed, 422 well-formed but can never run
-  std::string reason;  ///< one line for the user
+  int status = 400;    ///< HTTP status: 400: malformed; 422: well-formed, but the job can never run
+  std::string reason;  ///< explanation for the user, in one line
 };
 
-/// Reads the fields of a submission into `out`; a rejection leaves `out` partly filled. Names of types, zones
-/// and teams that do not exist are distinguished from malformed input: the former can never run (422), the
-/// latter is 400.
+/// Decodes a submission into `out`. Returns the rejection if it is malformed (400), or names a zone or team
+/// that does not exist or only machine types that do not exist (422); `out` is then partly filled.
 std::optional<Rejection> read_submission(const Json& json, Names& names, JobSpec& out);
-/// Whether an otherwise well-formed job can run at all.
+/// Rejects a well-formed job that can never run with these machine types and team limits; empty if it can.
 std::optional<Rejection> check_runnable(const JobSpec& spec, const Settings& settings,
                                         const std::vector<MachineType>& catalog);
-/// The body that reads back as this job.
+/// Encodes a job such that `read_submission` returns it.
 Json write_submission(const JobSpec& spec, const Names& names);
-/// Names of the machine types that a submission allows, known or not; what is no text is left out.
+/// Names of the machine types that a submission allows, known or not. Items that are not strings are skipped.
 std::vector<std::string> submitted_types(const Json& submission);
 
-/// The answer to a user's status query: counts are of tasks.
+/// Encodes the answer to a user's status query, with the numbers of finished and of running tasks.
 Json job_status(const std::string& ref, const std::string& phase, std::uint32_t done, std::uint32_t running);
 
 }  // namespace oxbowmill::wire
--- a/include/oxbowmill/yaml/map.h
+++ b/include/oxbowmill/yaml/map.h
@@ -1,4 +1,4 @@
-// Settings written by people in YAML: every key is read once, and what is left over is an error.
+// Reads settings in YAML strictly: each key is read once, and a key that remains unread is an error.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -12,47 +12,48 @@
 
 namespace oxbowmill::yaml {
 
-/// "file: key: reason"; without the key where it is empty.
+/// An error message "file: key: reason", or "file: reason" if `key` is empty.
 std::string error_line(const std::string& file, const std::string& key, const std::string& reason);
 
-/// A file cannot be read as YAML, or a key in it is unknown, missing or out of bounds.
+/// A file that cannot be read as YAML, or a key in it that is unknown, missing or invalid.
 class Error : public oxbowmill::Error {
  public:
-  /// `key`: its path in the file; empty: the file as a whole.
+  /// `key` is its path in the file; empty for the file as a whole.
   Error(std::string file, std::string key, std::string reason)
       : oxbowmill::Error(error_line(file, key, reason)),
         file_(std::move(file)),
         key_(std::move(key)),
         reason_(std::move(reason)) {}
-  /// The file as it was named to `load`.
+  /// Path of the file, as passed to `load`.
   const std::string& file() const { return file_; }
-  /// Path of the key, such as "markets.list[1].name"; empty: the file as a whole.
+  /// Path of the key, such as "markets.list[1].name"; empty for the file as a whole.
   const std::string& key() const { return key_; }
-  /// What is wrong, in one line.
+  /// The error, in one line.
   const std::string& reason() const { return reason_; }
 
  private:
   std::string file_, key_, reason_;
 };
 
-/// Throws Error where there is no such file, or no YAML in it.
+/// Loads a file. Throws Error if it cannot be read or is not valid YAML.
 YAML::Node load(const std::string& file);
 
-/// One map of a file, with the keys that have not been read yet. All readers throw Error.
+/// A map in a file, with the keys that have not been read yet. All readers throw Error.
 class Map {
  public:
-  /// `path`: where in the file the map is; empty: the whole file. Throws Error when it is no map.
+  /// `path` is the path of the map in the file; empty for the top level. Throws Error if the node is not a
+  /// map.
   Map(std::string file, std::string path, const YAML::Node& yaml_node);
-  /// Throws an Error on a key of this map.
+  /// Throws an Error about a key of this map.
   [[noreturn]] void fail(const std::string& key, const std::string& reason) const;
-  /// The map that is the value of a key, or an item of such a value.
+  /// The map at a key of this map. `key` may include the index of a list item.
   Map child(const std::string& key, const YAML::Node& yaml_node) const {
     return {file_, path(key), yaml_node};
   }
-  /// The value of a key, which then counts as read; nothing where it is missing.
+  /// Removes a key from the unread keys and returns its value; empty if it is missing.
   std::optional<YAML::Node> take(const std::string& key);
-  /// Reads a key, if it is there, in the way that yaml-cpp reads this type; `wrong` is the reason given
-  /// where it cannot.
+  /// Reads a key with yaml-cpp's conversion to T; leaves `out` unchanged if the key is missing. `wrong` is
+  /// the reason in the error if the conversion fails.
   template <class T>
   Map& get(const std::string& key, T& out, const char* wrong = "not of the right kind") {
     auto yaml_node = take(key);
@@ -64,11 +65,11 @@
     }
     return *this;
   }
-  /// A finite number within bounds, if it is there.
+  /// Reads a finite number from `least` to `most`; leaves `out` unchanged if the key is missing.
   void number(const std::string& key, double& out, double least, double most);
-  /// True or false, if it is there.
+  /// Reads true or false; leaves `out` unchanged if the key is missing.
   void flag(const std::string& key, bool& out) { get(key, out, "not true or false"); }
-  /// Text that must be there and not be empty.
+  /// Reads a text, which must not be missing or empty.
   std::string text(const std::string& key);
   /// Keys that have not been read yet, in alphabetical order.
   std::vector<std::string> keys() const;
--- a/src/config/calendar_section.cpp
+++ b/src/config/calendar_section.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// "06:30" or "06:30:15".
+/// Reads "06:30" or "06:30:15" as seconds since midnight.
 unsigned read_time_of_day(yaml::Map& map, const std::string& key) {
   std::string text = map.text(key);
   std::tm parsed_time{};
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Callers see one type of error, whichever of the files is wrong.
+/// Runs `read` and converts yaml::Error to ConfigError, the only error type that callers see.
 template <class Read>
 auto with_config_errors(const Read& read) {
   try {
--- a/src/config/market_section.cpp
+++ b/src/config/market_section.cpp
@@ -9,7 +9,7 @@
 
 constexpr double day = 86400;
 
-/// An amount of money, which must be above 0; 0 where the key is missing.
+/// Reads an amount of money, which must be above 0. Returns 0 if the key is missing.
 MoneyAmount read_money_amount(yaml::Map& map, const std::string& key) {
   constexpr double most = 1e9;
   auto yaml_node = map.take(key);
@@ -33,7 +33,7 @@
   return ceiling;
 }
 
-/// An address must hold the number of a host, not its name, and a port.
+/// Checks that an address consists of an IPv4 address, not a host name, and a port.
 void check_market_address(const yaml::Map& entry, const std::string& text) {
   try {
     net::Address address = net::parse_address(text);
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Names in the file against the fields of the settings, with the bounds of their values.
+/// The field of the settings that a numeric key sets, and the bounds of its value.
 struct NumberKey {
   double OperatorSettings::*field;
   double min, max;
--- a/src/config/platform_file.cpp
+++ b/src/config/platform_file.cpp
@@ -36,7 +36,7 @@
 }
 
 void read_teams(const TomlTable& table, Config& config) {
-  // The idle pool takes the place of the first partition; teams follow in the file's order.
+  // The idle pool is the first partition. The teams follow in the order of the file.
   config.names.partitions.intern(state::idle_pool_name);
   config.settings.teams.push_back({});
   auto teams = table.tables("teams");
@@ -84,7 +84,8 @@
   }
 }
 
-/// Jobs and notes share the value with the release's terms: half of it is theirs.
+/// A release's spec may fill half of the value of its record. The other half is for the jobs and notes in
+/// the record.
 void check_release_sizes(const release_calendar::ReleaseCalendar& calendar, double max_value_kb) {
   for (const release_calendar::ReleaseSpec& release : calendar.releases) {
     if (static_cast<double>(release_calendar::to_text(release).size()) > max_value_kb * 1024 / 2)
@@ -92,8 +93,8 @@
   }
 }
 
-/// Shortens the controller lease where a cancellation could otherwise miss its deadline; see docs/design.md,
-/// "Time".
+/// Shortens the controller lease if a cancellation could otherwise miss its deadline (docs/design.md,
+/// "Time").
 void limit_controller_lease(const TomlTable& workers, Settings& settings) {
   constexpr double shortest_lease_s = 1;
   double longest_lease_s =
--- a/src/config/sections.h
+++ b/src/config/sections.h
@@ -1,12 +1,12 @@
-// The sections of the settings, one source file each. Each reads all keys of its section and throws
-// ConfigError (platform) or yaml::Error (operators) for what is unknown, missing or out of bounds.
+// Readers of the settings files and of their larger sections, one source file each. Readers of TOML throw
+// ConfigError and readers of YAML yaml::Error if a key is missing or invalid, or unknown in YAML.
 #pragma once
 
 #include "oxbowmill/config/config.h"
 
 namespace oxbowmill::config {
 
-/// Reads the platform's TOML file, and the operators' files once the teams are known, which those name.
+/// Reads the platform's TOML file. Reads the operators' files after the teams, to which those files refer.
 void read_platform_file(const std::string& toml_file, const std::vector<std::string>& yaml_files,
                         Config& config);
 void read_operator_file(const std::string& yaml_file, Config& config);
--- a/src/config/toml_table.h
+++ b/src/config/toml_table.h
@@ -1,4 +1,4 @@
-// Reads the keys of one table of a TOML file; every error names file, key and reason.
+// Reads the keys of a table in a TOML file. Unknown keys are ignored.
 #pragma once
 
 #include <toml++/toml.h>
@@ -10,23 +10,27 @@
 
 namespace oxbowmill::config {
 
-/// All readers throw ConfigError. The parsed file must outlive its tables.
+/// A table in a parsed TOML file, which must outlive it. Unless stated otherwise, readers throw ConfigError
+/// if the key is missing or has the wrong type.
 class TomlTable {
  public:
-  /// `path`: where in the file the table is; empty: the whole file.
+  /// `path` is the path of the table in the file; empty for the top level.
   TomlTable(std::string file, std::string path, const toml::table* table)
       : file_(std::move(file)), path_(std::move(path)), table_(table) {}
 
+  /// Throws a ConfigError about a key of this table.
   [[noreturn]] void fail(const std::string& key, const std::string& reason) const;
   bool has(const char* key) const { return table_->contains(key); }
   std::string text(const char* key) const;
+  /// A finite number of at least `least`.
   double number(const char* key, double least) const;
+  /// Like `number`, but `otherwise` if the key is missing.
   double number_or(const char* key, double least, double otherwise) const;
   net::Address address(const char* key, net::Address (*parse)(const std::string&) = net::parse_address) const;
   TomlTable table(const char* key) const;
-  /// Empty where the key is missing.
+  /// The tables in a list; empty if the key is missing.
   std::vector<TomlTable> tables(const char* key) const;
-  /// A list of at least one text.
+  /// A list of texts, which must not be empty.
   std::vector<std::string> texts(const char* key) const;
 
  private:
--- a/src/net/event_util.h
+++ b/src/net/event_util.h
@@ -1,4 +1,4 @@
-// Conversions between libevent's types and the standard library's.
+// Conversions between types of libevent, the system and the standard library.
 #pragma once
 
 #include <event2/buffer.h>
@@ -17,7 +17,7 @@
   return tv;
 }
 
-/// Takes everything out of a buffer.
+/// Removes the whole content of a buffer and returns it.
 inline std::string read_all(evbuffer* in) {
   std::string body(evbuffer_get_length(in), '\0');
   if (!body.empty()) evbuffer_remove(in, body.data(), body.size());
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -103,7 +103,7 @@
   evhttp_connection_set_timeout_tv(connection.handle.get(), &tv);
   evhttp_request* raw_request = make_request(address_, queued->body, &HttpClient::on_done, queued);
   if (evhttp_make_request(connection.handle.get(), raw_request, queued->method, queued->path.c_str()) != 0) {
-    // evhttp frees the request and does not call back.
+    // In this case, evhttp frees the request without calling on_done.
     auto failed = std::move(connection.request);
     failed->on_response({});
   }
@@ -114,7 +114,7 @@
   if (!queued->on_response) return;  // the client is being destroyed
   HttpClient* client = queued->client;
   auto finished = std::move(queued->connection->request);
-  // Not from inside evhttp's callback: it has not finished with the connection yet.
+  // The next request must not start inside this callback, because evhttp still uses the connection.
   client->dispatch_timer_.schedule(0);
   finished->on_response(read_response(raw_request));
 }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 Responder::~Responder() {
-  // Without this the client would wait until its own time-out.
+  // Without an answer, the client would wait until its own timeout.
   if (raw_request_ != nullptr) reply(HTTP_SERVUNAVAIL, "", unanswered_retry_after_s);
 }
 
@@ -40,7 +40,8 @@
 HttpServer::HttpServer(event_base* base, const Address& bind, std::size_t max_body, Handler handler)
     : handler_(std::move(handler)), address_(bind), http_(evhttp_new(base)) {
   evhttp* http = http_.get();
-  // A body somewhat over the limit is read, so that it gets its 400 instead of a broken connection.
+  // Bodies somewhat over the limit are still read, so that the handler can answer 400. Otherwise the client
+  // would only see a broken connection.
   evhttp_set_max_body_size(http, static_cast<ev_ssize_t>(4 * max_body));
   evhttp_set_max_headers_size(http, max_headers_size);
   evhttp_set_timeout(http, idle_timeout_s);
--- a/src/state/accounting_records.cpp
+++ b/src/state/accounting_records.cpp
@@ -1,5 +1,5 @@
-// Records of what is spent on markets: bids, the ledger, and what is known of each market. Unreadable
-// amounts make the whole record unreadable, so that no money is left out of the sums silently.
+// Encodes and decodes the records of bids, of the ledger and of markets. An unreadable amount by partition
+// makes the whole record unreadable, so that no money is silently left out of the sums.
 #include "record_codecs.h"
 #include "stored_fields.h"
 #include "stored_names.h"
@@ -17,8 +17,8 @@
   return json;
 }
 
-/// Nothing where an amount cannot be read. The amount of a team that is no longer in the settings counts as
-/// the idle pool's.
+/// Empty if the field is missing or an amount cannot be read. The amount of a team that is no longer in the
+/// settings is added to the idle pool's.
 template <class Amount>
 std::optional<std::map<PartitionIndex, Amount>> decode_by_partition(const Json& record, const char* field,
                                                                     const Names& names) {
--- a/src/state/decision_records.cpp
+++ b/src/state/decision_records.cpp
@@ -1,4 +1,4 @@
-// Records of durable decisions (docs/decisions.md).
+// Encodes and decodes the records of durable decisions (docs/decisions.md).
 #include "record_codecs.h"
 #include "stored_fields.h"
 #include "stored_names.h"
--- a/src/state/job_records.cpp
+++ b/src/state/job_records.cpp
@@ -1,4 +1,4 @@
-// Records of jobs and of their chunks of tasks.
+// Encodes and decodes the records of jobs and of their chunks of tasks.
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
@@ -52,8 +52,8 @@
                     row.size() > 4 && row[4].is_number() ? row[4].get<double>() : -1};
 }
 
-/// Checkpoints and run times only improve decisions. A value of the state service is bounded in size, and
-/// placements, which must be stored, take precedence: run times are dropped first, then checkpoints.
+/// Drops run times, then checkpoints, from a value that exceeds the size limit of the state service. Both
+/// only improve decisions, whereas placements must be stored.
 void drop_hints_over_limit(Json& value, const ChunkRecord& record, double max_value_kb) {
   constexpr std::size_t rows_that_surely_fit = 24;
   if (record.placements.size() + record.checkpoints.size() + record.finishes.size() <= rows_that_surely_fit)
@@ -63,7 +63,7 @@
   }
 }
 
-/// The well-formed rows of a list of hints; malformed ones are skipped, since hints are optional.
+/// The rows of a list of checkpoints or run times. Malformed rows are skipped, because both are optional.
 std::vector<const Json*> hint_rows(const Json& value, const char* field, std::size_t least_size) {
   std::vector<const Json*> rows;
   auto list = value.find(field);
@@ -109,7 +109,7 @@
       !submitted_at->is_number()) {
     return std::nullopt;
   }
-  // The catalog may have dropped a type since the job was accepted; the record must still be readable.
+  // Interned first, because the record must stay readable if the catalog no longer has one of its types.
   for (const std::string& type : wire::submitted_types(*submission)) cluster.intern_type(type);
   JobRecord record;
   if (wire::read_submission(*submission, cluster.names, record.spec)) return std::nullopt;
@@ -125,7 +125,7 @@
   Json value = {{stored::chunk::done, to_hex(record.done)},
                 {stored::chunk::restarted, to_hex(record.restarted)},
                 {stored::chunk::placements, std::move(placements)}};
-  // Rounded outwards, so that neither bound gets tighter than what is known.
+  // The bounds are rounded outwards, so that the stored interval still contains the saved progress.
   for (const auto& [task, saved] : record.checkpoints) {
     value[stored::chunk::checkpoints].push_back(
         Json::array({task, std::floor(saved.low), std::floor(saved.likely), std::ceil(saved.high)}));
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -15,7 +15,7 @@
   return std::string(live_prefix) + kind + "/" + name;
 }
 
-/// A live key taken apart: "o/m/host-1" is the machine "host-1".
+/// The parts of a live key: "o/m/host-1" has the kind 'm' and the name "host-1".
 struct LiveKey {
   char kind = 0;
   std::string name;
@@ -29,7 +29,7 @@
   return LiveKey{key[prefix_length], key.substr(name_at)};
 }
 
-/// The name in a chunk's key: "run-1/3".
+/// The parts of the name in a chunk's key: "run-1/3" is chunk 3 of the job "run-1".
 struct ChunkName {
   std::string job;
   std::uint32_t chunk = 0;
@@ -77,7 +77,7 @@
   }
 };
 
-/// Without a value: the removal of the key.
+/// A stored value; null if the key was removed.
 using Value = const Json*;
 
 Change removal_of(Key key) {
@@ -101,7 +101,7 @@
     return job.valid() ? std::optional<Change>(removal_of(JobKey{job})) : std::nullopt;
   }
   auto record = decode_job(*value, cluster);
-  if (!record) return std::nullopt;  // an unreadable record must not add a job to the tables
+  if (!record) return std::nullopt;  // an unreadable record must not add a job to the cluster state
   return change_of(JobKey{cluster.intern_job(ref)}, std::move(record));
 }
 
--- a/src/state/machine_records.cpp
+++ b/src/state/machine_records.cpp
@@ -1,4 +1,5 @@
-// Records of machines, and of the ownership of partitions; live controllers have the latter's form.
+// Encodes and decodes the records of machines and of ownership. A controller's registration has the same form
+// as the ownership of a partition.
 #include "record_codecs.h"
 #include "stored_fields.h"
 #include "stored_names.h"
--- a/src/state/record_codecs.h
+++ b/src/state/record_codecs.h
@@ -1,6 +1,6 @@
-// One encoder and one decoder for each record type, without its key. Decoders return nothing for a record
-// that this version cannot read. They intern the names of types, machines and markets which they meet, also
-// when the record turns out to be unreadable; teams and zones come from the settings and are only looked up.
+// An encoder and a decoder for the value of each record type. Decoders return an empty optional for a record
+// that this version cannot read. They intern the names of machine types, machines and markets, possibly also
+// those in an unreadable record. Partitions and zones come from the settings and are only looked up.
 #pragma once
 
 #include <optional>
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -18,18 +18,17 @@
 constexpr double call_timeout_s = 2.0;
 constexpr double list_timeout_s = 5.0;
 constexpr double lease_timeout_s = 1.5;
-constexpr double watch_timeout_margin_s = 60.0;     // beyond the time for which the service waits
-constexpr double user_queue_timeout_s = 0.8;        // a user's call is given up after waiting so long
+constexpr double watch_timeout_margin_s = 60.0;     // added to the time for which the service holds a watch
+constexpr double user_queue_timeout_s = 0.8;        // longest time that a user's call is queued
 constexpr double limit_check_margin_s = 0.002;      // the timer must not expire just before the limit allows
 constexpr double pause_after_throttled_s = 0.1;     // after 429
 constexpr double pause_after_unavailable_s = 0.25;  // after 503
 constexpr int too_many_requests = 429;
-// An unanswered call occupies its connection until it times out. With six connections a share of unanswered
-// transactions, or a slow service, delayed everything else: polls, placements and the transactions' own
-// repetitions.
+// An unanswered call occupies its connection until it times out. With only six connections, unanswered
+// transactions or a slow service delay all other calls: status queries, placements and retries.
 constexpr std::size_t connections = 32;
-// The load is uneven across the controllers, so that together they may exceed the limits; the service's 429
-// corrects that.
+// Shares of the service's limits that a controller uses. Load is uneven across controllers, so the shares of
+// several controllers may exceed the limits together. The service then responds with 429, which pauses them.
 constexpr double share_of_single_controller = 0.9;
 constexpr double share_of_limits = 0.7;
 
@@ -37,7 +36,7 @@
   return std::string(path::leases) + "/" + std::to_string(id);
 }
 
-/// A body that is no CBOR map makes the whole response count as none.
+/// Treats a response whose body is not a CBOR map as no response.
 StoreResponse read_response(const net::Response& http_response, const std::string& path, double sent_at) {
   StoreResponse response;
   response.status = http_response.status;
@@ -86,7 +85,8 @@
 }
 
 void Store::drop_stale_user_calls(double now) {
-  // The user would wait in vain and occupy a connection; the client is told at once to try again.
+  // Waiting longer would be in vain and would keep the user's connection occupied. The handler is called
+  // without a response, so that the client is told to retry at once.
   Queue& queue = queues_[static_cast<std::size_t>(Urgency::user)];
   while (!queue.empty() && now - queue.front().queued_at > user_queue_timeout_s) {
     StoreResponseHandler on_response = std::move(queue.front().on_response);
@@ -111,12 +111,12 @@
   }
   for (Queue& queue : queues_) {
     while (!queue.empty()) {
-      // Calls wait here in order of urgency; those that wait for a connection are no longer reordered.
+      // Calls wait here and not in the HTTP client, whose queue is not ordered by urgency.
       if (client_.all_busy()) return;
       NextCall next = next_call(queue, now);
       if (next.wait_s > 0) {
         if (!dispatch_timer_.pending()) dispatch_timer_.schedule(next.wait_s + limit_check_margin_s);
-        // Less urgent calls must not overtake by being smaller.
+        // A less urgent call must not overtake because it contains fewer changes.
         return;
       }
       Call call = std::move(*next.call);
@@ -132,8 +132,8 @@
   NextCall next{queue.begin(), request_limit_.wait_for(1, now)};
   double wait_for_changes = next.call->changes > 0 ? change_limit_.wait_for(next.call->changes, now) : 0;
   if (next.wait_s > 0 || wait_for_changes <= 0) return next;
-  // A read does not wait for the limit on changes: behind a burst of submissions, polls of finished jobs
-  // were refused after waiting, while others were answered from the replica.
+  // A read does not wait for the limit on changes. Otherwise a burst of submissions would let status queries
+  // of finished jobs, which the replica cannot answer, time out in the queue.
   next.call = std::find_if(queue.begin(), queue.end(), [](const Call& call) { return call.changes == 0; });
   if (next.call == queue.end()) next.wait_s = wait_for_changes;
   return next;
--- a/src/state/stored_fields.h
+++ b/src/state/stored_fields.h
@@ -1,5 +1,5 @@
-// Reading single fields of stored records. A field that is missing or of another type reads as empty or 0,
-// except where the function says otherwise.
+// Reads single fields of stored records. A field that is missing or has another type is read as an empty
+// string or 0, unless the function says otherwise.
 #pragma once
 
 #include <initializer_list>
@@ -12,7 +12,8 @@
 std::string read_string(const wire::Json& record, const char* field);
 double read_number(const wire::Json& record, const char* field);
 std::uint64_t read_integer(const wire::Json& record, const char* field);
-/// Reads a list of exactly as many numbers as there are outputs; false where it is none.
+/// Reads a list of numbers into `outputs`. Returns false if the field is not a list of exactly as many
+/// numbers; earlier outputs may then have been set.
 [[nodiscard]] bool read_numbers(const wire::Json& record, const char* field,
                                 std::initializer_list<double*> outputs);
 
--- a/src/state/stored_names.h
+++ b/src/state/stored_names.h
@@ -1,11 +1,10 @@
-// Every name that the state service stores: kinds of keys and the fields of the records, one table for each
-// record type. Clusters hold data under these names, so they are fixed for good; the code's own terms stand
-// on the left.
+// Names of all kinds of keys and all record fields in the state service, one namespace per record type.
+// Existing clusters hold data under these names, so the strings must never change.
 #pragma once
 
 namespace oxbowmill::state::stored {
 
-/// The letter between the live prefix and the name in a live key.
+/// The letter between the prefix and the name in a live key.
 namespace kind {
 constexpr char job = 'j';
 constexpr char chunk = 'c';
@@ -22,7 +21,7 @@
 constexpr const char* ledger_name = "ledger";
 
 namespace job {
-constexpr const char* spec = "s";  // a submission as on the wire
+constexpr const char* spec = "s";  // encoded like a submission on the wire
 constexpr const char* phase = "p";
 constexpr const char* submitted_at = "at";
 }  // namespace job
@@ -30,9 +29,9 @@
 namespace chunk {
 constexpr const char* done = "d";         // 64 bits in hexadecimal
 constexpr const char* restarted = "r";    // 64 bits in hexadecimal
-constexpr const char* placements = "a";   // [task, machine, attempt, restarting, placed after (optional)]
+constexpr const char* placements = "a";   // [task, machine, attempt, restarting, placed_after_s (optional)]
 constexpr const char* checkpoints = "s";  // [task, low, likely, high]
-constexpr const char* finishes = "t";     // [task, run time, finished at]
+constexpr const char* finishes = "t";     // [task, run_s, finished_at_s]
 }  // namespace chunk
 
 namespace machine {
@@ -70,7 +69,7 @@
 }  // namespace ledger
 
 namespace market {
-constexpr const char* suspension_reason = "shut";  // present: suspended
+constexpr const char* suspension_reason = "shut";  // present if the market is suspended
 constexpr const char* deliveries = "kept";         // [delivered, undelivered]
 constexpr const char* delay = "delay";             // [weight, mean, m2]
 constexpr const char* drift = "drift";             // [weight, mean, m2]
--- a/src/wire/agent_codec.cpp
+++ b/src/wire/agent_codec.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 namespace field {
-// Of reports.
+// Fields of reports.
 constexpr const char* machine = "host";
 constexpr const char* agent_epoch = "tenure";
 constexpr const char* report_sequence = "serial";
 constexpr const char* fencing_token = "warrant";
 constexpr const char* preemption_notice_s = "recall_s";
 constexpr const char* tasks = "shards";
-// Of tasks, in reports and commands.
+// Fields of tasks, in reports and commands.
 constexpr const char* task = "shard";
 constexpr const char* attempt = "try";
 constexpr const char* cause = "cause";
 constexpr const char* checkpoint_saved = "stored";
-// Of answers and commands.
+// Fields of answers and commands.
 constexpr const char* owner = "foreman";
 constexpr const char* commands = "orders";
 constexpr const char* command_kind = "verb";
@@ -51,9 +51,9 @@
   TaskNumber task = 0;
 };
 
-/// "run-000412/3": job and task number.
+/// Parses a task id: "run-000412/3" is task 3 of the job "run-000412".
 std::optional<NamedTask> read_task_id(const std::string& text) {
-  constexpr std::size_t max_digits = 9;  // any such number fits into a TaskNumber
+  constexpr std::size_t max_digits = 9;  // every number of 9 digits fits into a TaskNumber
   std::size_t slash = text.rfind('/');
   if (slash == std::string::npos || slash + 1 == text.size() || text.size() - slash > max_digits + 1)
     return std::nullopt;
@@ -70,7 +70,7 @@
   return job + "/" + std::to_string(task);
 }
 
-/// A cause that this version does not know still says that the task has ended.
+/// An unknown cause is read as an error, because the task has ended in any case.
 EndCause read_end_cause(FieldReader& fields) {
   std::string name = fields.has(field::cause) ? fields.text(field::cause) : std::string();
   return value_of(end_causes, name).value_or(EndCause::error);
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 namespace field {
-// Of the catalog.
+// Fields of the catalog.
 constexpr const char* type_name = "sku";
 constexpr const char* cache_gb = "cache_gb";
 constexpr const char* fetch_gb_per_s = "fetch_gb_per_s";
 constexpr const char* price = "rate";
 constexpr const char* spot_price = "low_price";
 constexpr const char* boot_s = "ready_s";
-// Of requests for machines.
+// Fields of requests for machines.
 constexpr const char* request_id = "hire";
-// Of the list of machines.
+// Fields of the list of machines.
 constexpr const char* machine_name = "ref";
 constexpr const char* age_s = "age_s";
 constexpr const char* has_more = "truncated";
--- a/src/wire/field_reader.h
+++ b/src/wire/field_reader.h
@@ -1,5 +1,5 @@
-// Reads typed fields of one map and remembers the first that is missing or malformed, so that a reader can
-// take all fields and check once.
+// Reads typed fields of a map and records the first one that is missing or malformed, so that a decoder can
+// read all fields and check for errors once.
 #pragma once
 
 #include <cstddef>
@@ -17,19 +17,20 @@
   /// `json` must outlive the reader.
   explicit FieldReader(const Json& json) : json_(json) {}
   [[nodiscard]] bool ok() const { return invalid_field_.empty(); }
-  /// The first field that failed; empty: none.
+  /// The first missing or malformed field; empty if there is none.
   const std::string& invalid_field() const { return invalid_field_; }
 
-  /// Text of 1 to max_name_length bytes; empty when it fails.
+  /// A string of 1 to max_name_length bytes; empty on failure.
   std::string text(const char* field);
   bool flag(const char* field);
-  /// A finite number from 0 to 1e12.
+  /// A finite number from 0 to 1e12; 0 on failure.
   double amount(const char* field);
-  /// A whole number of at least 0.
+  /// An integer of at least 0; 0 on failure.
   std::uint64_t count(const char* field);
-  /// The field as it is; nullptr where it is missing or null.
+  /// The field without a check of its type; nullptr if it is missing or null.
   const Json* optional(const char* field) const;
   bool has(const char* field) const { return optional(field) != nullptr; }
+  /// Records a field as malformed.
   void fail(const char* field);
 
  private:
--- a/src/wire/market_codec.cpp
+++ b/src/wire/market_codec.cpp
@@ -26,14 +26,14 @@
 }  // namespace path
 
 namespace field {
-// Of quotes and the request for them.
+// Fields of quotes and of requests for them.
 constexpr const char* wanted_kinds = "wants";
 constexpr const char* quotes = "quotes";
 constexpr const char* quote_id = "quote";
 constexpr const char* rate = "rate";
 constexpr const char* valid_ms = "valid_ms";
 constexpr const char* deliver_s = "deliver_s";
-// Of bids.
+// Fields of bids.
 constexpr const char* bid = "bid";
 constexpr const char* price_limit = "limit";
 constexpr const char* max_paid_s = "term_s";
@@ -42,7 +42,7 @@
 constexpr const char* round = "round";
 constexpr const char* expected_machines = "expects";
 constexpr const char* machine = "host";
-// Of returned machines and of charges.
+// Fields of returned machines and of charges.
 constexpr const char* returned_machines = "returned";
 constexpr const char* charges = "charges";
 constexpr const char* charge_number = "no";
@@ -53,7 +53,7 @@
     {"open", AuctionPhase::open}, {"raised", AuctionPhase::raised},       {"won", AuctionPhase::won},
     {"lost", AuctionPhase::lost}, {"withdrawn", AuctionPhase::withdrawn}, {"closed", AuctionPhase::closed}};
 
-// What is beyond these is implausible.
+// Higher values in a message from a market are implausible.
 constexpr double max_duration_s = 7 * 86400.0;
 constexpr double max_amount = 1e9;
 constexpr std::uint64_t max_machines = 100'000;
@@ -89,7 +89,7 @@
   return json.contains(key) && !json[key].is_null();
 }
 
-/// Nothing when it is no list, or one that is longer than plausible.
+/// The list, or nullptr if the field is not a list or has an implausible number of items.
 const Json* read_list_field(const Json& json, const char* key, std::size_t most) {
   auto it = json.find(key);
   return it != json.end() && it->is_array() && it->size() <= most ? &*it : nullptr;
@@ -101,7 +101,7 @@
           {shared::spot, kind.spot}};
 }
 
-/// Types and zones that are not known here stay invalid.
+/// An unknown type or zone gives an invalid index.
 std::optional<MachineKind> read_kind(const Json& json, const Names& names) {
   auto type = read_name(json, shared::machine_type), zone = read_name(json, shared::zone);
   auto spot = json.find(shared::spot);
@@ -109,7 +109,7 @@
   return MachineKind{names.types.find(*type), names.zones.find(*zone), spot->get<bool>()};
 }
 
-/// Nothing for an implausible quote.
+/// Empty if the quote is malformed or implausible.
 std::optional<market::QuoteUpdate> read_quote(const Json& json, const Names& names) {
   auto id = read_name(json, field::quote_id);
   auto kind = read_kind(json, names);
@@ -230,7 +230,7 @@
   }
 }
 
-/// False where the body is not what the call must be answered with.
+/// Returns false if the body is not a valid answer to the call.
 bool read_body(const market::Call& call, const Json& body, const Names& names, Answer& out) {
   switch (call.kind) {
     case CallKind::quotes:
@@ -294,7 +294,7 @@
   Json json = Json::from_cbor(body, true, false);
   if (!json.is_object()) return answer;
   if (!read_body(call, json, names, answer)) {
-    // What was read before the malformed field must not be used either.
+    // The content that was read before the malformed field must not be used either.
     answer = Answer{};
     answer.kind = AnswerKind::malformed;
     return answer;
--- a/src/wire/name_table.h
+++ b/src/wire/name_table.h
@@ -1,4 +1,4 @@
-// Tables that pair an enumerator with its name on the wire.
+// Tables of enumerators and their names on the wire.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
   Enum value;
 };
 
-/// Nothing for a name that is not in the table.
+/// Empty if the name is not in the table.
 template <class Enum, std::size_t Size>
 std::optional<Enum> value_of(const WireName<Enum> (&table)[Size], const std::string& name) {
   for (const auto& entry : table) {
@@ -22,6 +22,7 @@
   return std::nullopt;
 }
 
+/// Empty if the enumerator is not in the table.
 template <class Enum, std::size_t Size>
 const char* name_on_wire(const WireName<Enum> (&table)[Size], Enum value) {
   for (const auto& entry : table) {
--- a/src/wire/shared_names.h
+++ b/src/wire/shared_names.h
@@ -1,4 +1,4 @@
-// Names of fields that several speakers use with one meaning.
+// Names of fields that messages of several protocols use with the same meaning.
 #pragma once
 
 namespace oxbowmill::wire::shared {
--- a/src/wire/submission_codec.cpp
+++ b/src/wire/submission_codec.cpp
@@ -29,7 +29,7 @@
 constexpr const char* checkpoint_interval_s = "save_every_s";
 constexpr const char* flush_s = "flush_s";
 constexpr const char* deadline_s = "due_s";
-// Of the answer to a status query.
+// Fields of the answer to a status query.
 constexpr const char* done = "done";
 constexpr const char* running = "running";
 }  // namespace field
@@ -42,11 +42,11 @@
                                              {"standard", Priority::normal},
                                              {"best_effort", Priority::low}};
 
-/// What a submission names, before the names are looked up.
+/// Names in a submission that have not been looked up yet.
 struct SubmittedNames {
   std::string job_class, partition, image;
-  std::string zone;             // empty: any
-  const Json* types = nullptr;  // null: any
+  std::string zone;             // empty: any zone
+  const Json* types = nullptr;  // null: any type
 };
 
 bool is_type_list(const Json& types) {
@@ -56,7 +56,7 @@
          });
 }
 
-/// Reads all fields in the order in which the first malformed one is reported.
+/// Reads all fields. A rejection reports the first malformed one in the order of this function.
 SubmittedNames read_fields(FieldReader& fields, JobSpec& out) {
   SubmittedNames submitted;
   out.ref = fields.text(field::ref);
@@ -125,7 +125,7 @@
                                         const std::vector<MachineType>& catalog) {
   if (!can_ever_run(spec, catalog)) return Rejection{422, "a task fits no allowed machine type or zone"};
   const Resources& limit = settings.teams[spec.partition.value].limit;
-  // An array's tasks may run one after another; the others need all of theirs at once.
+  // The tasks of an array may run one after another; other shapes need all their tasks at once.
   double simultaneous_tasks = spec.shape == JobShape::array ? 1 : spec.tasks;
   auto exceeds = [simultaneous_tasks](double most, double per_task) {
     return most > 0 && simultaneous_tasks * per_task > most + resource_tolerance;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// Names on the wire, validation, and what malformed input is decoded to.
+// Tests of the codecs of messages and records: validation, round trips and malformed input.
 #include "oxbowmill/wire/codec.h"
 
 #include <gtest/gtest.h>
@@ -24,8 +24,8 @@
 TEST(Codec, SubmissionFieldsAreValidated) {
   struct Case {
     const char* field;
-    Json value;  // discarded: the field is missing
-    int status;  // 0: accepted
+    Json value;  // discarded: the field is removed
+    int status;  // expected HTTP status of the rejection; 0: accepted
   };
   const Json missing(Json::value_t::discarded);
   const Case cases[] = {
@@ -250,7 +250,7 @@
 }
 
 TEST(PeerStatus, VersionsAreCompatible) {
-  // Recorded from the version before reconciliations and suspected machines were sent: {node, revision,
+  // Recorded from the version that did not yet send reconciliations and suspected machines: {node, revision,
   // state_ok, dark}.
   const std::string earlier(
       "\x84\xa4node\xa2n1\xa8revision\x2a\xa8state_ok\xc3\xa4"
@@ -262,7 +262,8 @@
   EXPECT_EQ(peer_update->revision, 42U);
   EXPECT_TRUE(peer_update->reconciliations.empty());
   EXPECT_TRUE(peer_update->suspected_machines.empty());
-  // A later version may encode its hints differently: they are dropped, the rest is used.
+  // A later version may encode the optional fields differently. They are dropped and the other fields are
+  // used.
   std::string later = earlier;
   later[0] = '\x86';
   later += std::string("\xa6starts\xa1x\xa8suspects\x07", 19);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// Settings: what is accepted, and what is rejected with file, key and reason.
+// Tests of the settings files: accepted values, and the errors of rejected ones with file, key and reason.
 #include "oxbowmill/config/config.h"
 
 #include <gtest/gtest.h>
@@ -99,7 +99,7 @@
   auto c = config::load(write("good.toml", valid_toml),
                         {DEPLOY_DIR "/operator.yaml", DEPLOY_DIR "/recovery.yaml"});
   EXPECT_TRUE(c.recovery.enabled);
-  // The file states the defaults.
+  // The shipped file contains the defaults.
   reconciliation::Settings defaults;
   EXPECT_EQ(c.recovery.reported_fraction, defaults.reported_fraction);
   EXPECT_EQ(c.recovery.sufficient_fraction, defaults.sufficient_fraction);
@@ -161,7 +161,7 @@
 TEST_F(Config, OperatorFileIsParsedStrictly) {
   struct Case {
     const char* text;
-    const char* error;  // empty: accepted
+    const char* error;  // expected part of the error; empty: accepted
   };
   const Case cases[] = {
       {"", ""},
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,6 +1,7 @@
-// What others read or have stored must not change when the code's identifiers do. Each test encodes fixed
-// data as `name: bytes` lines and compares them with a file of tests/golden byte for byte.
-// OXBOWMILL_WRITE_GOLDEN=1 rewrites those files; input_*, service.toml and operator.yaml are written by hand.
+// Guards against a change of the encodings on the wire, of stored data, of settings or of program arguments,
+// for example through a renamed identifier. Tests of encoders compare `name: bytes` lines of fixed data with
+// a file in tests/golden, byte for byte. OXBOWMILL_WRITE_GOLDEN=1 rewrites those files; input_*, service.toml
+// and operator.yaml are written by hand.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -25,7 +26,7 @@
   return std::string(GOLDEN_DIR) + "/" + file;
 }
 
-/// Absent if there is no such file.
+/// Empty if the file cannot be opened.
 std::optional<std::string> read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) return std::nullopt;
@@ -45,15 +46,16 @@
   return out;
 }
 
-/// `name: bytes` lines, in the order in which they were added.
+/// Collects `name: bytes` lines and compares them with a golden file.
 class GoldenLines {
  public:
   void add(const std::string& name, const std::string& bytes) { text_ += name + ": " + bytes + "\n"; }
-  /// A body as readable text, and as it is sent.
+  /// Adds a message body as JSON and as CBOR bytes.
   void add_body(const std::string& name, const Json& body) {
     add(name, body.dump());
     add(name + " cbor", hex(wire::encode(body)));
   }
+  /// Compares the lines with a golden file, after rewriting it if OXBOWMILL_WRITE_GOLDEN is 1.
   void expect_same(const std::string& file) const {
     const char* rewrite = std::getenv("OXBOWMILL_WRITE_GOLDEN");
     if (rewrite != nullptr && rewrite == std::string("1")) {
@@ -69,7 +71,7 @@
   std::string text_;
 };
 
-/// The hand-written inputs of a file, by name: one `name: JSON` per line.
+/// Reads a file of hand-written inputs with one `name: JSON` per line.
 std::vector<std::pair<std::string, Json>> read_inputs(const std::string& file) {
   std::vector<std::pair<std::string, Json>> inputs;
   std::ifstream in(golden_path(file));
@@ -108,14 +110,14 @@
   return spec;
 }
 
-/// Only the required fields of a submission.
+/// A job with only the required fields of a submission.
 JobSpec bare_job() {
   JobSpec spec = simulation::test_job("run-2", 1);
   spec.submitted_at = 1700000001;
   return spec;
 }
 
-/// Name tables that contain the jobs, machines and markets which the records refer to.
+/// A cluster state with the jobs, the machine and the market to which the records refer.
 struct Tables {
   Tables() : model(simulation::test_settings("node-0"), simulation::test_names()) {
     for (const JobSpec& spec : {full_job(), bare_job()}) {
@@ -131,7 +133,7 @@
   JobIndex job;
 };
 
-/// Key and value, and the value that the decoded record is encoded to again.
+/// Adds the key and value of a record, and expects that decoding and encoding them again changes nothing.
 void add_record(GoldenLines& lines, Tables& tables, const std::string& name, const Change& change) {
   std::string key = state::encode_key(change.key, tables.model);
   Json value = state::encode_value(change, tables.model);
@@ -297,7 +299,7 @@
   for (const decisions::DecisionKind* kind :
        {&release_calendar::spec_kind(), &release_calendar::decision_kind(), &serving::decision_kind()})
     add_kind(lines, *kind);
-  // Names of the notes and counts in the records that controllers write.
+  // The names of the notes and counts come from records that a controller writes.
   simulation::SimulatedCluster cluster(1);
   cluster.controller(0).enable_decisions(one_release(), one_model());
   cluster.add_machine("m1");
@@ -436,7 +438,7 @@
       {TaskPhase::ended, EndCause::no_capacity},
       {TaskPhase::ended, EndCause::attempt_conflict},
       {TaskPhase::ended, EndCause::unknown_task},
-      {TaskPhase::ended, EndCause::error},  // an unknown cause
+      {TaskPhase::ended, EndCause::error},  // unknown cause
   };
   ASSERT_EQ(full->tasks.size(), expected.size());
   for (std::size_t i = 0; i < expected.size(); ++i) {
@@ -578,7 +580,7 @@
   service::PeerUpdate full{"node-1", 1ULL << 40, true, {"a", "b"}, {{"red", 7, 2, 9, 3}}, {"host-1"}};
   lines.add("full", hex(service::encode(full)));
   lines.add("bare", hex(service::encode({"node-1", 0, false, {}, {}, {}})));
-  // As an older version sends it: a map of node, revision and state_ok.
+  // Message of an older version: a map of node, revision and state_ok.
   const std::string old = "\x83\xa4node\xa6node-1\xa8revision\x05\xa8state_ok\xc3";
   auto read = service::decode_peer_update(old);
   ASSERT_TRUE(read);
@@ -708,7 +710,7 @@
   EXPECT_FALSE(r.delete_suspects);
 }
 
-/// The error of loading the operators' settings with one more line in them, without the file's path.
+/// The error of loading `text` as the operators' file, without the path of the file; empty: no error.
 std::string operator_error(const std::string& text) {
   std::string path = ::testing::TempDir() + "oxbowmill-golden-" + std::to_string(::getpid()) + ".yaml";
   std::ofstream(path) << text;
@@ -723,7 +725,7 @@
 }
 
 TEST(Golden, UnknownOperatorSettingsAreNamed) {
-  // Before each line of the file that has a plain key, an unknown key is added to the same map.
+  // Inserts an unknown key before each line that starts with a key, with the same indentation.
   GoldenLines lines;
   const std::string text = read_file(golden_path("operator.yaml")).value_or("");
   ASSERT_EQ(operator_error(text), "");
@@ -741,7 +743,7 @@
   lines.expect_same("unknown_settings.txt");
 }
 
-/// Names of the options, arguments and commands that a help text lists, with their environment variables.
+/// Names of the options, arguments and commands in a program's help text, with their environment variables.
 std::vector<std::string> help_names(const std::string& command) {
   std::vector<std::string> names;
   FILE* pipe = ::popen((command + " --help 2>&1").c_str(), "r");
@@ -774,7 +776,7 @@
 TEST(Golden, ProgramArguments) {
   GoldenLines lines;
   add_help(lines, CONTROLLER_PROGRAM, "oxbowmill", {});
-  // Defaults from the environment must not matter.
+  // The help text must not show defaults from the environment.
   add_help(lines, std::string("env -u OXBOW_CONFIG -u OXBOW_NODES -u OXBOW_TEAM ") + CLIENT_PROGRAM,
            "oxbowctl", {"submit", "status", "wait", "withdraw"});
   add_help(lines, SIMULATION_PROGRAM, "oxbowmill-sim",
--- a/tests/state_service_client_test.cpp
+++ b/tests/state_service_client_test.cpp
@@ -1,4 +1,4 @@
-// The client of the state service when that service does not respond.
+// Tests of the client of the state service against a server that accepts connections and never responds.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -32,14 +32,15 @@
 };
 
 TEST(StateServiceClient, RequestsDoNotQueueBehindTimeoutsOfASilentService) {
-  // Requests once queued behind each other's timeouts until their users gave up.
+  // Guards against a queue in which each request waits for the timeouts of those before it, until its user
+  // gives up.
   SilentServer mute;
   auto base = net::make_event_base();
   double now = 100;
   Settings settings;
   state::Store store(base.get(), {"127.0.0.1", mute.port}, settings, [&now] { return now; });
   int given_up = 0, placements = 0;
-  constexpr int calls = 60;  // more than there are connections
+  constexpr int calls = 60;  // more calls than connections
   for (int i = 0; i < calls; ++i) {
     store.get("o/j/run-" + std::to_string(i), Urgency::user, [&given_up](const state::StoreResponse& a) {
       EXPECT_EQ(a.status, 0);
@@ -50,13 +51,13 @@
                [&placements](const state::StoreResponse&) { ++placements; });
   EXPECT_EQ(given_up, 0);
   EXPECT_EQ(store.unresponsive_for(), 0);
-  std::size_t out = calls + 1 - store.backlog();  // in flight; they have their own timeout
+  std::size_t out = calls + 1 - store.backlog();  // calls in flight, which end by their own timeout
   ASSERT_LT(out, static_cast<std::size_t>(calls));
   now += 1;
   EXPECT_GE(store.unresponsive_for(), 0.9);
   store.get("o/j/run-60", Urgency::user, [](const state::StoreResponse&) {});
   EXPECT_EQ(given_up, calls - static_cast<int>(out));
-  EXPECT_EQ(placements, 0);  // only users' requests are refused for a later retry
+  EXPECT_EQ(placements, 0);  // only users' requests are dropped from the queue
 }
 
 TEST(StateServiceClient, ReadsDoNotWaitBehindSubmissionWrites) {
@@ -72,7 +73,7 @@
   ASSERT_GT(waiting, 5U) << "the write limit holds changes back";
   store.get("f/run-2", Urgency::user, [](const state::StoreResponse&) {});
   EXPECT_EQ(store.backlog(), waiting) << "the read was sent at once";
-  // A more urgent write, however, does not make way for a read.
+  // A read must not overtake a more urgent write.
   store.commit(submission, Urgency::ownership, [](const state::StoreResponse&) {});
   store.get("f/run-3", Urgency::user, [](const state::StoreResponse&) {});
   EXPECT_EQ(store.backlog(), waiting + 2)
