--- a/include/oxbowmill/config/config.h
+++ b/include/oxbowmill/config/config.h
@@ -66,7 +66,7 @@
 Config load(const std::string& toml_file, const std::vector<std::string>& yaml_files);
 /// Reads an operators' file into `config`, whose `names` must contain the teams that the file refers to.
 /// Throws ConfigError; `config` is then partly changed.
-void load_operator(const std::string& yaml_file, Config& config);
+void load_operator_file(const std::string& yaml_file, Config& config);
 /// Reads only the calendar from the operators' files; empty if no file has one. Throws ConfigError.
 release_calendar::ReleaseCalendar load_calendar(const std::vector<std::string>& yaml_files);
 
--- a/include/oxbowmill/state/store.h
+++ b/include/oxbowmill/state/store.h
@@ -75,14 +75,14 @@
     double wait_s = 0;
   };
   static constexpr std::size_t urgency_count = static_cast<std::size_t>(Urgency::other) + 1;
-  void drop_stale_user_calls(double now);
+  void drop_expired_user_calls(double now);
   void enqueue(Urgency urgency, Call call);
   void dispatch();
   NextCall next_call(Queue& queue, double now);
   void send(net::HttpClient& client, Call call);
   void send_lease_call(evhttp_cmd_type method, std::string path, std::string body,
                        StoreResponseHandler on_response);
-  void note_response(int http_status, int status);
+  void record_response(int http_status, int status);
   std::function<double()> clock_;
   const Settings& settings_;
   net::HttpClient client_, lease_client_, watch_client_;
--- a/include/oxbowmill/wire/cloud_codec.h
+++ b/include/oxbowmill/wire/cloud_codec.h
@@ -24,18 +24,18 @@
 /// Encodes a catalog such that `read_catalog` returns it.
 Json write_catalog(const std::vector<CatalogEntry>& entries);
 /// Encodes a request for new machines.
-Json write_scale_out(const ScaleOutRequest& request, const Names& names);
+Json write_scale_out_request(const ScaleOutRequest& request, const Names& names);
 /// Decodes the answer to a request for new machines: the names of the machines that it grants.
-std::optional<std::vector<std::string>> read_hosts(const Json& json);
+std::optional<std::vector<std::string>> read_granted_machines(const Json& json);
 /// Encodes a request to delete machines.
-Json write_delete(const std::vector<std::string>& names);
+Json write_delete_request(const std::vector<std::string>& names);
 
 /// One page of the list of all machines.
-struct ListPage {
+struct MachineListPage {
   std::vector<ListedMachine> machines;  ///< machines in the cloud's order
   bool has_more = false;                ///< whether further machines follow on the next page
 };
 /// Decodes a page of the cloud's list of machines.
-std::optional<ListPage> read_list(const Json& json);
+std::optional<MachineListPage> read_machine_list(const Json& json);
 
 }  // namespace oxbowmill::wire
--- a/include/oxbowmill/yaml/map.h
+++ b/include/oxbowmill/yaml/map.h
@@ -52,21 +52,21 @@
   }
   /// Removes a key from the unread keys and returns its value; empty if it is missing.
   std::optional<YAML::Node> take(const std::string& key);
-  /// Reads a key with yaml-cpp's conversion to T; leaves `out` unchanged if the key is missing. `wrong` is
-  /// the reason in the error if the conversion fails.
+  /// Reads a key with yaml-cpp's conversion to T; leaves `out` unchanged if the key is missing. `type_error`
+  /// is the reason in the error if the conversion fails.
   template <class T>
-  Map& get(const std::string& key, T& out, const char* wrong = "not of the right kind") {
+  Map& get(const std::string& key, T& out, const char* type_error = "wrong type of value") {
     auto yaml_node = take(key);
     if (!yaml_node) return *this;
     try {
       out = yaml_node->as<T>();
     } catch (const YAML::Exception&) {
-      fail(key, wrong);
+      fail(key, type_error);
     }
     return *this;
   }
-  /// Reads a finite number from `least` to `most`; leaves `out` unchanged if the key is missing.
-  void number(const std::string& key, double& out, double least, double most);
+  /// Reads a finite number from `min_value` to `max_value`; leaves `out` unchanged if the key is missing.
+  void number(const std::string& key, double& out, double min_value, double max_value);
   /// Reads true or false; leaves `out` unchanged if the key is missing.
   void flag(const std::string& key, bool& out) { get(key, out, "not true or false"); }
   /// Reads a text, which must not be missing or empty.
--- a/src/config/calendar_section.cpp
+++ b/src/config/calendar_section.cpp
@@ -17,7 +17,7 @@
     if (end != nullptr && *end == 0)
       return static_cast<unsigned>(parsed_time.tm_hour * 3600 + parsed_time.tm_min * 60 + parsed_time.tm_sec);
   }
-  map.fail(key, "not a time of day");
+  map.fail(key, "not a time of day, HH:MM or HH:MM:SS");
 }
 
 release_calendar::ScheduledTime read_publish_time(yaml::Map map) {
@@ -28,17 +28,17 @@
   std::vector<std::string> weekly, holidays;
   map.get("weekly", weekly).get("date", schedule.date).get("holidays", holidays);
   for (const std::string& day : weekly) {
-    auto at = std::find(days.begin(), days.end(), day);
-    if (at == days.end()) map.fail("weekly", "not a day of the week: " + day);
-    schedule.weekdays.push_back(static_cast<unsigned>(at - days.begin()));
+    auto day_position = std::find(days.begin(), days.end(), day);
+    if (day_position == days.end()) map.fail("weekly", "not a day of the week: " + day);
+    schedule.weekdays.push_back(static_cast<unsigned>(day_position - days.begin()));
   }
   schedule.excluded_dates.insert(holidays.begin(), holidays.end());
   map.number("window_s", schedule.window_s, 0, 7 * 86400);
   map.reject_unknown_keys();
-  if (std::string fault = release_calendar::validation_error(schedule); !fault.empty()) {
-    std::size_t colon = fault.find(": ");
-    if (colon == std::string::npos) map.fail("weekly", fault);
-    map.fail(fault.substr(0, colon), fault.substr(colon + 2));
+  if (std::string error_text = release_calendar::validation_error(schedule); !error_text.empty()) {
+    std::size_t colon = error_text.find(": ");
+    if (colon == std::string::npos) map.fail("weekly", error_text);
+    map.fail(error_text.substr(0, colon), error_text.substr(colon + 2));
   }
   return schedule;
 }
@@ -63,8 +63,8 @@
   edition.name = name;
   auto renders = entry.take("render");
   if (!renders || !renders->IsSequence()) entry.fail("render", "missing or not a list");
-  for (std::size_t k = 0; k < renders->size(); ++k)
-    edition.render_jobs.push_back(read_matcher(entry, "render[" + std::to_string(k) + "]", (*renders)[k]));
+  for (std::size_t i = 0; i < renders->size(); ++i)
+    edition.render_jobs.push_back(read_matcher(entry, "render[" + std::to_string(i) + "]", (*renders)[i]));
   auto publish = entry.take("publish");
   if (!publish) entry.fail("publish", "missing");
   edition.publish_job = read_matcher(entry, "publish", *publish);
@@ -90,9 +90,9 @@
   release.editions = read_editions(entry);
   if (auto when = entry.take("when")) release.publish_time = read_publish_time(entry.child("when", *when));
   entry.reject_unknown_keys();
-  if (std::string fault = release_calendar::validation_error(release); !fault.empty()) {
-    std::size_t colon = fault.find(": ");
-    entry.fail(fault.substr(0, colon), fault.substr(colon + 2));
+  if (std::string error_text = release_calendar::validation_error(release); !error_text.empty()) {
+    std::size_t colon = error_text.find(": ");
+    entry.fail(error_text.substr(0, colon), error_text.substr(colon + 2));
   }
   return release;
 }
@@ -103,16 +103,17 @@
   release_calendar::ReleaseCalendar calendar;
   map.get("version", calendar.version);
   if (calendar.version == 0)
-    map.fail("version", "missing: controllers whose files differ agree on the newer one");
+    map.fail("version",
+             "missing or 0: controllers with different files follow the one with the higher version");
   auto list = map.take("releases");
   if (list && !list->IsSequence()) map.fail("releases", "not a list");
   for (std::size_t i = 0; list && i < list->size(); ++i) {
     yaml::Map entry = map.child("releases[" + std::to_string(i) + "]", (*list)[i]);
     release_calendar::ReleaseSpec release = read_release(entry);
-    bool named_before = std::any_of(
+    bool is_duplicate = std::any_of(
         calendar.releases.begin(), calendar.releases.end(),
         [&release](const release_calendar::ReleaseSpec& other) { return other.name == release.name; });
-    if (named_before) entry.fail("name", "named twice");
+    if (is_duplicate) entry.fail("name", "named twice");
     calendar.releases.push_back(std::move(release));
   }
   map.reject_unknown_keys();
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -26,7 +26,7 @@
   });
 }
 
-void load_operator(const std::string& yaml_file, Config& config) {
+void load_operator_file(const std::string& yaml_file, Config& config) {
   with_config_errors([&] { read_operator_file(yaml_file, config); });
 }
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -11,7 +11,7 @@
   double OperatorSettings::*field;
   double min, max;
 };
-const std::map<std::string, NumberKey>& numbers() {
+const std::map<std::string, NumberKey>& number_keys() {
   using Operator = OperatorSettings;
   static const std::map<std::string, NumberKey> by_name = {
       {"finished_ratio", {&Operator::finished_ratio, 0.01, 1}},
@@ -34,7 +34,7 @@
   };
   return by_name;
 }
-const std::map<std::string, bool OperatorSettings::*>& flags() {
+const std::map<std::string, bool OperatorSettings::*>& flag_keys() {
   using Operator = OperatorSettings;
   static const std::map<std::string, bool Operator::*> by_name = {{"restart_slow", &Operator::restart_slow},
                                                                   {"use_spot", &Operator::use_spot},
@@ -68,19 +68,19 @@
   YAML::Node root = yaml::load(file);
   if (root.IsNull()) return;
   yaml::Map map(file, "", root);
-  for (const auto& [key, number] : numbers())
+  for (const auto& [key, number] : number_keys())
     map.number(key, operator_settings.*number.field, number.min, number.max);
-  for (const auto& [key, flag] : flags()) map.flag(key, operator_settings.*flag);
+  for (const auto& [key, flag] : flag_keys()) map.flag(key, operator_settings.*flag);
   if (auto node = map.take("markets")) {
-    if (config.markets.enabled()) map.fail("markets", "set in two files");
+    if (config.markets.enabled()) map.fail("markets", "already set in another file");
     read_markets(map.child("markets", *node), config.markets, config.names);
   }
   if (auto node = map.take("calendar")) {
-    if (!config.calendar.empty()) map.fail("calendar", "set in two files");
+    if (!config.calendar.empty()) map.fail("calendar", "already set in another file");
     config.calendar = read_calendar(map.child("calendar", *node));
   }
   if (auto node = map.take("models")) {
-    if (!config.models.empty()) map.fail("models", "set in two files");
+    if (!config.models.empty()) map.fail("models", "already set in another file");
     read_models(map.child("models", *node), config.models);
   }
   if (auto node = map.take("progress")) read_progress(map.child("progress", *node), config.settings.progress);
--- a/src/config/platform_file.cpp
+++ b/src/config/platform_file.cpp
@@ -40,11 +40,11 @@
   config.names.partitions.intern(state::idle_pool_name);
   config.settings.teams.push_back({});
   auto teams = table.tables("teams");
-  if (teams.empty()) table.fail("teams", "no team");
+  if (teams.empty()) table.fail("teams", "missing or empty");
   for (const TomlTable& entry : teams) {
     std::string name = entry.text("name");
     if (!wire::valid_id(name) || name == state::idle_pool_name)
-      entry.fail("name", "not usable as a team's name");
+      entry.fail("name", "not usable as a team's name: must be 1 to 120 letters, digits, '-', '_' and '.'");
     if (config.names.partitions.find(name).valid()) entry.fail("name", "named twice");
     config.names.partitions.intern(name);
     Team team;
@@ -54,7 +54,7 @@
   }
 }
 
-void read_workers(const TomlTable& workers, Settings& settings) {
+void read_worker_settings(const TomlTable& workers, Settings& settings) {
   settings.report_interval_s = workers.number("report_s", 0.1);
   settings.lease_s = workers.number("lease_s", 1);
   settings.gang_wait_timeout_s = workers.number("gang_wait_s", 0);
@@ -62,7 +62,7 @@
   settings.cancel_deadline_s = workers.number("cancel_s", 1);
 }
 
-void read_outside_limits(const TomlTable& table, Settings& settings) {
+void read_service_limits(const TomlTable& table, Settings& settings) {
   TomlTable state = table.table("state");
   settings.state_rps = state.number("rps", 1);
   settings.state_write_rps = state.number("write_rps", 1);
@@ -79,8 +79,8 @@
   for (const TomlTable& objective : table.tables("objectives")) {
     if (objective.text("kind") != "deadline") continue;
     double multiple = objective.number_or("times", 0.01, 1);
-    auto at = std::lower_bound(multiples.begin(), multiples.end(), multiple);
-    if (at == multiples.end() || *at != multiple) multiples.insert(at, multiple);
+    auto position = std::lower_bound(multiples.begin(), multiples.end(), multiple);
+    if (position == multiples.end() || *position != multiple) multiples.insert(position, multiple);
   }
 }
 
@@ -89,24 +89,24 @@
 void check_release_sizes(const release_calendar::ReleaseCalendar& calendar, double max_value_kb) {
   for (const release_calendar::ReleaseSpec& release : calendar.releases) {
     if (static_cast<double>(release_calendar::to_text(release).size()) > max_value_kb * 1024 / 2)
-      throw ConfigError("calendar", "release " + release.name, "too long for a record of the state service");
+      throw ConfigError("calendar", "release " + release.name,
+                        "too long for a record, which allows it half of settings.state.value_kb");
   }
 }
 
 /// Shortens the controller lease if a cancellation could otherwise miss its deadline (docs/design.md,
 /// "Time").
 void limit_controller_lease(const TomlTable& workers, Settings& settings) {
-  constexpr double shortest_lease_s = 1;
-  double longest_lease_s =
-      settings.cancel_deadline_s - settings.lease_expiry_s() - 2 * Settings::safety_margin_s;
-  if (longest_lease_s < shortest_lease_s) {
-    double least_deadline_s = std::ceil(settings.cancel_deadline_s + shortest_lease_s - longest_lease_s);
+  constexpr double min_lease_s = 1;
+  double max_lease_s = settings.cancel_deadline_s - settings.lease_expiry_s() - 2 * Settings::safety_margin_s;
+  if (max_lease_s < min_lease_s) {
+    double min_deadline_s = std::ceil(settings.cancel_deadline_s + min_lease_s - max_lease_s);
     workers.fail("cancel_s",
-                 "too short for lease_s: what a cut-off machine runs could not be gone in time, at least " +
-                     std::to_string(static_cast<int>(least_deadline_s)) + " is needed");
+                 "too short for lease_s: tasks on an unreachable machine would not end in time, at least " +
+                     std::to_string(static_cast<int>(min_deadline_s)) + " is needed");
   }
   double& lease_s = settings.operator_settings.controller_lease_s;
-  lease_s = std::min(lease_s, longest_lease_s);
+  lease_s = std::min(lease_s, max_lease_s);
 }
 
 }  // namespace
@@ -123,8 +123,8 @@
   read_teams(table, config);
   for (const std::string& file : yaml_files) read_operator_file(file, config);
   TomlTable workers = table.table("workers");
-  read_workers(workers, settings);
-  read_outside_limits(table, settings);
+  read_worker_settings(workers, settings);
+  read_service_limits(table, settings);
   read_deadline_multiples(table, settings.deadline_multiples);
   config.clock_skew_s = table.number_or("skew_ms", 0, 1000) / 1000;
   check_release_sizes(config.calendar, settings.max_value_kb);
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -16,16 +16,16 @@
   return *value;
 }
 
-double TomlTable::number(const char* key, double least) const {
+double TomlTable::number(const char* key, double min_value) const {
   auto value = (*table_)[key].value<double>();
   if (!value) fail(key, "missing or not a number");
   if (!std::isfinite(*value)) fail(key, "not a finite number");
-  if (*value < least) fail(key, "must be at least " + YAML::Dump(YAML::Node(least)));
+  if (*value < min_value) fail(key, "must be at least " + YAML::Dump(YAML::Node(min_value)));
   return *value;
 }
 
-double TomlTable::number_or(const char* key, double least, double otherwise) const {
-  return table_->contains(key) ? number(key, least) : otherwise;
+double TomlTable::number_or(const char* key, double min_value, double default_value) const {
+  return table_->contains(key) ? number(key, min_value) : default_value;
 }
 
 net::Address TomlTable::address(const char* key, net::Address (*parse)(const std::string&)) const {
--- a/src/config/toml_table.h
+++ b/src/config/toml_table.h
@@ -22,10 +22,10 @@
   [[noreturn]] void fail(const std::string& key, const std::string& reason) const;
   bool has(const char* key) const { return table_->contains(key); }
   std::string text(const char* key) const;
-  /// A finite number of at least `least`.
-  double number(const char* key, double least) const;
-  /// Like `number`, but `otherwise` if the key is missing.
-  double number_or(const char* key, double least, double otherwise) const;
+  /// A finite number of at least `min_value`.
+  double number(const char* key, double min_value) const;
+  /// Like `number`, but `default_value` if the key is missing.
+  double number_or(const char* key, double min_value, double default_value) const;
   net::Address address(const char* key, net::Address (*parse)(const std::string&) = net::parse_address) const;
   TomlTable table(const char* key) const;
   /// The tables in a list; empty if the key is missing.
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -14,14 +14,14 @@
   constexpr unsigned long max_port = 65535;
   std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0) throw AddressError(text, "is not HOST:PORT");
-  std::size_t used = 0;
+  std::size_t parsed_length = 0;
   unsigned long port = 0;
   try {
-    port = std::stoul(text.substr(colon + 1), &used);
+    port = std::stoul(text.substr(colon + 1), &parsed_length);
   } catch (const std::exception&) {
     throw AddressError(text, "has no port number");
   }
-  if (used + colon + 1 != text.size() || port > max_port) throw AddressError(text, invalid_port);
+  if (parsed_length + colon + 1 != text.size() || port > max_port) throw AddressError(text, invalid_port);
   return {text.substr(0, colon), static_cast<std::uint16_t>(port)};
 }
 
--- a/src/net/event_util.h
+++ b/src/net/event_util.h
@@ -18,9 +18,9 @@
 }
 
 /// Removes the whole content of a buffer and returns it.
-inline std::string read_all(evbuffer* in) {
-  std::string body(evbuffer_get_length(in), '\0');
-  if (!body.empty()) evbuffer_remove(in, body.data(), body.size());
+inline std::string read_all(evbuffer* buffer) {
+  std::string body(evbuffer_get_length(buffer), '\0');
+  if (!body.empty()) evbuffer_remove(buffer, body.data(), body.size());
   return body;
 }
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -29,9 +29,9 @@
   if (raw_request == nullptr) return response;
   response.status = evhttp_request_get_response_code(raw_request);
   if (response.status != 0) response.body = read_all(evhttp_request_get_input_buffer(raw_request));
-  const char* after = evhttp_find_header(evhttp_request_get_input_headers(raw_request), "Retry-After");
-  if (after != nullptr)
-    response.retry_after_s = std::clamp(std::strtod(after, nullptr), 0.0, max_retry_after_s);
+  const char* retry_after = evhttp_find_header(evhttp_request_get_input_headers(raw_request), "Retry-After");
+  if (retry_after != nullptr)
+    response.retry_after_s = std::clamp(std::strtod(retry_after, nullptr), 0.0, max_retry_after_s);
   return response;
 }
 }  // namespace
@@ -129,15 +129,15 @@
   evhttp_request* raw_request = make_request(
       destination, body,
       [](evhttp_request* response, void* arg) {
-        std::unique_ptr<ResponseHandler> done(static_cast<ResponseHandler*>(arg));
-        if (*done) (*done)(read_response(response));
+        std::unique_ptr<ResponseHandler> owned_handler(static_cast<ResponseHandler*>(arg));
+        if (*owned_handler) (*owned_handler)(read_response(response));
       },
       handler);
   evhttp_add_header(evhttp_request_get_output_headers(raw_request), "Connection", "close");
   evhttp_connection_free_on_completion(connection);
   if (evhttp_make_request(connection, raw_request, method, path.c_str()) != 0) {
-    std::unique_ptr<ResponseHandler> done(handler);
-    if (*done) (*done)({});
+    std::unique_ptr<ResponseHandler> owned_handler(handler);
+    if (*owned_handler) (*owned_handler)({});
   }
 }
 
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -9,7 +9,7 @@
 
 EventBasePtr make_event_base() {
   EventBasePtr base(event_base_new());
-  if (!base) throw Error("no event base");
+  if (!base) throw Error("libevent cannot create an event base");
   return base;
 }
 
--- a/src/service/cloud_client.cpp
+++ b/src/service/cloud_client.cpp
@@ -50,8 +50,9 @@
 }
 
 void CloudClient::send_scale_out(const ScaleOutRequest& request) {
-  http_client_.send(EVHTTP_REQ_POST, "/rentals", wire::encode(wire::write_scale_out(request, state_.names)),
-                    scale_out_timeout_s, [this, id = request.request_id](const net::Response& http_response) {
+  http_client_.send(EVHTTP_REQ_POST, "/rentals",
+                    wire::encode(wire::write_scale_out_request(request, state_.names)), scale_out_timeout_s,
+                    [this, id = request.request_id](const net::Response& http_response) {
                       on_scale_out_response(id, http_response);
                     });
 }
@@ -59,7 +60,7 @@
 void CloudClient::on_scale_out_response(const std::string& request_id, const net::Response& http_response) {
   auto body = wire::decode_map(http_response.body);
   if (http_response.status == 200 && body) {
-    if (auto machines = wire::read_hosts(*body))
+    if (auto machines = wire::read_granted_machines(*body))
       return autoscaler_.on_scale_out_result(request_id, true, *machines, clock_());
   }
   if (http_response.status == 200) malformed_messages_.record("scale-out response", cloud_sender);
@@ -75,7 +76,7 @@
 void CloudClient::send_delete(const std::vector<MachineIndex>& machines) {
   std::vector<std::string> names;
   for (MachineIndex machine : machines) names.push_back(state_.names.machines.name(machine));
-  http_client_.send(EVHTTP_REQ_POST, "/rentals/delete", wire::encode(wire::write_delete(names)),
+  http_client_.send(EVHTTP_REQ_POST, "/rentals/delete", wire::encode(wire::write_delete_request(names)),
                     delete_timeout_s, [this, machines](const net::Response& http_response) {
                       autoscaler_.on_deleted(machines, http_response.status == 200);
                     });
@@ -97,7 +98,7 @@
 void CloudClient::on_page(const net::Response& http_response, const MachineList& machines) {
   // decode_map would reject pages that are larger than the bodies that users and agents may send.
   auto body = http_response.status == 200 ? Json::from_cbor(http_response.body, true, false) : Json();
-  auto page = body.is_object() ? wire::read_list(body) : std::nullopt;
+  auto page = body.is_object() ? wire::read_machine_list(body) : std::nullopt;
   if (!page) {
     if (http_response.status == 200) malformed_messages_.record("machine list", cloud_sender);
     return autoscaler_.on_list_failed();
--- a/src/state/job_records.cpp
+++ b/src/state/job_records.cpp
@@ -28,7 +28,7 @@
   return record.count(field) != 0 ? from_hex(record[field]) : 0;
 }
 
-std::optional<JobPhase> phase_of(const std::string& text) {
+std::optional<JobPhase> parse_phase(const std::string& text) {
   for (JobPhase phase : {JobPhase::open, JobPhase::done, JobPhase::cancelled}) {
     if (text == name_of(phase)) return phase;
   }
@@ -54,22 +54,22 @@
 
 /// Drops run times, then checkpoints, from a value that exceeds the size limit of the state service. Both
 /// only improve decisions, whereas placements must be stored.
-void drop_hints_over_limit(Json& value, const ChunkRecord& record, double max_value_kb) {
-  constexpr std::size_t rows_that_surely_fit = 24;
-  if (record.placements.size() + record.checkpoints.size() + record.finishes.size() <= rows_that_surely_fit)
+void drop_optional_rows_over_limit(Json& value, const ChunkRecord& record, double max_value_kb) {
+  constexpr std::size_t rows_that_always_fit = 24;
+  if (record.placements.size() + record.checkpoints.size() + record.finishes.size() <= rows_that_always_fit)
     return;
-  for (const char* hint : {stored::chunk::finishes, stored::chunk::checkpoints}) {
-    if (static_cast<double>(value.dump().size()) > max_value_kb * 1024) value.erase(hint);
+  for (const char* optional_field : {stored::chunk::finishes, stored::chunk::checkpoints}) {
+    if (static_cast<double>(value.dump().size()) > max_value_kb * 1024) value.erase(optional_field);
   }
 }
 
 /// The rows of a list of checkpoints or run times. Malformed rows are skipped, because both are optional.
-std::vector<const Json*> hint_rows(const Json& value, const char* field, std::size_t least_size) {
+std::vector<const Json*> well_formed_rows(const Json& value, const char* field, std::size_t min_size) {
   std::vector<const Json*> rows;
   auto list = value.find(field);
   if (list == value.end() || !list->is_array()) return rows;
   for (const Json& row : *list) {
-    bool well_formed = row.is_array() && row.size() >= least_size &&
+    bool well_formed = row.is_array() && row.size() >= min_size &&
                        std::all_of(row.begin(), row.end(), [](const Json& item) { return item.is_number(); });
     if (well_formed) rows.push_back(&row);
   }
@@ -79,7 +79,7 @@
 }  // namespace
 
 std::optional<JobPhase> read_phase(const Json& value) {
-  return value.is_object() ? phase_of(read_string(value, stored::job::phase)) : std::nullopt;
+  return value.is_object() ? parse_phase(read_string(value, stored::job::phase)) : std::nullopt;
 }
 
 Json with_phase(Json value, JobPhase phase) {
@@ -134,7 +134,7 @@
     value[stored::chunk::finishes].push_back(Json::array(
         {finished.task, std::round(10 * finished.run_s) / 10, std::floor(finished.finished_at_s)}));
   }
-  drop_hints_over_limit(value, record, cluster.settings.max_value_kb);
+  drop_optional_rows_over_limit(value, record, cluster.settings.max_value_kb);
   return value;
 }
 
@@ -149,11 +149,11 @@
     if (!placed) return std::nullopt;
     record.placements.push_back(*placed);
   }
-  for (const Json* row : hint_rows(value, stored::chunk::checkpoints, 4)) {
+  for (const Json* row : well_formed_rows(value, stored::chunk::checkpoints, 4)) {
     record.checkpoints[row->at(0).get<TaskNumber>()] = {row->at(1).get<double>(), row->at(2).get<double>(),
                                                         row->at(3).get<double>()};
   }
-  for (const Json* row : hint_rows(value, stored::chunk::finishes, 3)) {
+  for (const Json* row : well_formed_rows(value, stored::chunk::finishes, 3)) {
     record.finishes.push_back(
         {row->at(0).get<TaskNumber>(), row->at(1).get<double>(), row->at(2).get<double>()});
   }
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -23,10 +23,11 @@
 
 std::optional<LiveKey> split_live_key(const std::string& key) {
   const std::size_t prefix_length = std::char_traits<char>::length(live_prefix);
-  const std::size_t name_at = prefix_length + 2;
-  if (key.size() <= name_at || key.compare(0, prefix_length, live_prefix) != 0 || key[name_at - 1] != '/')
+  const std::size_t name_offset = prefix_length + 2;
+  if (key.size() <= name_offset || key.compare(0, prefix_length, live_prefix) != 0 ||
+      key[name_offset - 1] != '/')
     return std::nullopt;
-  return LiveKey{key[prefix_length], key.substr(name_at)};
+  return LiveKey{key[prefix_length], key.substr(name_offset)};
 }
 
 /// The parts of the name in a chunk's key: "run-1/3" is chunk 3 of the job "run-1".
@@ -78,7 +79,7 @@
 };
 
 /// A stored value; null if the key was removed.
-using Value = const Json*;
+using StoredValue = const Json*;
 
 Change removal_of(Key key) {
   Change change;
@@ -95,7 +96,7 @@
   return change;
 }
 
-std::optional<Change> decode_job_change(const std::string& ref, Value value, ClusterState& cluster) {
+std::optional<Change> decode_job_change(const std::string& ref, StoredValue value, ClusterState& cluster) {
   if (value == nullptr) {
     JobIndex job = cluster.find_job(ref);
     return job.valid() ? std::optional<Change>(removal_of(JobKey{job})) : std::nullopt;
@@ -105,7 +106,7 @@
   return change_of(JobKey{cluster.intern_job(ref)}, std::move(record));
 }
 
-std::optional<Change> decode_chunk_change(const std::string& name, Value value, ClusterState& cluster) {
+std::optional<Change> decode_chunk_change(const std::string& name, StoredValue value, ClusterState& cluster) {
   auto chunk_name = split_chunk_name(name);
   if (!chunk_name) return std::nullopt;
   if (value == nullptr) {
@@ -117,12 +118,13 @@
   return change_of(ChunkKey{cluster.intern_job(chunk_name->job), chunk_name->chunk}, std::move(record));
 }
 
-std::optional<Change> decode_machine_change(const std::string& name, Value value, ClusterState& cluster) {
+std::optional<Change> decode_machine_change(const std::string& name, StoredValue value,
+                                            ClusterState& cluster) {
   MachineKey key{cluster.intern_machine(name)};
   return value == nullptr ? removal_of(key) : change_of(key, decode_machine(*value, cluster));
 }
 
-std::optional<Change> decode_ownership_change(Key key, Value value) {
+std::optional<Change> decode_ownership_change(Key key, StoredValue value) {
   if (value == nullptr) return removal_of(std::move(key));
   return change_of(std::move(key), std::optional<OwnershipRecord>(decode_ownership(*value)));
 }
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -26,11 +26,11 @@
 constexpr int too_many_requests = 429;
 // An unanswered call occupies its connection until it times out. With only six connections, unanswered
 // transactions or a slow service delay all other calls: status queries, placements and retries.
-constexpr std::size_t connections = 32;
+constexpr std::size_t connection_count = 32;
 // Shares of the service's limits that a controller uses. Load is uneven across controllers, so the shares of
 // several controllers may exceed the limits together. The service then responds with 429, which pauses them.
 constexpr double share_of_single_controller = 0.9;
-constexpr double share_of_limits = 0.7;
+constexpr double share_of_several_controllers = 0.7;
 
 std::string lease_path(std::uint64_t id) {
   return std::string(path::leases) + "/" + std::to_string(id);
@@ -57,7 +57,7 @@
              std::function<double()> now)
     : clock_(std::move(now)),
       settings_(settings),
-      client_(base, address, connections),
+      client_(base, address, connection_count),
       lease_client_(base, address, 1),
       watch_client_(base, address, 1),
       request_limit_(1, 1),
@@ -67,7 +67,7 @@
 }
 
 void Store::set_live_controllers(std::size_t count) {
-  double share = count <= 1 ? share_of_single_controller : share_of_limits;
+  double share = count <= 1 ? share_of_single_controller : share_of_several_controllers;
   double requests_per_s = settings_.state_rps * share, changes_per_s = settings_.state_write_rps * share;
   request_limit_.set_rate(requests_per_s, requests_per_s / 2);
   change_limit_.set_rate(changes_per_s,
@@ -84,7 +84,7 @@
   return unanswered_ == 0 ? 0 : clock_() - last_response_at_;
 }
 
-void Store::drop_stale_user_calls(double now) {
+void Store::drop_expired_user_calls(double now) {
   // Waiting longer would be in vain and would keep the user's connection occupied. The handler is called
   // without a response, so that the client is told to retry at once.
   Queue& queue = queues_[static_cast<std::size_t>(Urgency::user)];
@@ -104,7 +104,7 @@
 
 void Store::dispatch() {
   double now = clock_();
-  drop_stale_user_calls(now);
+  drop_expired_user_calls(now);
   if (now < paused_until_) {
     if (!dispatch_timer_.pending()) dispatch_timer_.schedule(paused_until_ - now);
     return;
@@ -141,21 +141,21 @@
 
 void Store::send(net::HttpClient& client, Call call) {
   double sent_at = clock_();
-  bool counted = &client == &client_;
-  if (counted && unanswered_++ == 0) last_response_at_ = sent_at;
+  bool is_counted = &client == &client_;
+  if (is_counted && unanswered_++ == 0) last_response_at_ = sent_at;
   client.send(call.method, call.path, std::move(call.body), call.timeout_s,
-              [this, sent_at, counted, on_response = std::move(call.on_response),
+              [this, sent_at, is_counted, on_response = std::move(call.on_response),
                path = call.path](const net::Response& http_response) {
-                if (counted) --unanswered_;
-                if (counted && http_response.status != 0) last_response_at_ = clock_();
+                if (is_counted) --unanswered_;
+                if (is_counted && http_response.status != 0) last_response_at_ = clock_();
                 StoreResponse response = read_response(http_response, path, sent_at);
-                note_response(http_response.status, response.status);
+                record_response(http_response.status, response.status);
                 on_response(response);
-                if (counted) dispatch();
+                if (is_counted) dispatch();
               });
 }
 
-void Store::note_response(int http_status, int status) {
+void Store::record_response(int http_status, int status) {
   if (http_status == too_many_requests) {
     paused_until_ = std::max(paused_until_, clock_() + pause_after_throttled_s);
   } else if (http_status == HTTP_SERVUNAVAIL) {
--- a/src/wire/agent_codec.cpp
+++ b/src/wire/agent_codec.cpp
@@ -46,13 +46,13 @@
 constexpr WireName<CommandKind> command_kinds[] = {
     {"start", CommandKind::start}, {"kill", CommandKind::kill}, {"clear", CommandKind::clear}};
 
-struct NamedTask {
+struct TaskId {
   std::string job;
   TaskNumber task = 0;
 };
 
 /// Parses a task id: "run-000412/3" is task 3 of the job "run-000412".
-std::optional<NamedTask> read_task_id(const std::string& text) {
+std::optional<TaskId> read_task_id(const std::string& text) {
   constexpr std::size_t max_digits = 9;  // every number of 9 digits fits into a TaskNumber
   std::size_t slash = text.rfind('/');
   if (slash == std::string::npos || slash + 1 == text.size() || text.size() - slash > max_digits + 1)
@@ -62,8 +62,8 @@
     if (text[i] < '0' || text[i] > '9') return std::nullopt;
     number = number * 10 + static_cast<std::uint64_t>(text[i] - '0');
   }
-  NamedTask id{text.substr(0, slash), static_cast<TaskNumber>(number)};
-  return valid_id(id.job) ? std::optional<NamedTask>(std::move(id)) : std::nullopt;
+  TaskId id{text.substr(0, slash), static_cast<TaskNumber>(number)};
+  return valid_id(id.job) ? std::optional<TaskId>(std::move(id)) : std::nullopt;
 }
 
 std::string write_task_id(const std::string& job, TaskNumber task) {
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -96,7 +96,7 @@
   return {{shared::machine_types, types}};
 }
 
-Json write_scale_out(const ScaleOutRequest& request, const Names& names) {
+Json write_scale_out_request(const ScaleOutRequest& request, const Names& names) {
   return {{field::request_id, request.request_id},
           {shared::machine_type, names.types.name(request.type)},
           {shared::zone, names.zones.name(request.zone)},
@@ -104,7 +104,7 @@
           {shared::count, request.count}};
 }
 
-std::optional<std::vector<std::string>> read_hosts(const Json& json) {
+std::optional<std::vector<std::string>> read_granted_machines(const Json& json) {
   auto machines = json.find(shared::machines);
   if (machines == json.end() || !machines->is_array()) return std::nullopt;
   std::vector<std::string> names;
@@ -115,15 +115,15 @@
   return names;
 }
 
-Json write_delete(const std::vector<std::string>& names) {
+Json write_delete_request(const std::vector<std::string>& names) {
   return {{shared::machines, names}};
 }
 
-std::optional<ListPage> read_list(const Json& json) {
+std::optional<MachineListPage> read_machine_list(const Json& json) {
   auto machines = json.find(shared::machines);
   auto has_more = json.find(field::has_more);
   if (machines == json.end() || !machines->is_array()) return std::nullopt;
-  ListPage page;
+  MachineListPage page;
   page.has_more = has_more != json.end() && has_more->is_boolean() && has_more->get<bool>();
   for (const Json& machine_json : *machines) {
     auto machine = read_listed_machine(machine_json);
--- a/src/wire/field_reader.h
+++ b/src/wire/field_reader.h
@@ -10,8 +10,10 @@
 
 namespace oxbowmill::wire {
 
+/// Size limit of a name in a message, in bytes.
 constexpr std::size_t max_name_length = 120;
 
+/// Reader of one map. A failed read returns an empty value and makes `ok()` false.
 class FieldReader {
  public:
   /// `json` must outlive the reader.
--- a/src/wire/market_codec.cpp
+++ b/src/wire/market_codec.cpp
@@ -59,30 +59,31 @@
 constexpr std::uint64_t max_machines = 100'000;
 constexpr std::size_t max_name_bytes = 120;
 constexpr std::size_t max_quotes = 500, max_hosts = 1000, max_charges = 1000;
-constexpr std::uint64_t unbounded = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t no_limit = std::numeric_limits<std::uint64_t>::max();
 
-std::optional<double> read_amount(const Json& json, const char* key, double most) {
+std::optional<double> read_amount(const Json& json, const char* key, double max_value) {
   auto it = json.find(key);
   if (it == json.end() || !it->is_number()) return std::nullopt;
   auto amount = it->get<double>();
-  if (!std::isfinite(amount) || amount < 0 || amount > most) return std::nullopt;
+  if (!std::isfinite(amount) || amount < 0 || amount > max_value) return std::nullopt;
   return amount;
 }
 
-std::optional<std::uint64_t> read_count(const Json& json, const char* key, std::uint64_t most) {
+std::optional<std::uint64_t> read_count(const Json& json, const char* key, std::uint64_t max_value) {
   auto it = json.find(key);
   if (it == json.end() || !it->is_number_unsigned()) return std::nullopt;
   auto count = it->get<std::uint64_t>();
-  return count > most ? std::nullopt : std::optional<std::uint64_t>(count);
+  return count > max_value ? std::nullopt : std::optional<std::uint64_t>(count);
 }
 
 std::optional<std::string> read_name(const Json& json, const char* key) {
   auto it = json.find(key);
   if (it == json.end() || !it->is_string()) return std::nullopt;
   const auto& name = it->get_ref<const std::string&>();
-  bool usable = !name.empty() && name.size() <= max_name_bytes &&
-                std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127 && c != '/'; });
-  return usable ? std::optional<std::string>(name) : std::nullopt;
+  bool is_valid =
+      !name.empty() && name.size() <= max_name_bytes &&
+      std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127 && c != '/'; });
+  return is_valid ? std::optional<std::string>(name) : std::nullopt;
 }
 
 bool is_present(const Json& json, const char* key) {
@@ -90,9 +91,9 @@
 }
 
 /// The list, or nullptr if the field is not a list or has an implausible number of items.
-const Json* read_list_field(const Json& json, const char* key, std::size_t most) {
+const Json* read_list_field(const Json& json, const char* key, std::size_t max_items) {
   auto it = json.find(key);
-  return it != json.end() && it->is_array() && it->size() <= most ? &*it : nullptr;
+  return it != json.end() && it->is_array() && it->size() <= max_items ? &*it : nullptr;
 }
 
 Json write_kind(const MachineKind& kind, const Names& names) {
@@ -140,7 +141,7 @@
 
 bool read_raise(const Json& body, market::BidUpdate& out) {
   auto raised_rate = read_amount(body, field::raised_rate, market::max_rate);
-  auto round = read_count(body, field::round, unbounded);
+  auto round = read_count(body, field::round, no_limit);
   if (!raised_rate || !round || *raised_rate <= 0) return false;
   out.raised_rate = market::to_money_amount(*raised_rate);
   out.round = *round;
@@ -160,10 +161,10 @@
   return true;
 }
 
-bool read_bid(const Json& body, const std::string& bid_id, const Names& names, Answer& out) {
-  auto of_bid = read_name(body, field::bid), phase_name = read_name(body, shared::phase);
+bool read_bid(const Json& body, const std::string& expected_name, const Names& names, Answer& out) {
+  auto bid_name = read_name(body, field::bid), phase_name = read_name(body, shared::phase);
   auto charged = read_amount(body, field::charged, max_amount);
-  if (!of_bid || *of_bid != bid_id || !phase_name || !charged) return false;
+  if (!bid_name || *bid_name != expected_name || !phase_name || !charged) return false;
   auto phase = value_of(auction_phases, *phase_name);
   if (!phase) return false;
   market::BidUpdate update;
@@ -190,7 +191,7 @@
   if (charges == nullptr) return false;
   for (const Json& charge : *charges) {
     if (!charge.is_object()) return false;
-    auto number = read_count(charge, field::charge_number, unbounded);
+    auto number = read_count(charge, field::charge_number, no_limit);
     auto bid = read_name(charge, field::bid);
     auto amount = read_amount(charge, field::charge_amount, max_amount);
     if (!number || !bid || !amount) return false;
--- a/src/wire/name_table.h
+++ b/src/wire/name_table.h
@@ -7,6 +7,7 @@
 
 namespace oxbowmill::wire {
 
+/// One row of a table.
 template <class Enum>
 struct WireName {
   const char* name;
--- a/src/wire/submission_codec.cpp
+++ b/src/wire/submission_codec.cpp
@@ -127,8 +127,8 @@
   const Resources& limit = settings.teams[spec.partition.value].limit;
   // The tasks of an array may run one after another; other shapes need all their tasks at once.
   double simultaneous_tasks = spec.shape == JobShape::array ? 1 : spec.tasks;
-  auto exceeds = [simultaneous_tasks](double most, double per_task) {
-    return most > 0 && simultaneous_tasks * per_task > most + resource_tolerance;
+  auto exceeds = [simultaneous_tasks](double team_limit, double per_task) {
+    return team_limit > 0 && simultaneous_tasks * per_task > team_limit + resource_tolerance;
   };
   if (exceeds(limit.cpus, spec.task_resources.cpus) || exceeds(limit.gpus, spec.task_resources.gpus))
     return Rejection{422, "needs more than the team's limit"};
--- a/src/yaml/map.cpp
+++ b/src/yaml/map.cpp
@@ -34,12 +34,13 @@
   return value;
 }
 
-void Map::number(const std::string& key, double& out, double least, double most) {
+void Map::number(const std::string& key, double& out, double min_value, double max_value) {
   if (unread_.count(key) == 0) return;
   double value = 0;
   get(key, value, "not a number");
-  if (!std::isfinite(value) || value < least || value > most) {
-    fail(key, "must be from " + YAML::Dump(YAML::Node(least)) + " to " + YAML::Dump(YAML::Node(most)));
+  if (!std::isfinite(value) || value < min_value || value > max_value) {
+    fail(key,
+         "must be from " + YAML::Dump(YAML::Node(min_value)) + " to " + YAML::Dump(YAML::Node(max_value)));
   }
   out = value;
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -67,7 +67,7 @@
       {"due_s", missing, 0},
       {"due_s", -1.0, 400},
       {"runtime_s", missing, 400},
-      {"unheard_of", Json::object(), 0},
+      {"unknown_field", Json::object(), 0},
   };
   auto catalog = simulation::test_catalog();
   Settings settings = simulation::test_settings("n");
@@ -112,7 +112,7 @@
 TEST(Codec, UnsatisfiableZoneSpreadIsRejected) {
   struct Case {
     std::uint32_t tasks;
-    bool one_zone, scatter;
+    bool single_zone, spread_zones;
     const char* zone;
     bool accepted;
   };
@@ -121,25 +121,26 @@
         Case{2, false, true, "a", false}, Case{1, true, true, "a", true}, Case{2, true, false, "a", true}}) {
     Json json = valid_submission();
     json["shards"] = test_case.tasks;
-    json["same_place"] = test_case.one_zone;
-    json["scatter"] = test_case.scatter;
+    json["same_place"] = test_case.single_zone;
+    json["scatter"] = test_case.spread_zones;
     json["yard"] = test_case.zone == nullptr ? Json() : Json(test_case.zone);
     Names names = simulation::test_names();
     JobSpec spec;
     ASSERT_FALSE(wire::read_submission(json, names, spec));
     auto rejection = wire::check_runnable(spec, simulation::test_settings("n"), simulation::test_catalog());
-    EXPECT_EQ(!rejection, test_case.accepted) << test_case.tasks << test_case.one_zone << test_case.scatter;
+    EXPECT_EQ(!rejection, test_case.accepted)
+        << test_case.tasks << test_case.single_zone << test_case.spread_zones;
     EXPECT_TRUE(!rejection || rejection->status == 422);
   }
 }
 
 TEST(Codec, NonMapBodiesAreRejected) {
-  std::string good = wire::encode(valid_submission());
-  EXPECT_TRUE(wire::decode_map(good));
+  std::string valid_body = wire::encode(valid_submission());
+  EXPECT_TRUE(wire::decode_map(valid_body));
   EXPECT_FALSE(wire::decode_map(""));
   EXPECT_FALSE(wire::decode_map("{\"ref\":1}"));
-  EXPECT_FALSE(wire::decode_map(good + "x"));                       // trailing bytes
-  EXPECT_FALSE(wire::decode_map(good.substr(0, good.size() / 2)));  // cut short
+  EXPECT_FALSE(wire::decode_map(valid_body + "x"));                             // trailing bytes
+  EXPECT_FALSE(wire::decode_map(valid_body.substr(0, valid_body.size() / 2)));  // cut short
   EXPECT_FALSE(wire::decode_map(wire::encode(Json::array({1}))));
   EXPECT_FALSE(wire::decode_map(wire::encode({{"x", std::string(wire::max_body_size, 'x')}})));
 }
@@ -148,13 +149,13 @@
   Names names = simulation::test_names();
   JobSpec spec;
   ASSERT_FALSE(wire::read_submission(valid_submission(), names, spec));
-  JobSpec again;
-  ASSERT_FALSE(wire::read_submission(wire::write_submission(spec, names), names, again));
-  EXPECT_EQ(wire::write_submission(again, names), wire::write_submission(spec, names));
-  EXPECT_EQ(again.tasks, 2U);
-  EXPECT_EQ(again.shape, JobShape::gang);
-  EXPECT_TRUE(again.single_zone);
-  EXPECT_DOUBLE_EQ(again.deadline_s, 900);
+  JobSpec decoded;
+  ASSERT_FALSE(wire::read_submission(wire::write_submission(spec, names), names, decoded));
+  EXPECT_EQ(wire::write_submission(decoded, names), wire::write_submission(spec, names));
+  EXPECT_EQ(decoded.tasks, 2U);
+  EXPECT_EQ(decoded.shape, JobShape::gang);
+  EXPECT_TRUE(decoded.single_zone);
+  EXPECT_DOUBLE_EQ(decoded.deadline_s, 900);
 }
 
 Json valid_report() {
@@ -171,7 +172,7 @@
            {{{"shard", "run-1/3"}, {"try", 2}, {"phase", "ended"}, {"cause", "stopped"}, {"stored", true}}}}};
 }
 
-TEST(Codec, ReportsAreAcceptedOrRejectedAtomically) {
+TEST(Codec, ReportsWithAMalformedFieldAreRejected) {
   auto report = wire::read_report(valid_report());
   ASSERT_TRUE(report);
   ASSERT_EQ(report->tasks.size(), 1U);
@@ -190,25 +191,25 @@
         Case{"shards", {{{"shard", "run-1"}, {"try", 1}, {"phase", "running"}}}},
         Case{"shards", {{{"shard", "run-1/x"}, {"try", 1}, {"phase", "running"}}}},
         Case{"shards", {{{"shard", "run-1/1"}, {"try", 1}, {"phase", "asleep"}}}}}) {
-    Json j = valid_report();
-    j[test_case.field] = test_case.value;
-    EXPECT_FALSE(wire::read_report(j)) << test_case.field;
+    Json json = valid_report();
+    json[test_case.field] = test_case.value;
+    EXPECT_FALSE(wire::read_report(json)) << test_case.field;
   }
 }
 
 TEST(Codec, StateRecordsRoundTrip) {
-  ClusterState model(simulation::test_settings("n"), simulation::test_names());
+  ClusterState cluster(simulation::test_settings("n"), simulation::test_names());
   ChunkRecord chunk;
   chunk.done = ~0ULL;
   chunk.restarted = 1ULL << 63;
-  chunk.placements = {{70, model.intern_machine("m1"), (1ULL << 60) + 7, true}};
-  Change c{ChunkKey{model.intern_job("run-1"), 1}, chunk, 0};
-  std::string key = state::encode_key(c.key, model);
+  chunk.placements = {{70, cluster.intern_machine("m1"), (1ULL << 60) + 7, true}};
+  Change change{ChunkKey{cluster.intern_job("run-1"), 1}, chunk, 0};
+  std::string key = state::encode_key(change.key, cluster);
   EXPECT_EQ(key, "o/c/run-1/1");
-  Json value = *wire::decode_map(wire::encode(state::encode_value(c, model)));
-  auto back = state::decode(key, &value, model);
-  ASSERT_TRUE(back);
-  const auto& record = std::get<ChunkRecord>(back->value);
+  Json value = *wire::decode_map(wire::encode(state::encode_value(change, cluster)));
+  auto decoded = state::decode(key, &value, cluster);
+  ASSERT_TRUE(decoded);
+  const auto& record = std::get<ChunkRecord>(decoded->value);
   EXPECT_EQ(record.done, chunk.done);
   EXPECT_EQ(record.restarted, chunk.restarted);
   ASSERT_EQ(record.placements.size(), 1U);
@@ -217,17 +218,17 @@
   EXPECT_EQ(record.placements[0].machine, chunk.placements[0].machine);
 }
 
-TEST(Codec, UnreadableRecordsAreIgnored) {
-  ClusterState model(simulation::test_settings("n"), simulation::test_names());
+TEST(Codec, UnreadableRecordsAndBodiesAreRejected) {
+  ClusterState cluster(simulation::test_settings("n"), simulation::test_names());
   Json number = 3, empty = Json::object();
   for (const char* key : {"o/j/run-1", "o/c/run-1/0", "o/m/m1", "x", "o/z/a"}) {
-    EXPECT_FALSE(state::decode(key, &number, model)) << key;
-    EXPECT_FALSE(state::decode(key, &empty, model)) << key;
+    EXPECT_FALSE(state::decode(key, &number, cluster)) << key;
+    EXPECT_FALSE(state::decode(key, &empty, cluster)) << key;
   }
   EXPECT_FALSE(wire::read_catalog(empty));
   EXPECT_FALSE(wire::read_catalog({{"rigs", {{{"sku", "x"}}}}}));
-  EXPECT_FALSE(wire::read_hosts({{"hosts", {1}}}));
-  EXPECT_FALSE(wire::read_list({{"hosts", {{{"ref", "h"}}}}}));
+  EXPECT_FALSE(wire::read_granted_machines({{"hosts", {1}}}));
+  EXPECT_FALSE(wire::read_machine_list({{"hosts", {{{"ref", "h"}}}}}));
 }
 
 TEST(PeerStatus, RoundTripAndMalformedInputRejected) {
@@ -243,13 +244,13 @@
   EXPECT_EQ(peer_update->reconciliations[0].ownership_revision, 7U);
   EXPECT_EQ(peer_update->reconciliations[0].reported, 3U);
   EXPECT_EQ(peer_update->suspected_machines, std::vector<std::string>{"m1"});
-  for (const std::string& junk :
+  for (const std::string& malformed :
        {std::string(), std::string("x"), std::string("\x81\xa4node", 6), std::string(100, '\xff')}) {
-    EXPECT_FALSE(service::decode_peer_update(junk));
+    EXPECT_FALSE(service::decode_peer_update(malformed));
   }
 }
 
-TEST(PeerStatus, VersionsAreCompatible) {
+TEST(PeerStatus, UpdatesOfOtherVersionsAreDecoded) {
   // Recorded from the version that did not yet send reconciliations and suspected machines: {node, revision,
   // state_ok, dark}.
   const std::string earlier(
@@ -275,13 +276,14 @@
 
 TEST(PeerStatus, OnlyAnIsolatedControllerStopsServing) {
   struct Case {
-    double since_state_answer_s;
-    bool peer_has_state, should_serve;
+    double since_state_response_s;
+    bool peer_reaches_state_service, should_serve;
   };
-  for (const Case& c : {Case{0.5, true, true}, Case{0.5, false, true}, Case{5, true, false},
-                        Case{20, false, true}, Case{100, false, false}}) {
-    EXPECT_EQ(service::should_serve(c.since_state_answer_s, c.peer_has_state), c.should_serve)
-        << c.since_state_answer_s << c.peer_has_state;
+  for (const Case& test_case : {Case{0.5, true, true}, Case{0.5, false, true}, Case{5, true, false},
+                                Case{20, false, true}, Case{100, false, false}}) {
+    EXPECT_EQ(service::should_serve(test_case.since_state_response_s, test_case.peer_reaches_state_service),
+              test_case.should_serve)
+        << test_case.since_state_response_s << test_case.peer_reaches_state_service;
   }
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -19,7 +19,7 @@
     return path;
   }
   ~Config() override {
-    for (const std::string& f : files_) std::remove(f.c_str());
+    for (const std::string& file : files_) std::remove(file.c_str());
   }
   std::vector<std::string> files_;
 };
@@ -29,7 +29,7 @@
 area = "a"
 bind = "127.0.0.1:8080"
 peer_bind = "127.0.0.1:8081"
-unheard_of = 3
+unknown_key = 3
 [[seeds]]
 node_name = "n1"
 area = "b"
@@ -72,56 +72,57 @@
 within_s = 5.0
 )";
 
-std::string valid_toml_with(const std::string& from, const std::string& replacement) {
-  std::string s = valid_toml;
-  std::size_t at = s.find(from);
-  EXPECT_NE(at, std::string::npos) << from;
-  return s.replace(at, from.size(), replacement);
+std::string valid_toml_with(const std::string& original, const std::string& replacement) {
+  std::string text = valid_toml;
+  std::size_t position = text.find(original);
+  EXPECT_NE(position, std::string::npos) << original;
+  return text.replace(position, original.size(), replacement);
 }
 
-OperatorSettings operators(const std::string& yaml) {
-  config::Config c;
-  config::load_operator(yaml, c);
-  return c.settings.operator_settings;
+OperatorSettings load_operator_settings(const std::string& yaml_file) {
+  config::Config config;
+  config::load_operator_file(yaml_file, config);
+  return config.settings.operator_settings;
 }
 
-std::string error_of(const std::string& toml, const std::string& yaml) {
+std::string error_of(const std::string& toml_file, const std::string& yaml_file) {
   try {
-    config::load(toml, yaml.empty() ? std::vector<std::string>{} : std::vector<std::string>{yaml});
-  } catch (const config::Error& e) {
-    return e.what();
+    config::load(toml_file,
+                 yaml_file.empty() ? std::vector<std::string>{} : std::vector<std::string>{yaml_file});
+  } catch (const config::Error& error) {
+    return error.what();
   }
   return "";
 }
 
-TEST_F(Config, RecoveryIsEnabledByItsFile) {
+TEST_F(Config, RecoverySectionEnablesReconciliation) {
   EXPECT_FALSE(config::load(write("good.toml", valid_toml), {}).recovery.enabled);
-  auto c = config::load(write("good.toml", valid_toml),
-                        {DEPLOY_DIR "/operator.yaml", DEPLOY_DIR "/recovery.yaml"});
-  EXPECT_TRUE(c.recovery.enabled);
+  auto config = config::load(write("good.toml", valid_toml),
+                             {DEPLOY_DIR "/operator.yaml", DEPLOY_DIR "/recovery.yaml"});
+  EXPECT_TRUE(config.recovery.enabled);
   // The shipped file contains the defaults.
   reconciliation::Settings defaults;
-  EXPECT_EQ(c.recovery.reported_fraction, defaults.reported_fraction);
-  EXPECT_EQ(c.recovery.sufficient_fraction, defaults.sufficient_fraction);
-  EXPECT_EQ(c.recovery.threshold_multiplier, defaults.threshold_multiplier);
-  EXPECT_EQ(c.recovery.demand_window_s, defaults.demand_window_s);
-  EXPECT_EQ(c.recovery.return_rate_fraction, defaults.return_rate_fraction);
-  EXPECT_EQ(c.recovery.max_replacement_fraction, defaults.max_replacement_fraction);
-  EXPECT_EQ(c.recovery.delete_suspects, defaults.delete_suspects);
-  auto wrong =
+  EXPECT_EQ(config.recovery.reported_fraction, defaults.reported_fraction);
+  EXPECT_EQ(config.recovery.sufficient_fraction, defaults.sufficient_fraction);
+  EXPECT_EQ(config.recovery.threshold_multiplier, defaults.threshold_multiplier);
+  EXPECT_EQ(config.recovery.demand_window_s, defaults.demand_window_s);
+  EXPECT_EQ(config.recovery.return_rate_fraction, defaults.return_rate_fraction);
+  EXPECT_EQ(config.recovery.max_replacement_fraction, defaults.max_replacement_fraction);
+  EXPECT_EQ(config.recovery.delete_suspects, defaults.delete_suspects);
+  auto error =
       error_of(write("good.toml", valid_toml), write("wrong.yaml", "recovery: {heard_shares: 0.5}\n"));
-  EXPECT_NE(wrong.find("heard_shares"), std::string::npos) << wrong;
+  EXPECT_NE(error.find("heard_shares"), std::string::npos) << error;
 }
 
-TEST_F(Config, ReadsDeployFile) {
-  auto c = config::load(write("good.toml", valid_toml), {});
-  EXPECT_EQ(c.settings.controller_name, "n0");
-  EXPECT_EQ(c.settings.controller_count, 2U);
-  EXPECT_EQ(c.names.partitions.size(), 2U);  // the idle pool and one partition per team
-  EXPECT_DOUBLE_EQ(c.settings.teams[1].limit.gpus, 8);
-  EXPECT_EQ(c.settings.max_transaction_ops, 48U);
-  EXPECT_EQ(c.settings.socket_limit, 900);
-  EXPECT_EQ(c.settings.deadline_multiples, (std::vector<double>{1, 1.5}));
+TEST_F(Config, PlatformFileIsRead) {
+  auto config = config::load(write("good.toml", valid_toml), {});
+  EXPECT_EQ(config.settings.controller_name, "n0");
+  EXPECT_EQ(config.settings.controller_count, 2U);
+  EXPECT_EQ(config.names.partitions.size(), 2U);  // the idle pool and one partition per team
+  EXPECT_DOUBLE_EQ(config.settings.teams[1].limit.gpus, 8);
+  EXPECT_EQ(config.settings.max_transaction_ops, 48U);
+  EXPECT_EQ(config.settings.socket_limit, 900);
+  EXPECT_EQ(config.settings.deadline_multiples, (std::vector<double>{1, 1.5}));
 }
 
 TEST_F(Config, ErrorsNameFileKeyAndReason) {
@@ -141,21 +142,23 @@
       {"[settings.cloud]", "[settings.clouds]", "settings.cloud"},
       {"txn_ops = 48", "", "settings.state.txn_ops"},
   };
-  for (const Case& c : cases) {
-    std::string file = write("bad.toml", valid_toml_with(c.original, c.replacement));
-    std::string e = error_of(file, "");
-    EXPECT_EQ(e.rfind(file + ": " + c.key + ": ", 0), 0U) << c.key << " <- " << e;
-    EXPECT_EQ(e.find('\n'), std::string::npos) << e;
+  for (const Case& test_case : cases) {
+    std::string file = write("bad.toml", valid_toml_with(test_case.original, test_case.replacement));
+    std::string error = error_of(file, "");
+    EXPECT_EQ(error.rfind(file + ": " + test_case.key + ": ", 0), 0U) << test_case.key << " <- " << error;
+    EXPECT_EQ(error.find('\n'), std::string::npos) << error;
   }
   EXPECT_NE(error_of(write("broken.toml", "node_name = "), ""), "");
   EXPECT_NE(error_of("/no/such/file", ""), "");
 }
 
 TEST_F(Config, ShortCancellationTimeShortensTheControllerLease) {
-  auto c = config::load(write("short.toml", valid_toml_with("cancel_s = 40.0", "cancel_s = 15.0")), {});
-  const Settings& s = c.settings;
-  EXPECT_LT(s.operator_settings.controller_lease_s, 4);
-  EXPECT_LT(s.operator_settings.controller_lease_s + s.read_only_period_s() + s.lease_expiry_s(), 15);
+  auto config = config::load(write("short.toml", valid_toml_with("cancel_s = 40.0", "cancel_s = 15.0")), {});
+  const Settings& settings = config.settings;
+  EXPECT_LT(settings.operator_settings.controller_lease_s, 4);
+  EXPECT_LT(settings.operator_settings.controller_lease_s + settings.read_only_period_s() +
+                settings.lease_expiry_s(),
+            15);
 }
 
 TEST_F(Config, OperatorFileIsParsedStrictly) {
@@ -183,31 +186,32 @@
       EXPECT_NE(error.find(test_case.error), std::string::npos) << test_case.text << " <- " << error;
     }
   }
-  auto op = operators(write("op2.yaml", "finished_ratio: 0.5\nbaseline_floor_s: 7\n"));
-  EXPECT_DOUBLE_EQ(op.finished_ratio, 0.5);
-  EXPECT_DOUBLE_EQ(op.baseline_floor_s, 7);
+  auto operator_settings =
+      load_operator_settings(write("op2.yaml", "finished_ratio: 0.5\nbaseline_floor_s: 7\n"));
+  EXPECT_DOUBLE_EQ(operator_settings.finished_ratio, 0.5);
+  EXPECT_DOUBLE_EQ(operator_settings.baseline_floor_s, 7);
 }
 
 TEST_F(Config, MarketsFileIsParsedStrictly) {
-  const std::string good_markets =
+  const std::string valid_markets =
       "markets:\n  ceiling: {per_hour: 500, per_window: 2000}\n  teams: {red: {per_hour: 100}}\n  term_s: "
       "900\n"
       "  list:\n    - {name: north, address: \"127.0.0.1:9001\"}\n    - {name: south, address: "
       "\"127.0.0.1:9002\", rps: 2}\n";
-  auto changed = [&](const std::string& from, const std::string& replacement) {
-    std::string s = good_markets;
-    std::size_t at = s.find(from);
-    EXPECT_NE(at, std::string::npos) << from;
-    return s.replace(at, from.size(), replacement);
+  auto markets_with = [&](const std::string& original, const std::string& replacement) {
+    std::string text = valid_markets;
+    std::size_t position = text.find(original);
+    EXPECT_NE(position, std::string::npos) << original;
+    return text.replace(position, original.size(), replacement);
   };
   std::string toml = write("good.toml", valid_toml);
-  auto c =
-      config::load(toml, {std::string(DEPLOY_DIR) + "/operator.yaml", write("markets.yaml", good_markets)});
-  ASSERT_EQ(c.markets.markets.size(), 2U);
-  EXPECT_EQ(c.names.markets.name(c.markets.markets[1].index), "south");
-  EXPECT_EQ(c.markets.total_limit.per_window, market::to_money_amount(2000));
-  EXPECT_EQ(c.markets.team_limits.at(PartitionIndex{1}).per_hour, market::to_money_amount(100));
-  EXPECT_DOUBLE_EQ(c.markets.max_paid_s, 900);
+  auto config =
+      config::load(toml, {std::string(DEPLOY_DIR) + "/operator.yaml", write("markets.yaml", valid_markets)});
+  ASSERT_EQ(config.markets.markets.size(), 2U);
+  EXPECT_EQ(config.names.markets.name(config.markets.markets[1].index), "south");
+  EXPECT_EQ(config.markets.total_limit.per_window, market::to_money_amount(2000));
+  EXPECT_EQ(config.markets.team_limits.at(PartitionIndex{1}).per_hour, market::to_money_amount(100));
+  EXPECT_DOUBLE_EQ(config.markets.max_paid_s, 900);
   struct Case {
     const char *original, *replacement, *error;
   };
@@ -228,11 +232,11 @@
       {"rps: 2", "rsp: 2", "markets.list[1].rsp: unknown setting"},
       {"rps: 2", "rps: fast", "markets.list[1].rps: not a number"},
   };
-  for (const Case& x : cases) {
-    std::string file = write("bad.yaml", changed(x.original, x.replacement));
-    std::string e = error_of(toml, file);
-    EXPECT_EQ(e.rfind(file + ": " + x.error, 0), 0U) << x.replacement << " <- " << e;
-    EXPECT_EQ(e.find('\n'), std::string::npos) << e;
+  for (const Case& test_case : cases) {
+    std::string file = write("bad.yaml", markets_with(test_case.original, test_case.replacement));
+    std::string error = error_of(toml, file);
+    EXPECT_EQ(error.rfind(file + ": " + test_case.error, 0), 0U) << test_case.replacement << " <- " << error;
+    EXPECT_EQ(error.find('\n'), std::string::npos) << error;
   }
   EXPECT_NE(
       error_of(toml, write("empty.yaml", "markets:\n  ceiling: {per_hour: 1, per_window: 1}\n  list: []\n"))
@@ -241,8 +245,8 @@
 }
 
 TEST_F(Config, ShippedMarketsFileIsValid) {
-  auto c = config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/markets.yaml"});
-  EXPECT_TRUE(c.markets.enabled());
+  auto config = config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/markets.yaml"});
+  EXPECT_TRUE(config.markets.enabled());
   EXPECT_FALSE(config::load(write("good.toml", valid_toml), {}).markets.enabled());
 }
 
@@ -254,12 +258,12 @@
       "      when: {zone: Africa/Tunis, weekly: [mon], at: \"06:30\", window_s: 600}\n";
   const std::string models = "models:\n  list:\n    - {name: chat, class: serve, calls: [call], most: 4}\n";
   std::string toml = write("good.toml", valid_toml);
-  auto c = config::load(toml, {write("calendar.yaml", calendar), write("models.yaml", models)});
-  ASSERT_EQ(c.calendar.releases.size(), 1U);
-  EXPECT_EQ(c.calendar.releases[0].editions[0].render_jobs[0].count, 2U);
-  EXPECT_EQ(c.calendar.releases[0].publish_time->second_of_day, 6 * 3600U + 30 * 60);
-  EXPECT_EQ(c.models.models.at(0).max_replicas, 4U);
-  EXPECT_DOUBLE_EQ(c.clock_skew_s, 0.1);
+  auto config = config::load(toml, {write("calendar.yaml", calendar), write("models.yaml", models)});
+  ASSERT_EQ(config.calendar.releases.size(), 1U);
+  EXPECT_EQ(config.calendar.releases[0].editions[0].render_jobs[0].count, 2U);
+  EXPECT_EQ(config.calendar.releases[0].publish_time->second_of_day, 6 * 3600U + 30 * 60);
+  EXPECT_EQ(config.models.models.at(0).max_replicas, 4U);
+  EXPECT_DOUBLE_EQ(config.clock_skew_s, 0.1);
   struct Case {
     const std::string& document;
     const char *original, *replacement, *error;
@@ -282,26 +286,27 @@
   };
   for (const Case& test_case : cases) {
     std::string text = test_case.document;
-    std::size_t at = text.find(test_case.original);
-    ASSERT_NE(at, std::string::npos) << test_case.original;
-    std::string file =
-        write("bad.yaml", text.replace(at, std::string(test_case.original).size(), test_case.replacement));
-    std::string e = error_of(toml, file);
-    EXPECT_EQ(e.rfind(file + ": " + test_case.error, 0), 0U) << test_case.replacement << " <- " << e;
+    std::size_t position = text.find(test_case.original);
+    ASSERT_NE(position, std::string::npos) << test_case.original;
+    std::string file = write(
+        "bad.yaml", text.replace(position, std::string(test_case.original).size(), test_case.replacement));
+    std::string error = error_of(toml, file);
+    EXPECT_EQ(error.rfind(file + ": " + test_case.error, 0), 0U) << test_case.replacement << " <- " << error;
   }
 }
 
 TEST_F(Config, ShippedCalendarAndModelsAreValid) {
-  auto c = config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/calendar.yaml",
-                                                         std::string(DEPLOY_DIR) + "/models.yaml"});
-  EXPECT_EQ(c.calendar.releases.size(), 1U);
-  EXPECT_EQ(c.models.models.size(), 1U);
-  auto none = config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/operator.yaml"});
-  EXPECT_TRUE(none.calendar.empty() && none.models.empty());
+  auto config = config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/calendar.yaml",
+                                                              std::string(DEPLOY_DIR) + "/models.yaml"});
+  EXPECT_EQ(config.calendar.releases.size(), 1U);
+  EXPECT_EQ(config.models.models.size(), 1U);
+  auto without_sections =
+      config::load(write("good.toml", valid_toml), {std::string(DEPLOY_DIR) + "/operator.yaml"});
+  EXPECT_TRUE(without_sections.calendar.empty() && without_sections.models.empty());
 }
 
 TEST_F(Config, ShippedOperatorFileIsValidAndListsTheDefaults) {
-  auto operator_settings = operators(std::string(DEPLOY_DIR) + "/operator.yaml");
+  auto operator_settings = load_operator_settings(std::string(DEPLOY_DIR) + "/operator.yaml");
   OperatorSettings defaults;
   EXPECT_DOUBLE_EQ(operator_settings.finished_ratio, defaults.finished_ratio);
   EXPECT_DOUBLE_EQ(operator_settings.slow_multiplier, defaults.slow_multiplier);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -87,10 +87,10 @@
 }
 
 Json input(const std::string& file, const std::string& name) {
-  for (const auto& [of, body] : read_inputs(file)) {
-    if (of == name) return body;
+  for (const auto& [input_name, body] : read_inputs(file)) {
+    if (input_name == name) return body;
   }
-  ADD_FAILURE() << file << " has no " << name;
+  ADD_FAILURE() << file << " has no input " << name;
   return Json::object();
 }
 
@@ -111,7 +111,7 @@
 }
 
 /// A job with only the required fields of a submission.
-JobSpec bare_job() {
+JobSpec minimal_job() {
   JobSpec spec = simulation::test_job("run-2", 1);
   spec.submitted_at = 1700000001;
   return spec;
@@ -119,15 +119,15 @@
 
 /// A cluster state with the jobs, the machine and the market to which the records refer.
 struct Tables {
-  Tables() : model(simulation::test_settings("node-0"), simulation::test_names()) {
-    for (const JobSpec& spec : {full_job(), bare_job()}) {
-      model.apply({JobKey{model.intern_job(spec.ref)}, JobRecord{spec, JobPhase::open}, 0}, 1, 0);
+  Tables() : cluster(simulation::test_settings("node-0"), simulation::test_names()) {
+    for (const JobSpec& spec : {full_job(), minimal_job()}) {
+      cluster.apply({JobKey{cluster.intern_job(spec.ref)}, JobRecord{spec, JobPhase::open}, 0}, 1, 0);
     }
-    machine = model.intern_machine("host-1");
-    north = model.names.markets.intern("north");
-    job = model.find_job("run-1");
+    machine = cluster.intern_machine("host-1");
+    north = cluster.names.markets.intern("north");
+    job = cluster.find_job("run-1");
   }
-  ClusterState model;
+  ClusterState cluster;
   MachineIndex machine;
   MarketIndex north;
   JobIndex job;
@@ -135,69 +135,69 @@
 
 /// Adds the key and value of a record, and expects that decoding and encoding them again changes nothing.
 void add_record(GoldenLines& lines, Tables& tables, const std::string& name, const Change& change) {
-  std::string key = state::encode_key(change.key, tables.model);
-  Json value = state::encode_value(change, tables.model);
+  std::string key = state::encode_key(change.key, tables.cluster);
+  Json value = state::encode_value(change, tables.cluster);
   lines.add(name + " key", key);
   lines.add_body(name + " value", value);
   auto stored = wire::decode_map(wire::encode(value));
   ASSERT_TRUE(stored) << name;
-  auto decoded = state::decode(key, &*stored, tables.model);
+  auto decoded = state::decode(key, &*stored, tables.cluster);
   if (std::holds_alternative<FinalPhaseKey>(change.key)) {
     EXPECT_FALSE(decoded) << "final phases are not live keys";
     EXPECT_TRUE(state::read_phase(*stored)) << name;
     return;
   }
   ASSERT_TRUE(decoded) << name;
-  EXPECT_EQ(state::encode_key(decoded->key, tables.model), key) << name;
-  EXPECT_EQ(state::encode_value(*decoded, tables.model), value) << name;
+  EXPECT_EQ(state::encode_key(decoded->key, tables.cluster), key) << name;
+  EXPECT_EQ(state::encode_value(*decoded, tables.cluster), value) << name;
 }
 
-void add_job_records(GoldenLines& lines, Tables& t) {
+void add_job_records(GoldenLines& lines, Tables& tables) {
   for (JobPhase phase : {JobPhase::open, JobPhase::done, JobPhase::cancelled}) {
-    add_record(lines, t, std::string("job ") + name_of(phase),
-               {JobKey{t.job}, JobRecord{full_job(), phase}, 0});
-    add_record(lines, t, std::string("final ") + name_of(phase), {FinalPhaseKey{t.job}, phase, 0});
+    add_record(lines, tables, std::string("job ") + name_of(phase),
+               {JobKey{tables.job}, JobRecord{full_job(), phase}, 0});
+    add_record(lines, tables, std::string("final ") + name_of(phase), {FinalPhaseKey{tables.job}, phase, 0});
   }
-  add_record(lines, t, "job bare",
-             {JobKey{t.model.find_job("run-2")}, JobRecord{bare_job(), JobPhase::open}, 0});
+  add_record(lines, tables, "job bare",
+             {JobKey{tables.cluster.find_job("run-2")}, JobRecord{minimal_job(), JobPhase::open}, 0});
 }
 
-void add_chunk_records(GoldenLines& lines, Tables& t) {
+void add_chunk_records(GoldenLines& lines, Tables& tables) {
   ChunkRecord chunk;
-  add_record(lines, t, "chunk bare", {ChunkKey{t.job, 0}, chunk, 0});
+  add_record(lines, tables, "chunk bare", {ChunkKey{tables.job, 0}, chunk, 0});
   chunk.done = 0xdeadbeefcafef00d;
   chunk.restarted = 1ULL << 63;
-  chunk.placements = {{64, t.machine, (1ULL << 60) + 7, true, 12}, {65, t.machine, 3, false, -1}};
+  chunk.placements = {{64, tables.machine, (1ULL << 60) + 7, true, 12}, {65, tables.machine, 3, false, -1}};
   chunk.checkpoints[66] = {30, 45, 61};
   chunk.finishes = {{67, 12.5, 40}};
-  add_record(lines, t, "chunk full", {ChunkKey{t.job, 1}, chunk, 0});
+  add_record(lines, tables, "chunk full", {ChunkKey{tables.job, 1}, chunk, 0});
 }
 
-void add_machine_records(GoldenLines& lines, Tables& t) {
+void add_machine_records(GoldenLines& lines, Tables& tables) {
   MachineRecord machine;
   machine.partition = PartitionIndex{0};
   machine.type = TypeIndex{0};
   machine.zone = ZoneIndex{0};
-  add_record(lines, t, "machine bare", {MachineKey{t.machine}, machine, 0});
+  add_record(lines, tables, "machine bare", {MachineKey{tables.machine}, machine, 0});
   machine.partition = PartitionIndex{1};
   machine.zone = ZoneIndex{1};
   machine.spot = machine.has_booted = true;
   machine.mark = MachineMark::deleting;
   machine.requested_by = PartitionIndex{2};
-  machine.market = t.north;
+  machine.market = tables.north;
   machine.bid = "bid-1";
-  add_record(lines, t, "machine full", {MachineKey{t.machine}, machine, 0});
+  add_record(lines, tables, "machine full", {MachineKey{tables.machine}, machine, 0});
 }
 
-void add_claim_records(GoldenLines& lines, Tables& t) {
-  add_record(lines, t, "claim pool", {OwnershipKey{idle_pool}, OwnershipRecord{"node-0", 9}, 9});
-  add_record(lines, t, "claim part", {OwnershipKey{PartitionIndex{1}}, OwnershipRecord{"node-0", 9}, 9});
-  add_record(lines, t, "node", {ControllerKey{"node-0"}, OwnershipRecord{"node-0", 9}, 9});
+void add_ownership_records(GoldenLines& lines, Tables& tables) {
+  add_record(lines, tables, "claim pool", {OwnershipKey{idle_pool}, OwnershipRecord{"node-0", 9}, 9});
+  add_record(lines, tables, "claim part", {OwnershipKey{PartitionIndex{1}}, OwnershipRecord{"node-0", 9}, 9});
+  add_record(lines, tables, "node", {ControllerKey{"node-0"}, OwnershipRecord{"node-0", 9}, 9});
 }
 
-void add_money_records(GoldenLines& lines, Tables& t) {
+void add_accounting_records(GoldenLines& lines, Tables& tables) {
   BidRecord bid;
-  bid.market = t.north;
+  bid.market = tables.north;
   bid.type = TypeIndex{0};
   bid.zone = ZoneIndex{1};
   bid.spot = true;
@@ -206,30 +206,30 @@
   bid.send_before = 1700000100;
   bid.delivery_s = 45;
   bid.machines = {{PartitionIndex{1}, 2}, {PartitionIndex{2}, 3}};
-  add_record(lines, t, "bid", {BidKey{"bid-1"}, bid, 0});
-  add_record(lines, t, "ledger bare", {LedgerKey{}, LedgerRecord{}, 0});
-  add_record(lines, t, "ledger",
+  add_record(lines, tables, "bid", {BidKey{"bid-1"}, bid, 0});
+  add_record(lines, tables, "ledger bare", {LedgerKey{}, LedgerRecord{}, 0});
+  add_record(lines, tables, "ledger",
              {LedgerKey{}, LedgerRecord{19675, {{PartitionIndex{1}, 5}, {PartitionIndex{2}, 7}}}, 0});
   MarketRecord market;
   market.evidence = {1, 2, 3, 4, 5, 6, 7, 8};
-  add_record(lines, t, "market", {MarketKey{t.north}, market, 0});
+  add_record(lines, tables, "market", {MarketKey{tables.north}, market, 0});
   market.suspended = true;
   market.reason = "overcharged";
-  add_record(lines, t, "market shut", {MarketKey{t.north}, market, 0});
+  add_record(lines, tables, "market shut", {MarketKey{tables.north}, market, 0});
 }
 
-void add_agreed_records(GoldenLines& lines, Tables& t) {
-  DecisionRecord agreed;
-  agreed.state = "cold";
-  agreed.sequence = 1;
-  agreed.changed_at = 1700000000.5;
-  add_record(lines, t, "agreed bare", {DecisionKey{"model/chat"}, agreed, 0});
-  agreed.version = 2;
-  agreed.epoch = 3;
-  agreed.reason = "idle";
-  agreed.counts = {{"replicas", 2}};
-  agreed.notes = {{"job", "run-1"}};
-  add_record(lines, t, "agreed full", {DecisionKey{"model/chat"}, agreed, 0});
+void add_decision_records(GoldenLines& lines, Tables& tables) {
+  DecisionRecord decision;
+  decision.state = "cold";
+  decision.sequence = 1;
+  decision.changed_at = 1700000000.5;
+  add_record(lines, tables, "agreed bare", {DecisionKey{"model/chat"}, decision, 0});
+  decision.version = 2;
+  decision.epoch = 3;
+  decision.reason = "idle";
+  decision.counts = {{"replicas", 2}};
+  decision.notes = {{"job", "run-1"}};
+  add_record(lines, tables, "agreed full", {DecisionKey{"model/chat"}, decision, 0});
 }
 
 TEST(Golden, StateKeysAndValues) {
@@ -238,9 +238,9 @@
   add_job_records(lines, tables);
   add_chunk_records(lines, tables);
   add_machine_records(lines, tables);
-  add_claim_records(lines, tables);
-  add_money_records(lines, tables);
-  add_agreed_records(lines, tables);
+  add_ownership_records(lines, tables);
+  add_accounting_records(lines, tables);
+  add_decision_records(lines, tables);
   lines.add("live prefix", state::live_prefix);
   lines.add("catalog key", state::catalog_key);
   lines.add("pool name", state::idle_pool_name);
@@ -250,7 +250,7 @@
 TEST(Golden, StateTransactions) {
   GoldenLines lines;
   Tables tables;
-  Json record = state::job_value(bare_job(), JobPhase::open, tables.model.names);
+  Json record = state::job_value(minimal_job(), JobPhase::open, tables.cluster.names);
   lines.add_body("submission", service::submission_txn("run-2", record));
   lines.add_body("withdrawal", service::withdrawal_txn("run-2", record, 41));
   Write write;
@@ -258,8 +258,8 @@
   write.txn.guards = {{JobKey{tables.job}, 41}};
   write.txn.changes = {{JobKey{tables.job}, std::monostate(), 0},
                        {FinalPhaseKey{tables.job}, JobPhase::done, 0}};
-  service::WriteQueue outbox;
-  lines.add_body("outbox", outbox.get_or_create(write, tables.model).body);
+  service::WriteQueue write_queue;
+  lines.add_body("outbox", write_queue.get_or_create(write, tables.cluster).body);
   lines.expect_same("transactions.txt");
 }
 
@@ -269,29 +269,29 @@
     lines.add(kind.name + " step", step.from + " > " + step.to);
 }
 
-std::string field_names(const Json& j) {
+std::string field_names(const Json& json) {
   std::string names;
-  for (const auto& [key, value] : j.items())
+  for (const auto& [key, value] : json.items())
     names += (names.empty() ? "" : " ") + key + (value.is_object() ? "{" + field_names(value) + "}" : "");
   return names;
 }
 
 release_calendar::ReleaseCalendar one_release() {
-  release_calendar::ReleaseSpec terms;
-  terms.name = "manual";
-  terms.revision = "r1";
-  terms.editions = {{"ar", {{"run-ar", "", "", 1}}, {"run-pub-ar", "", "", 1}},
-                    {"fr", {{"", "class", "img", 2}}, {"", "publish", "img", 1}}};
-  return {3, {terms}};
+  release_calendar::ReleaseSpec release_spec;
+  release_spec.name = "manual";
+  release_spec.revision = "r1";
+  release_spec.editions = {{"ar", {{"run-ar", "", "", 1}}, {"run-pub-ar", "", "", 1}},
+                           {"fr", {{"", "class", "img", 2}}, {"", "publish", "img", 1}}};
+  return {3, {release_spec}};
 }
 
 serving::Settings one_model() {
-  serving::ModelSpec terms;
-  terms.name = "chat";
-  terms.job_class = "class";
-  terms.call_classes = {"call"};
-  terms.min_replicas = 1;
-  return {1, {terms}};
+  serving::ModelSpec model_spec;
+  model_spec.name = "chat";
+  model_spec.job_class = "class";
+  model_spec.call_classes = {"call"};
+  model_spec.min_replicas = 1;
+  return {1, {model_spec}};
 }
 
 TEST(Golden, DurableDecisions) {
@@ -303,9 +303,9 @@
   simulation::SimulatedCluster cluster(1);
   cluster.controller(0).enable_decisions(one_release(), one_model());
   cluster.add_machine("m1");
-  JobSpec standing = simulation::test_job("run-1", 1);
-  standing.shape = JobShape::service;
-  cluster.submit(standing);
+  JobSpec service_job = simulation::test_job("run-1", 1);
+  service_job.shape = JobShape::service;
+  cluster.submit(service_job);
   cluster.submit(simulation::test_job("run-ar", 1));
   cluster.run(15);
   for (const auto& [key, entry] : cluster.store.keys()) {
@@ -315,15 +315,15 @@
   lines.expect_same("decisions.txt");
 }
 
-TEST(Golden, ReleaseTerms) {
+TEST(Golden, ReleaseSpecs) {
   GoldenLines lines;
-  release_calendar::ReleaseSpec terms = one_release().releases[0];
-  lines.add("bare", release_calendar::to_text(terms));
-  terms.publish_time =
+  release_calendar::ReleaseSpec release_spec = one_release().releases[0];
+  lines.add("bare", release_calendar::to_text(release_spec));
+  release_spec.publish_time =
       release_calendar::ScheduledTime{"Africa/Tunis", {1, 4}, "", 21600, 7200, {"2027-01-01", "2027-03-20"}};
-  lines.add("weekly", release_calendar::to_text(terms));
-  terms.publish_time = release_calendar::ScheduledTime{"UTC", {}, "2026-12-24", 5, 0, {}};
-  lines.add("dated", release_calendar::to_text(terms));
+  lines.add("weekly", release_calendar::to_text(release_spec));
+  release_spec.publish_time = release_calendar::ScheduledTime{"UTC", {}, "2026-12-24", 5, 0, {}};
+  lines.add("dated", release_calendar::to_text(release_spec));
   for (const auto& [name, body] : read_inputs("input_terms.txt")) {
     auto read = release_calendar::from_text(body.dump());
     ASSERT_TRUE(read) << name;
@@ -336,14 +336,14 @@
   GoldenLines lines;
   Names names = simulation::test_names();
   lines.add_body("submission full", wire::write_submission(full_job(), names));
-  lines.add_body("submission bare", wire::write_submission(bare_job(), names));
-  JobSpec spec = bare_job();
+  lines.add_body("submission bare", wire::write_submission(minimal_job(), names));
+  JobSpec spec = minimal_job();
   for (JobShape shape : {JobShape::array, JobShape::gang, JobShape::service}) {
     spec.shape = shape;
     lines.add("shape", wire::write_submission(spec, names).at("shape").dump());
   }
-  for (Priority rank : {Priority::low, Priority::normal, Priority::high, Priority::production}) {
-    spec.priority = rank;
+  for (Priority priority : {Priority::low, Priority::normal, Priority::high, Priority::production}) {
+    spec.priority = priority;
     lines.add("rank", wire::write_submission(spec, names).at("rank").dump());
   }
   for (JobPhase phase : {JobPhase::open, JobPhase::done, JobPhase::cancelled})
@@ -351,16 +351,16 @@
   lines.expect_same("job_bodies.txt");
 }
 
-TEST(Golden, WorkerBodiesWritten) {
+TEST(Golden, AgentBodiesWritten) {
   GoldenLines lines;
-  std::vector<AgentCommand> orders = {{CommandKind::start, "run-1", 3, 7, 0},
-                                      {CommandKind::kill, "run-1", 4, 8, 2.5},
-                                      {CommandKind::clear, "run-1", 5, 9, 0}};
-  lines.add_body("answer ok", wire::write_report_answer({ReportAnswer::Kind::ok, "", 41, orders, false}));
+  std::vector<AgentCommand> commands = {{CommandKind::start, "run-1", 3, 7, 0},
+                                        {CommandKind::kill, "run-1", 4, 8, 2.5},
+                                        {CommandKind::clear, "run-1", 5, 9, 0}};
+  lines.add_body("answer ok", wire::write_report_answer({ReportAnswer::Kind::ok, "", 41, commands, false}));
   lines.add_body("answer bare", wire::write_report_answer({ReportAnswer::Kind::ok, "", 41, {}, false}));
   lines.add_body("answer redirect",
                  wire::write_report_answer({ReportAnswer::Kind::redirect, "node-1", 0, {}, true}));
-  lines.add_body("direct", wire::write_direct_commands({MachineIndex{0}, 2, 41, orders}));
+  lines.add_body("direct", wire::write_direct_commands({MachineIndex{0}, 2, 41, commands}));
   lines.expect_same("worker_bodies.txt");
 }
 
@@ -369,8 +369,9 @@
   Names names = simulation::test_names();
   MachineType type{{32, 4, 128}, 200, 0.5, 10, 3, 20, {}};
   lines.add_body("catalog", wire::write_catalog({{"std", type, {"a", "b"}}}));
-  lines.add_body("rental", wire::write_scale_out({"hire-1", TypeIndex{0}, ZoneIndex{1}, true, 3, {}}, names));
-  lines.add_body("delete", wire::write_delete({"host-1", "host-2"}));
+  lines.add_body("rental",
+                 wire::write_scale_out_request({"hire-1", TypeIndex{0}, ZoneIndex{1}, true, 3, {}}, names));
+  lines.add_body("delete", wire::write_delete_request({"host-1", "host-2"}));
   lines.expect_same("cloud_bodies.txt");
 }
 
@@ -386,7 +387,7 @@
   lines.expect_same("submissions_read.txt");
 }
 
-TEST(Golden, SubmissionFieldsReachTheirMeaning) {
+TEST(Golden, SubmissionFieldsAreDecodedIntoTheJobSpec) {
   Json body = input("input_submissions.txt", "full");
   Names names = simulation::test_names();
   JobSpec spec;
@@ -474,8 +475,9 @@
   EXPECT_EQ(entry.type.spot_price, 3);
   EXPECT_EQ(entry.type.boot_s, 20);
   EXPECT_EQ(entry.zones, (std::vector<std::string>{"a", "b"}));
-  EXPECT_EQ(wire::read_hosts(input(file, "hosts")), (std::vector<std::string>{"host-1", "host-2"}));
-  auto page = wire::read_list(input(file, "list"));
+  EXPECT_EQ(wire::read_granted_machines(input(file, "hosts")),
+            (std::vector<std::string>{"host-1", "host-2"}));
+  auto page = wire::read_machine_list(input(file, "list"));
   ASSERT_TRUE(page);
   EXPECT_TRUE(page->has_more);
   ASSERT_EQ(page->machines.size(), 3U);
@@ -575,14 +577,14 @@
   EXPECT_EQ(won.hosts[0].kind, (MachineKind{TypeIndex{0}, ZoneIndex{1}, true}));
 }
 
-TEST(Golden, PeerNews) {
+TEST(Golden, PeerUpdates) {
   GoldenLines lines;
   service::PeerUpdate full{"node-1", 1ULL << 40, true, {"a", "b"}, {{"red", 7, 2, 9, 3}}, {"host-1"}};
   lines.add("full", hex(service::encode(full)));
   lines.add("bare", hex(service::encode({"node-1", 0, false, {}, {}, {}})));
   // Message of an older version: a map of node, revision and state_ok.
-  const std::string old = "\x83\xa4node\xa6node-1\xa8revision\x05\xa8state_ok\xc3";
-  auto read = service::decode_peer_update(old);
+  const std::string older = "\x83\xa4node\xa6node-1\xa8revision\x05\xa8state_ok\xc3";
+  auto read = service::decode_peer_update(older);
   ASSERT_TRUE(read);
   lines.add("read from old", hex(service::encode(*read)));
   lines.expect_same("peer_news.txt");
@@ -678,8 +680,8 @@
   const release_calendar::ReleaseCalendar calendar = golden_config().calendar;
   GoldenLines lines;
   lines.add("version", std::to_string(calendar.version));
-  for (const release_calendar::ReleaseSpec& terms : calendar.releases)
-    lines.add(terms.name, release_calendar::to_text(terms));
+  for (const release_calendar::ReleaseSpec& release_spec : calendar.releases)
+    lines.add(release_spec.name, release_calendar::to_text(release_spec));
   lines.expect_same("calendar.txt");
 }
 
@@ -717,8 +719,8 @@
   std::string error;
   try {
     config::load(golden_path("service.toml"), {path});
-  } catch (const config::Error& e) {
-    error = e.what();
+  } catch (const config::Error& caught) {
+    error = caught.what();
   }
   std::remove(path.c_str());
   return error.rfind(path + ": ", 0) == 0 ? error.substr(path.size() + 2) : error;
@@ -729,16 +731,17 @@
   GoldenLines lines;
   const std::string text = read_file(golden_path("operator.yaml")).value_or("");
   ASSERT_EQ(operator_error(text), "");
-  std::size_t at = 0;
-  while (at < text.size()) {
-    std::size_t end = text.find('\n', at), first = text.find_first_not_of(' ', at);
-    std::string line = text.substr(at, end - at);
+  std::size_t line_start = 0;
+  while (line_start < text.size()) {
+    std::size_t line_end = text.find('\n', line_start), first = text.find_first_not_of(' ', line_start);
+    std::string line = text.substr(line_start, line_end - line_start);
     if (text[first] != '-' && text[first] != '#') {
-      std::string indent(first - at, ' ');
-      std::string changed = text.substr(0, at) + indent + "a_key_nobody_knows: 1\n" + text.substr(at);
+      std::string indent(first - line_start, ' ');
+      std::string changed =
+          text.substr(0, line_start) + indent + "a_key_nobody_knows: 1\n" + text.substr(line_start);
       lines.add(line.substr(0, line.find(':')), operator_error(changed));
     }
-    at = end + 1;
+    line_start = line_end + 1;
   }
   lines.expect_same("unknown_settings.txt");
 }
--- a/tests/state_service_client_test.cpp
+++ b/tests/state_service_client_test.cpp
@@ -18,8 +18,8 @@
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     EXPECT_EQ(::bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     EXPECT_EQ(::listen(fd_, 16), 0);
-    socklen_t n = sizeof address;
-    ::getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &n);
+    socklen_t address_size = sizeof address;
+    ::getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &address_size);
     port = ntohs(address.sin_port);
   }
   ~SilentServer() { ::close(fd_); }
@@ -34,38 +34,39 @@
 TEST(StateServiceClient, RequestsDoNotQueueBehindTimeoutsOfASilentService) {
   // Guards against a queue in which each request waits for the timeouts of those before it, until its user
   // gives up.
-  SilentServer mute;
+  SilentServer silent_server;
   auto base = net::make_event_base();
   double now = 100;
   Settings settings;
-  state::Store store(base.get(), {"127.0.0.1", mute.port}, settings, [&now] { return now; });
-  int given_up = 0, placements = 0;
-  constexpr int calls = 60;  // more calls than connections
-  for (int i = 0; i < calls; ++i) {
-    store.get("o/j/run-" + std::to_string(i), Urgency::user, [&given_up](const state::StoreResponse& a) {
-      EXPECT_EQ(a.status, 0);
-      ++given_up;
-    });
+  state::Store store(base.get(), {"127.0.0.1", silent_server.port}, settings, [&now] { return now; });
+  int dropped = 0, placement_responses = 0;
+  constexpr int call_count = 60;  // more calls than connections
+  for (int i = 0; i < call_count; ++i) {
+    store.get("o/j/run-" + std::to_string(i), Urgency::user,
+              [&dropped](const state::StoreResponse& response) {
+                EXPECT_EQ(response.status, 0);
+                ++dropped;
+              });
   }
   store.commit({{"guards", wire::Json::array()}, {"apply", wire::Json::array()}}, Urgency::placement,
-               [&placements](const state::StoreResponse&) { ++placements; });
-  EXPECT_EQ(given_up, 0);
+               [&placement_responses](const state::StoreResponse&) { ++placement_responses; });
+  EXPECT_EQ(dropped, 0);
   EXPECT_EQ(store.unresponsive_for(), 0);
-  std::size_t out = calls + 1 - store.backlog();  // calls in flight, which end by their own timeout
-  ASSERT_LT(out, static_cast<std::size_t>(calls));
+  std::size_t in_flight = call_count + 1 - store.backlog();  // these end by their own timeout
+  ASSERT_LT(in_flight, static_cast<std::size_t>(call_count));
   now += 1;
   EXPECT_GE(store.unresponsive_for(), 0.9);
   store.get("o/j/run-60", Urgency::user, [](const state::StoreResponse&) {});
-  EXPECT_EQ(given_up, calls - static_cast<int>(out));
-  EXPECT_EQ(placements, 0);  // only users' requests are dropped from the queue
+  EXPECT_EQ(dropped, call_count - static_cast<int>(in_flight));
+  EXPECT_EQ(placement_responses, 0);  // only users' requests are dropped from the queue
 }
 
 TEST(StateServiceClient, ReadsDoNotWaitBehindSubmissionWrites) {
-  SilentServer mute;
+  SilentServer silent_server;
   auto base = net::make_event_base();
   double now = 100;
   Settings settings;
-  state::Store store(base.get(), {"127.0.0.1", mute.port}, settings, [&now] { return now; });
+  state::Store store(base.get(), {"127.0.0.1", silent_server.port}, settings, [&now] { return now; });
   const wire::Json submission = {{"guards", wire::Json::array()},
                                  {"apply", {{{"put", "o/j/run-1"}, {"value", 1}}}}};
   for (int i = 0; i < 25; ++i) store.commit(submission, Urgency::user, [](const state::StoreResponse&) {});
