--- a/include/oxbowmill/simulation/agent_wire.h
+++ b/include/oxbowmill/simulation/agent_wire.h
@@ -1,5 +1,5 @@
-// The agent's side of the protocol's messages: writes what the controllers' codec reads and reads what it
-// writes. No state.
+// The agent's side of the agent protocol: encodes the messages that a controller decodes, and decodes those
+// that it encodes. Stateless.
 #pragma once
 
 #include <optional>
@@ -9,11 +9,11 @@
 
 namespace oxbowmill::simulation {
 
-/// The body of `POST /hello`.
+/// Encodes a heartbeat, the body of `POST /hello`.
 wire::Json write_report(const AgentReport& report);
-/// The response to a report; none where a field is missing or has the wrong type.
+/// Decodes the response to a heartbeat; nullopt if a field is missing or has the wrong type.
 std::optional<ReportAnswer> read_answer(const wire::Json& body);
-/// The body of `POST /commands`; none where a field is missing or has the wrong type.
+/// Decodes the body of `POST /commands`; nullopt if a field is missing or has the wrong type.
 std::optional<DirectCommands> read_command(const wire::Json& body);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/market_experiment.h
+++ b/include/oxbowmill/simulation/market_experiment.h
@@ -1,41 +1,41 @@
-// Plays a market scenario with many seeds, each policy with the same ones, and summarises the results. No
-// state.
+// Simulates a market scenario under each policy with the same seeds and summarises the results. Stateless.
 #pragma once
 
 #include "oxbowmill/simulation/market_simulation.h"
 
 namespace oxbowmill::simulation {
 
-/// One run.
+/// Result of one run.
 struct MarketRow {
-  Policy policy = Policy::planner;  ///< that allocated the demand
-  std::uint64_t seed = 0;           ///< of all its random draws
-  MarketResult result;              ///< what it came to
+  Policy policy = Policy::planner;  ///< policy that allocated demand to offers
+  std::uint64_t seed = 0;           ///< seed of all random draws
+  MarketResult result;              ///< results of the run
 };
 
-/// Plays seeds 1 to `seeds` under each policy, on several threads; rows by policy, then by seed.
+/// Simulates seeds 1 to `seeds` under each policy on `threads` threads. Rows are ordered by policy, then by
+/// seed.
 std::vector<MarketRow> play(const MarketScenario& scenario, unsigned seeds, unsigned threads);
 
-/// One policy over all seeds.
+/// Results of one policy over all seeds.
 struct MarketSummary {
-  Policy policy = Policy::planner;  ///< the policy that is summarised
-  double deadlines_met = 0,         ///< fraction of all jobs
-      deadlines_met_error = 0;      ///< its standard error over seeds
-  double guaranteed_met = 0;        ///< fraction of the guaranteed jobs
-  double cost = 0;                  ///< median over seeds
-  double cost_per_job = 0;          ///< median of the cost over the number of jobs in time
-  double bought_machines = 0,       ///< of markets, mean over seeds
-      unused_machines = 0;          ///< of these never used, mean over seeds
-  int breaches = 0,                 ///< see MarketResult, sum over seeds
-      suspended = 0;                ///< markets suspended at the end, sum over seeds
+  Policy policy = Policy::planner;  ///< policy of the summarised runs
+  double deadlines_met = 0,         ///< fraction of all jobs that met their deadlines
+      deadlines_met_error = 0;      ///< standard error of `deadlines_met` over seeds
+  double guaranteed_met = 0;        ///< fraction of the guaranteed jobs that met their deadlines
+  double cost = 0;                  ///< cost of a run, median over seeds
+  double cost_per_job = 0;          ///< cost per job that met its deadline, median over seeds
+  double bought_machines = 0,       ///< machines delivered by markets, mean over seeds
+      unused_machines = 0;          ///< those of them that were never used, mean over seeds
+  int breaches = 0,                 ///< sum of MarketResult::breaches over seeds
+      suspended = 0;                ///< markets suspended at the end of a run, sum over seeds
 };
-/// One summary for each policy that has rows, in the order of `policies`.
+/// Summarises the rows by policy, in the order of `policies`; policies without rows are left out.
 std::vector<MarketSummary> summarise(const std::vector<MarketRow>& rows);
-/// For reading.
+/// Formats the summaries as a table for people.
 std::string table(const std::string& scenario, const std::vector<MarketSummary>& s);
-/// One line for each run.
+/// Formats the rows as CSV, one line per run.
 std::string csv(const std::string& scenario, const std::vector<MarketRow>& rows);
-/// The same columns as the table.
+/// Formats the summaries as JSON with the columns of the table.
 wire::Json json(const std::string& scenario, const std::vector<MarketSummary>& s);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/market_server.h
+++ b/include/oxbowmill/simulation/market_server.h
@@ -1,5 +1,5 @@
-// A simulated market behind an HTTP server on loopback. It owns the market and the requests that it leaves
-// without a response. One thread: that of its event loop.
+// Serves a simulated market over HTTP on loopback. MarketServer owns the market and the requests that the
+// market leaves without a response. All code runs on the thread of the event loop.
 #pragma once
 
 #include "oxbowmill/net/http.h"
@@ -7,16 +7,16 @@
 
 namespace oxbowmill::simulation {
 
-/// Serves one simulated market.
+/// HTTP server of one simulated market.
 class MarketServer {
  public:
-  /// `now`: seconds from 0 on, on which the market's behaviour may depend. Throws where the address cannot
-  /// be bound.
+  /// `now` returns the seconds since the market's start, on which its behaviour may depend. Throws if the
+  /// address cannot be bound.
   MarketServer(event_base* base, const net::Address& bind, SimulatedMarket market,
                std::function<double()> now);
-  /// Where it listens, with the port that was chosen for port 0.
+  /// Address on which it listens; if port 0 was requested, with the port that the system chose.
   const net::Address& address() const { return server_.address(); }
-  /// The market, also for changes between requests.
+  /// The market; it may be changed between requests.
   SimulatedMarket& market() { return market_; }
   /// Called before each request is handled; may be empty.
   std::function<void(const net::Request&)> on_request;
@@ -24,7 +24,8 @@
  private:
   SimulatedMarket market_;
   std::function<double()> now_;
-  std::vector<net::ResponderPtr> stalled_;  // requests that get no response; their connections stay open
+  std::vector<net::ResponderPtr>
+      stalled_;  // requests without a response, kept to keep their connections open
   net::HttpServer server_;
 };
 
--- a/include/oxbowmill/simulation/market_simulation.h
+++ b/include/oxbowmill/simulation/market_simulation.h
@@ -1,5 +1,6 @@
-// Leaders that bid on simulated markets, on a simulated clock: demand arrives, machines are bought, used and
-// returned. A simulation owns the markets, the stored records, the present leader and the jobs.
+// Simulates leaders that bid on simulated markets, on a simulated clock: demand arrives, and machines are
+// bought, used and returned. MarketSimulation owns the markets, the stored records, the present leader and
+// the jobs.
 #pragma once
 
 #include <memory>
@@ -9,72 +10,73 @@
 
 namespace oxbowmill::simulation {
 
-/// How demand is allocated to offers: the planner, baselines, or the planner with perfect knowledge.
+/// How demand is allocated to offers: by the planner, by a simple baseline, or by the planner with perfect
+/// knowledge of the markets (`oracle`).
 enum class Policy : std::uint8_t { planner, cheapest, single_market, even_split, oracle };
 /// All policies, in the order of the enumerators.
 constexpr Policy policies[] = {Policy::planner, Policy::cheapest, Policy::single_market, Policy::even_split,
                                Policy::oracle};
-/// As options and reports spell it.
+/// Name of the policy in options and reports.
 const char* name_of(Policy policy);
 
 /// A job of the scenario; each of its tasks takes one machine. Times are in seconds.
 struct JobArrival {
-  double arrives_at = 0,                 ///< from the start
+  double arrives_at = 0,                 ///< time from the start of the simulation
       run_s = 300,                       ///< run time of each task
-      due_s = 600;                       ///< deadline, from its arrival
-  std::uint32_t machines = 4;            ///< number of its tasks
-  Priority priority = Priority::normal;  ///< among other jobs
+      due_s = 600;                       ///< deadline, counted from its arrival
+  std::uint32_t machines = 4;            ///< number of its tasks, and so of the machines that it needs
+  Priority priority = Priority::normal;  ///< priority among other jobs
   bool guaranteed = false;               ///< within its team's guarantee
 };
 
-/// Demand, the cloud, markets and limits of spending. Times are in seconds.
+/// Jobs, cloud, markets and spending limits of a simulation. Times are in seconds.
 struct MarketScenario {
-  std::string name;                     ///< for reports
-  double duration_s = 1500;             ///< simulated time
-  double drop_at_s = 60;                ///< when a zone is lost and its work needs other machines
-  std::uint32_t jobs = 16;              ///< number of jobs
-  std::uint32_t max_machines = 6;       ///< most machines of a job
-  double run_s = 300,                   ///< mean run time of a task
-      slack_s = 150;                    ///< mean time from there to the deadline
-  double guaranteed_fraction = 0.4,     ///< fraction of the jobs
-      best_effort_fraction = 0.2;       ///< fraction of the jobs with low priority
-  std::uint32_t cloud_capacity = 8;     ///< machines that the cloud can rent at once
-  double cloud_price = 10,              ///< per machine and hour
-      cloud_ready_s = 60;               ///< boot time
-  market::Settings settings;            ///< without markets, which follow from `markets`
-  std::vector<MarketBehavior> markets;  ///< behaviour of each
+  std::string name;                  ///< for reports
+  double duration_s = 1500;          ///< simulated time
+  double drop_at_s = 60;             ///< when a zone fails and its jobs need other machines
+  std::uint32_t jobs = 16;           ///< number of jobs
+  std::uint32_t max_machines = 6;    ///< most machines of a job
+  double run_s = 300,                ///< mean run time of a task
+      slack_s = 150;                 ///< mean time between the end of that run time and the deadline
+  double guaranteed_fraction = 0.4,  ///< fraction of the jobs that are guaranteed
+      best_effort_fraction = 0.2;    ///< fraction of the jobs that have low priority
+  std::uint32_t cloud_capacity = 8;  ///< most machines that the cloud rents out at once
+  double cloud_price = 10,           ///< price per machine and hour
+      cloud_ready_s = 60;            ///< boot time of a cloud machine, before random variation
+  market::Settings settings;  ///< settings of the bidding service; their markets are replaced by `markets`
+  std::vector<MarketBehavior> markets;  ///< behaviour of each market
 };
-/// Reads a scenario file (YAML). Throws Error with file, key and reason.
+/// Reads a scenario file (YAML). Throws an Error with file, key and reason if it is invalid.
 MarketScenario load_scenario(const std::string& file);
 
-/// What one run came to.
+/// Results of one run.
 struct MarketResult {
   std::uint32_t jobs = 0,      ///< all jobs
-      in_time = 0,             ///< that met their deadlines
+      in_time = 0,             ///< jobs that met their deadlines
       guaranteed = 0,          ///< guaranteed jobs
       guaranteed_in_time = 0;  ///< guaranteed jobs that met their deadlines
   std::uint32_t bought = 0,    ///< machines delivered by markets
-      unused = 0;              ///< of these never used
-  double cost = 0;             ///< of markets and the cloud
-  int breaches = 0;            ///< steps in which paid and committed money was above a limit
-  int suspended = 0;           ///< markets that the last leader had suspended
+      unused = 0;              ///< those of them that were never used
+  double cost = 0;             ///< cost of the machines of markets and the cloud
+  int breaches = 0;            ///< steps in which paid and reserved money exceeded a limit
+  int suspended = 0;           ///< markets that are suspended at the end
 };
 
-/// One run of a scenario, step by step. The same scenario, policy and seed give the same result.
+/// One run of a scenario in steps of half a second. The same scenario, policy and seed give the same result.
 class MarketSimulation {
  public:
-  /// Draws the jobs; the first leader begins with the first step.
+  /// Generates the jobs. The first leader starts in the first step.
   MarketSimulation(const MarketScenario& scenario, Policy policy, std::uint64_t seed);
   /// Advances the clock by half a second.
   void step();
-  /// Plays the whole scenario.
+  /// Simulates the whole scenario.
   MarketResult run();
-  /// What the run has come to so far.
+  /// Results so far.
   MarketResult result() const;
 
-  /// Injects a fault: the leader ends at once; another one acquires ownership a second later.
+  /// Injects a fault: the leader crashes; another one acquires ownership a second later.
   void end_leader();
-  /// Injects a fault: while `down`, no transaction is executed and no leader can begin.
+  /// Injects a fault: while `down`, no transaction is executed and no leader can start.
   void set_state_down(bool down) { state_down_ = down; }
   /// Injects a fault: the next `count` transactions are applied without a response.
   void lose_write_responses(int count) { write_responses_to_lose_ = count; }
@@ -82,30 +84,30 @@
   void delay_writes(bool delay) { delaying_writes_ = delay; }
   /// Applies the withheld transactions.
   void release_writes();
-  /// Injects a fault: calls to markets are withheld until `release_calls`, when the leader may have given
-  /// them up.
+  /// Injects a fault: calls to markets are withheld until `release_calls`; by then the leader may have timed
+  /// them out.
   void delay_calls(bool delay) { delaying_calls_ = delay; }
-  /// Delivers the withheld calls; nobody receives their answers.
+  /// Delivers the withheld calls to the markets; their answers are discarded.
   void release_calls();
 
-  static constexpr double start_s = 1000;  ///< the clock at the start; times of scenarios count from it
-  double now = start_s;                    ///< the clock, in seconds
-  market::Settings settings;               ///< with the markets of the scenario
-  std::vector<SimulatedMarket> markets;    ///< in the order of the scenario
-  std::vector<JobArrival> arrivals;        ///< jobs; more may be added during the run
-  /// The present leader's; null between two leaders.
+  static constexpr double start_s = 1000;  ///< time at the start, to which scenario times are relative
+  double now = start_s;                    ///< present simulated time, in seconds
+  market::Settings settings;  ///< settings of the bidding service, with the markets of the scenario
+  std::vector<SimulatedMarket> markets;  ///< in the order of the scenario
+  std::vector<JobArrival> arrivals;      ///< jobs; more may be added during the simulation
+  /// Bidding service of the present leader; null if there is no leader.
   market::BiddingService* bidding_service() { return leader_ ? &leader_->bidding_service : nullptr; }
-  /// The present leader's; null between two leaders.
+  /// Cluster state of the present leader; null if there is no leader.
   ClusterState* state() { return leader_ ? &leader_->cluster_state : nullptr; }
-  /// Highest sum of what was paid and what open bids may cost, relative to a limit; has to stay at most 1.
-  double highest_use = 0,    ///< relative to the limit of the window
-      max_hourly_spend = 0;  ///< of open bids by the hour, relative to the limit of the hour
-  /// Most machines expected or present for a partition, relative to what it needed then with the extra
-  /// ones.
+  /// Highest spending relative to a limit, in which open bids count with their worst case; must not exceed 1.
+  double highest_use = 0,    ///< paid money and open bids, relative to the limit per window
+      max_hourly_spend = 0;  ///< hourly price of open bids, relative to the limit per hour
+  /// Highest number of machines that a plan awarded a partition or that are overdue for it, relative to the
+  /// machines that it needed, the allowed extra ones and two more; must not exceed 1.
   double most_bought = 0;
-  std::set<std::string> bid_names;  ///< of all bids ever recorded
-  int reused_names = 0;             ///< bids recorded under the name of an earlier one
-  int breaches = 0;                 ///< see MarketResult
+  std::set<std::string> bid_names;  ///< names of all bids ever recorded
+  int reused_names = 0;             ///< number of bids recorded under the name of an earlier bid
+  int breaches = 0;                 ///< as in MarketResult
 
  private:
   struct Leader {
@@ -114,7 +116,7 @@
     ControllerLease lease;
     Scheduler scheduler;
     market::BiddingService bidding_service;
-    std::set<std::string> adopted;  // machines with a record
+    std::set<std::string> adopted;  // names of machines with a record
   };
   struct Machine {
     PartitionIndex partition;
@@ -140,16 +142,16 @@
   void publish(const Change& change, Revision revision);
   void send(const market::Call& call);
   market::Answer ask_market(const market::Call& call);
-  /// Makes the tasks of jobs that have arrived pending.
+  /// Adds new jobs and makes the tasks of those that have arrived pending.
   void admit_arrivals();
-  /// A new leader starts from the stored records.
+  /// Starts a new leader from the stored records.
   void begin_leader();
-  /// The policy's plan; records the highest ratio of bought to needed machines.
+  /// Makes the policy's plan and updates the highest ratio of bought to needed machines.
   market::Plan plan_and_measure(const std::vector<market::Demand>& demands,
                                 const std::vector<market::Offer>& offers, const market::Ledger& ledger,
                                 double reference, const market::Settings& planner_settings);
   void adopt_delivered(const market::HostUpdate& delivery, const MachineRecord& record);
-  /// Ends the use of a machine, so that it is returned in this step.
+  /// Stops the task on a machine, so that the machine is returned in this step.
   void vacate(MachineIndex machine_index);
   void deliver_due_answers();
   void run_leader_cycle();
@@ -164,7 +166,7 @@
   MarketScenario scenario_;
   Policy policy_;
   std::mt19937_64 random_;
-  ClusterState known_state_;  // names that all leaders share; it has no other contents
+  ClusterState known_state_;  // only its name tables are used; all leaders share them
   std::vector<MachineType> catalog_;
   std::unique_ptr<Leader> leader_;
   std::uint64_t last_term_ = 0;
@@ -187,8 +189,8 @@
   std::uint32_t machines_used_ = 0;
 };
 
-/// The plan by the given policy. `truth`: what the oracle knows, by market; `reference`: the bidding
-/// service's reference price; `now`: seconds from the start. Pure.
+/// Makes a plan by the given policy; has no side effects. `truth`: behaviour of each market, which only the
+/// oracle uses; `reference`: reference price of the bidding service; `now`: seconds from the start.
 market::Plan baseline(Policy policy, const std::vector<MarketBehavior>& truth, double now,
                       const std::vector<market::Demand>& demands, std::vector<market::Offer> offers,
                       const market::Ledger& ledger, double reference, const market::Settings& settings);
--- a/include/oxbowmill/simulation/scale_evaluator.h
+++ b/include/oxbowmill/simulation/scale_evaluator.h
@@ -1,5 +1,5 @@
-// Evaluates a scale run from the events of its processes: invariants, waiting times, counters. It owns the
-// record of jobs and counters of the run. One thread.
+// Evaluates a scale run from the events of its processes: invariants, waiting times and counters.
+// ScaleEvaluator owns the run's job and counter data and is not thread-safe.
 #pragma once
 
 #include <map>
@@ -9,54 +9,56 @@
 
 namespace oxbowmill::simulation {
 
-/// A set of measured values, in the unit that its owner states.
+/// Measured values, in a unit that the owner of the distribution defines.
 class Distribution {
  public:
   /// Adds one value.
   void add(double value) { values_.push_back(value); }
   /// Number of values.
   std::size_t count() const { return values_.size(); }
-  /// 0 where there are no values; `share` from 0 to 1, 1: the highest value.
+  /// Returns the quantile for a `share` from 0 to 1, where 1 is the highest value; 0 if there are no values.
   double quantile(double share) const;
 
  private:
   std::vector<double> values_;
 };
 
-/// Evaluates one run. All times are of the steady clock, in seconds.
+/// Evaluates one run. All times are seconds of the steady clock.
 class ScaleEvaluator {
  public:
-  /// `began`: the time from which the settings' times count. `settings` has to outlive it.
+  /// `began`: start of the run, to which the times in the settings are relative. `settings` must outlive this
+  /// object.
   ScaleEvaluator(const ScaleSettings& settings, double began);
-  /// To be called in the order of the events' times.
+  /// Adds an event. Events must be added in the order of their times.
   void add(const ScaleEvent& event);
   /// Checks the invariants that depend on elapsed time.
   void check(double now);
-  /// The run is over.
+  /// Ends the evaluation when the run is over.
   void close() { invariants_.close(); }
 
   /// Jobs of one class that were submitted after the warm-up.
   struct ClassWaits {
-    Distribution first_s,    ///< seconds from the first submission until the first task ran
-        all_s;               ///< and until all tasks had run
-    std::uint32_t jobs = 0,  ///< submitted
-        begun = 0;           ///< all of whose tasks have run
+    Distribution first_s,    ///< seconds from the first attempt to submit until the first task ran
+        all_s;               ///< seconds from the first attempt to submit until every task had run
+    std::uint32_t jobs = 0,  ///< jobs submitted
+        begun = 0;           ///< jobs of which every task has run
   };
-  /// In the order of the settings' classes.
+  /// Waiting times by class, in the order of the settings' classes.
   const std::vector<ClassWaits>& waits() const { return waits_; }
-  /// Milliseconds from the first submission until a job was accepted, after the warm-up.
+  /// Milliseconds from the first attempt to submit a job until it was accepted, for jobs accepted after the
+  /// warm-up.
   const Distribution& submit_ms() const { return submit_ms_; }
-  /// Increase of a counter since the warm-up; 0 where it is unknown.
+  /// Increase of a counter since the warm-up; 0 if the counter is unknown.
   double increase_of(const std::string& counter) const;
-  /// Highest value of a counter since the warm-up; 0 where it is unknown.
+  /// Highest value of a counter since the warm-up; 0 if the counter is unknown.
   double maximum_of(const std::string& counter) const;
-  /// Violated invariants, see InvariantChecker.
+  /// Invariants that were violated, as described by InvariantChecker.
   const std::vector<std::string>& violations() const { return invariants_.violations(); }
-  /// Starts of tasks since the warm-up.
+  /// Number of task starts since the warm-up.
   std::uint64_t starts() const { return starts_; }
-  /// Tasks that ended without completing, of jobs not withdrawn, since the warm-up.
+  /// Number of tasks since the warm-up that ended without completing although their jobs were not withdrawn.
   std::uint64_t lost() const { return lost_; }
-  /// Most tasks on machines at once, in the whole run.
+  /// Highest number of tasks on machines at once in the whole run.
   std::size_t max_running() const { return max_running_; }
 
  private:
@@ -64,7 +66,7 @@
     double submitted = 0;
     std::size_t class_index = 0;
     bool measured = false, withdrawn = false;
-    std::vector<bool> task_ran;
+    std::vector<bool> task_ran;  // by task number
     std::uint32_t ran_count = 0;
   };
   struct Counter {
@@ -80,7 +82,7 @@
   InvariantChecker invariants_;
   std::map<std::string, Job> jobs_;
   std::map<std::string, Counter> counters_;
-  std::map<std::string, std::uint32_t> completed_;
+  std::map<std::string, std::uint32_t> completed_;  // keys: tasks that completed but are still on a machine
   std::vector<ClassWaits> waits_;
   Distribution submit_ms_;
   std::uint64_t starts_ = 0, lost_ = 0;
--- a/include/oxbowmill/simulation/scale_event.h
+++ b/include/oxbowmill/simulation/scale_event.h
@@ -1,5 +1,5 @@
-// Events that the processes of a scale run send to the evaluating process: one line of JSON each, through a
-// pipe. The writer owns its buffer; one thread.
+// Events that the processes of a scale run send through pipes to the evaluating process, one line of JSON per
+// event. ScaleEventWriter owns its buffer and is not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -11,46 +11,47 @@
 
 namespace oxbowmill::simulation {
 
-/// What has happened.
+/// Kind of an event.
 enum class ScaleEventKind : std::uint8_t {
-  task_starts,     ///< on `machine`, from the execution of its start command on
-  task_runs,       ///< it has its image and, of a gang, all members have theirs
-  task_leaves,     ///< it is no longer on `machine`
-  task_completes,  ///< it has done its work
-  job_submitted,   ///< the user's first attempt to submit it
-  job_accepted,    ///< `value`: milliseconds since the first attempt
-  job_withdrawn,   ///< its user has begun to withdraw it
-  job_answered,    ///< any answer to its user
-  counter,         ///< `job`: name of the counter; `value`: since the process began
+  task_starts,     ///< `machine` has executed the task's start command
+  task_runs,       ///< the task runs: its image is present, and those of all gang members are
+  task_leaves,     ///< the task is no longer on `machine`
+  task_completes,  ///< the task has finished its work
+  job_submitted,   ///< the user makes the first attempt to submit the job
+  job_accepted,    ///< the job was accepted; `value`: milliseconds since the first attempt
+  job_withdrawn,   ///< the user begins to withdraw the job
+  job_answered,    ///< the user has received `answer` to a request about the job
+  counter,         ///< `job`: name of the counter; `value`: its present value
 };
 
-/// One event. Fields that its kind does not use are empty.
+/// One event. Fields that its kind does not use keep their defaults.
 struct ScaleEvent {
-  ScaleEventKind kind = ScaleEventKind::counter;  ///< what has happened
-  double at = 0;           ///< steady clock in seconds, the same for all processes of a machine
-  std::string job,         ///< the job, or a counter's name
-      machine;             ///< where it happened
+  ScaleEventKind kind = ScaleEventKind::counter;  ///< what happened
+  double at = 0;           ///< steady clock in seconds, which all processes of a machine share
+  std::string job,         ///< name of the job or counter
+      machine;             ///< name of the machine
   std::uint32_t task = 0;  ///< number of the task in its job
-  double value = 0;        ///< see the kind
-  JobAnswer answer = JobAnswer::no_answer;  ///< of `job_answered`
+  double value = 0;        ///< meaning depends on `kind`
+  JobAnswer answer = JobAnswer::no_answer;  ///< of a `job_answered` event
 };
 
-/// One line of JSON, with its newline.
+/// Encodes the event as one line of JSON, newline included.
 std::string to_line(const ScaleEvent& event);
-/// None where the line is not an event.
+/// Decodes a line written by `to_line`; nullopt if the line is not an event.
 std::optional<ScaleEvent> parse_event(const std::string& line);
 
-/// Writes events to a pipe, in blocks.
+/// Writes events to a pipe, buffered.
 class ScaleEventWriter {
  public:
-  /// `descriptor`: of the pipe, not closed here; `now`: steady clock, in seconds.
+  /// `descriptor`: write end of the pipe, which the caller closes. `now` returns the steady clock's time in
+  /// seconds.
   ScaleEventWriter(int descriptor, std::function<double()> now)
       : descriptor_(descriptor), now_(std::move(now)) {}
-  /// Buffers the event; its `at` is set here.
+  /// Sets the event's `at` to the present time and buffers the event.
   void write(ScaleEvent event);
-  /// Buffers the present value of a counter.
+  /// Buffers an event with the present value of a counter.
   void counter(const std::string& name, double value);
-  /// Writes what is buffered. Ends silently where the reading process has gone.
+  /// Writes the buffered events. They are discarded without an error if the reading process has ended.
   void flush();
 
  private:
--- a/include/oxbowmill/simulation/scale_run.h
+++ b/include/oxbowmill/simulation/scale_run.h
@@ -1,5 +1,6 @@
-// Runs a scale run: real controllers as processes on loopback, beside processes with simulated agents, users,
-// cloud and state service. It owns these processes and ends all of them, also when it is interrupted.
+// Runs a scale run: real controller processes on loopback, together with processes that simulate the agents,
+// users, cloud and state service. The run owns these processes and ends all of them, even if it is
+// interrupted.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,26 +10,26 @@
 
 namespace oxbowmill::simulation {
 
-/// How a scale run is started.
+/// Options of a scale run.
 struct ScaleOptions {
-  std::string program;                 ///< path of the controller
-  std::vector<std::string> operators;  ///< operators' settings files (YAML) for the controllers
-  std::string directory;               ///< for settings and logs; created where it does not exist
+  std::string program;                 ///< path of the controller program
+  std::vector<std::string> operators;  ///< operator settings files (YAML) that the controllers get
+  std::string directory;               ///< for settings and logs; created if it does not exist
   bool progress = true;                ///< print a line every ten seconds to standard error
 };
 
-/// What a scale run came to.
+/// Results of a scale run.
 struct ScaleReport {
   nlohmann::json figures;                    ///< measured values by name
-  std::vector<std::string> violations;       ///< violated invariants and processes that ended by themselves
-  std::vector<std::string> missing_figures;  ///< why a simulator, not the controllers, limited the run; its
-                                             ///< figures do not count then
+  std::vector<std::string> violations;       ///< violated invariants, and processes that ended unexpectedly
+  std::vector<std::string> missing_figures;  ///< reasons why the figures are invalid: a simulator, not the
+                                             ///< controllers, limited the run. Empty: they are valid
 };
 
-/// Plays a scale run. Throws Error, in one line, where a process cannot be started or the run is
-/// interrupted.
+/// Runs a scale run to its end. Throws an Error with a one-line message if a process cannot be started, a
+/// simulator ends unexpectedly or the run is interrupted.
 ScaleReport play_scale(const ScaleSettings& settings, const ScaleOptions& options);
-/// For reading.
+/// Formats the report as a table for people.
 std::string table(const ScaleReport& report);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/scale_users.h
+++ b/include/oxbowmill/simulation/scale_users.h
@@ -1,5 +1,6 @@
-// Simulated users of a scale run: submissions at random times, polls and withdrawals through any controller.
-// It owns the users and their connections. One thread: that of its event loop.
+// Simulates the users of a scale run: they submit jobs at random times, poll them and withdraw some, each
+// time through a random controller. ScaleUsers owns the users and their connections. All code runs on the
+// thread of the event loop.
 #pragma once
 
 #include <memory>
@@ -9,15 +10,17 @@
 
 namespace oxbowmill::simulation {
 
-/// Plays all users from its construction on, on the given event loop.
+/// Simulates all users on the given event loop, starting with its construction.
 class ScaleUsers {
  public:
-  /// References and `base` have to outlive it; `now`: steady clock, in seconds.
+  /// `base`, `settings` and `events` must outlive this object. `now` returns the steady clock's time in
+  /// seconds.
   ScaleUsers(event_base* base, const ScaleSettings& settings, const ScaleAddresses& addresses,
              ScaleEventWriter& events, std::function<double()> now);
 
  private:
   enum class Step : std::uint8_t { submitting, polling, withdrawing, finished };
+  /// A user with one job. Times are in seconds of the steady clock; `withdraws_at` below 0: never.
   struct User {
     std::string ref;
     Step step = Step::submitting;
@@ -33,7 +36,7 @@
   void on_submitted(User& user, const net::Response& response);
   void on_polled(User& user, const net::Response& response);
   void on_withdrawn(User& user, const net::Response& response);
-  /// `answer`: open or a final phase.
+  /// Reports an answer to the evaluating process; `no_answer` counts as refused.
   void record_answer(const User& user, JobAnswer answer);
   net::HttpClient& any_controller();
   void write_counts();
@@ -44,7 +47,7 @@
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<net::HttpClient>> controllers_;
   std::vector<std::unique_ptr<User>> users_;
-  std::vector<double> next_arrival_;
+  std::vector<double> next_arrival_;    // by class
   std::vector<std::uint32_t> arrived_;  // by class
   double expected_tick_ = 0, next_counts_at_ = 0, max_lateness_s_ = 0, requests_ = 0, refused_ = 0,
          bytes_ = 0;
--- a/include/oxbowmill/simulation/simulated_market.h
+++ b/include/oxbowmill/simulation/simulated_market.h
@@ -1,6 +1,6 @@
-// Simulated market: implements docs/market-protocol.md with the faults that its behaviour states. It owns its
-// bids and machines. It has no clock or sockets: it serves the simulated clock and, by MarketServer,
-// loopback. One thread.
+// Simulates a market that implements docs/market-protocol.md, with configurable faults. SimulatedMarket owns
+// its bids and machines. It has neither a clock nor sockets, so that it runs on a simulated clock as well as
+// behind the HTTP server of MarketServer. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -14,73 +14,73 @@
 
 namespace oxbowmill::simulation {
 
-/// How a market behaves; chances are per bid or per response, times in seconds.
+/// Behaviour of a market. Chances are per bid or per response, times in seconds.
 struct MarketBehavior {
-  std::string name;                  ///< also the prefix of its machines' names
-  double price = 8;                  ///< per machine and hour; its quotes are within 3 % of it
-  std::uint32_t capacity = 40;       ///< most machines delivered or on order at once
+  std::string name;                  ///< name of the market and prefix of its machines' names
+  double price = 8;                  ///< price per machine and hour; quotes differ from it by at most 3 %
+  std::uint32_t capacity = 40;       ///< most machines delivered or ordered at once
   double delivery_s = 45,            ///< median delivery time
-      delivery_spread = 0.15;        ///< standard deviation of its logarithm
+      delivery_spread = 0.15;        ///< standard deviation of the logarithm of the delivery time
   double valid_s = 12,               ///< validity of a quote
       auction_s = 2;                 ///< time until a bid is decided
-  double faults_from_s = 0,          ///< the faults below occur only from this time
-      faults_to_s = 1e9;             ///< until this time
-  double raise_chance = 0,           ///< it asks for a higher price
-      raise_factor = 1.2;            ///< by this factor
-  double never_delivers_chance = 0;  ///< wins the bid and never delivers
-  double late_chance = 0,            ///< delivers late
-      late_factor = 4;               ///< by this factor
-  double delivered_fraction = 1;     ///< of the machines of a bid
+  double faults_from_s = 0,          ///< the faults below occur only from this time on
+      faults_to_s = 1e9;             ///< and until this time
+  double raise_chance = 0,           ///< raises the price of a bid
+      raise_factor = 1.2;            ///< factor of the raised price
+  double never_delivers_chance = 0;  ///< accepts a bid and never delivers
+  double late_chance = 0,            ///< delivers late, by `late_factor`
+      late_factor = 4;               ///< factor of the late delivery time
+  double delivered_fraction = 1;     ///< fraction of the machines of a bid that is delivered
   double wrong_delivery_chance = 0,  ///< delivers machines of another zone or type
       double_delivery_chance = 0;    ///< delivers machines that belong to another bid
-  double throttle_chance = 0,        ///< answers 429 or 503
+  double throttle_chance = 0,        ///< answers a request with 429 or 503
       garbled_response_chance = 0,   ///< answers with a body that cannot be decoded
-      absurd_response_chance = 0;    ///< quotes a price that makes no sense
+      absurd_response_chance = 0;    ///< quotes an invalid price: negative, 0, not a number or 1e300
   double stall_chance = 0;           ///< handles the request and does not respond
-  double lost_request_chance = 0;    ///< does not receive the request
-  bool runs_after_return = false;    ///< confirms the return, and the machine keeps running
-  double overcharge_factor = 1;      ///< charges so many times the price
+  double lost_request_chance = 0;    ///< ignores the request without a response
+  bool runs_after_return = false;    ///< confirms a return but keeps the machine running
+  double overcharge_factor = 1;      ///< charges this multiple of the price
 };
 
-/// A response of the market.
+/// HTTP response of the market.
 struct MarketReply {
   int status = 200;       ///< HTTP status; 0: no response
   std::string body;       ///< CBOR
   int retry_after_s = 0;  ///< seconds; 0: not stated
 };
 
-/// One market. Times are in seconds on the caller's clock, from 0 on.
+/// One market. Times are in seconds of the caller's clock, which starts at 0.
 class SimulatedMarket {
  public:
-  /// `types`, `zones`: names of what it can deliver.
+  /// `types`, `zones`: names of the machine types and zones that it can deliver.
   SimulatedMarket(MarketBehavior profile, std::uint64_t seed, std::vector<std::string> types,
                   std::vector<std::string> zones);
 
-  /// Handles one request; `body` in CBOR, may be empty.
+  /// Handles one request; `body` is CBOR or empty.
   MarketReply handle(const std::string& method, const std::string& path, const std::string& body, double now);
-  /// The same for a call of the bidding service, encoded and decoded.
+  /// Encodes a call of the bidding service, handles it as a request and decodes the response.
   market::Answer call(const market::Call& c, const Names& names, double now);
-  /// Decides auctions, delivers machines and ends those whose paid time is over.
+  /// Decides auctions, delivers machines and stops machines whose paid time is over.
   void tick(double now);
 
-  /// A machine that was delivered.
+  /// A delivered machine. Times are in seconds.
   struct Host {
     std::string name,       ///< unique within the market
-        bid,                ///< the bid that it was delivered for
+        bid,                ///< name of the bid that it was delivered for
         type,               ///< machine type
         zone;               ///< zone
-    double since = 0,       ///< charged from
-        until = -1;         ///< charged until; below 0: still charged
-    bool alive = true;      ///< its agent runs
+    double since = 0,       ///< time from which it is charged
+        until = -1;         ///< time until which it is charged; below 0: it is still charged
+    bool alive = true;      ///< the machine is running
     bool returned = false;  ///< its return was confirmed
   };
-  /// By name; machines stay here after their end.
+  /// Delivered machines by name, including those that have ended.
   const std::map<std::string, Host>& hosts() const { return hosts_; }
-  /// Sum of the charges that it reports.
+  /// Sum of the charges that it reports, in the currency of its prices.
   double charged(double now) const;
-  /// As it was made.
+  /// Behaviour with which it was created.
   const MarketBehavior& behavior() const { return behavior_; }
-  /// Bids that arrived under a known name with different contents.
+  /// Number of bids that arrived under the name of another bid with different contents.
   int reused_bid_names = 0;
 
  private:
@@ -112,8 +112,11 @@
   void decide(Bid& bid, double now);
   void accept(Bid& bid, double rate, double now);
   void deliver(const std::string& name, Bid& bid, double now);
+  /// Ends a won bid that expects no more machines: `closed` once its machines have ended, `withdrawn` if it
+  /// has none.
   void maybe_close(Bid& bid);
   double charge(const Bid& bid, double now) const;
+  /// Number of machines that are charged, ordered or bid for.
   std::uint32_t busy() const;
 
   MarketBehavior behavior_;
--- a/include/oxbowmill/simulation/state_server.h
+++ b/include/oxbowmill/simulation/state_server.h
@@ -1,5 +1,6 @@
-// The simulated state service behind an HTTP server on loopback, with the protocol's limits, watches and
-// bounded log of changes. It owns the store, the log and open watches. One thread: that of its event loop.
+// Serves a simulated state service over HTTP on loopback, with the protocol's limits, watches and bounded log
+// of changes. StateServer owns the store, the log and the open watches. All code runs on the thread of the
+// event loop.
 #pragma once
 
 #include <deque>
@@ -10,46 +11,46 @@
 
 namespace oxbowmill::simulation {
 
-/// Limits beyond which requests are refused.
+/// Limits beyond which the state service refuses requests.
 struct StateLimits {
-  double rps = 500,          ///< requests a second
-      write_rps = 200,       ///< changes a second
+  double rps = 500,          ///< requests per second
+      write_rps = 200,       ///< changes per second
       value_kb = 4;          ///< largest value in KiB
   std::size_t txn_ops = 12;  ///< most changes of one transaction
 };
 
-/// Serves one store.
+/// HTTP server of one state store.
 class StateServer {
  public:
-  /// Totals since the start.
+  /// Counters since the start of the server.
   struct Counts {
-    std::uint64_t requests = 0,  ///< all requests
+    std::uint64_t requests = 0,  ///< requests received
         refused = 0,             ///< requests beyond a rate limit (429)
         changes = 0,             ///< changes applied
         transactions = 0,        ///< transactions, applied or not
         failed = 0,              ///< transactions refused by a guard (409)
         bytes_in = 0,            ///< bytes of request bodies
         bytes_out = 0,           ///< bytes of response bodies
-        watch_bytes = 0;         ///< bytes of the responses to watches among them
+        watch_bytes = 0;         ///< part of `bytes_out` that answered watches
   };
-  /// `now`: clock of the leases, in seconds. Throws where the address cannot be bound.
+  /// `now` returns the time in seconds, by which leases expire. Throws if the address cannot be bound.
   StateServer(event_base* base, const net::Address& bind, const StateLimits& limits,
               std::function<double()> now);
-  /// Where it listens, with the port that was chosen for port 0.
+  /// Address on which it listens; if port 0 was requested, with the port that the system chose.
   const net::Address& address() const { return server_.address(); }
-  /// While on, requests are answered 503 and watches wait.
+  /// Starts or ends an outage, during which requests are answered 503 and watches are left unanswered.
   void set_outage(bool on) { store_.set_outage(on, now_()); }
-  /// Its keys and revision.
+  /// The store with its keys and revision.
   const StateStore& store() const { return store_; }
-  /// Totals since the start.
+  /// Counters since the start of the server.
   const Counts& counts() const { return counts_; }
 
  private:
   struct Watch {
     net::ResponderPtr responder;
     std::string prefix;
-    std::uint64_t from = 0;
-    double until = 0;
+    std::uint64_t from = 0;  // revision after which changes are sent
+    double until = 0;        // when it is answered even without changes, in seconds
   };
   struct LogEntry {
     std::uint64_t revision = 0;
@@ -62,8 +63,10 @@
   void serve_list(const net::Request& request);
   void open_watch(const net::Request& request);
   void tick();
+  /// Appends the store's new changes to the log and answers the watches that wait for them.
   void publish();
   void answer(const net::ResponderPtr& responder, int status, const Json& body);
+  /// Answers a watch if there are changes for it or its time is over; false if it remains open.
   bool answer_watch(const Watch& watch, bool over);
   std::function<double()> now_;
   StateStore store_;
--- a/src/simulation/agent_simulator.cpp
+++ b/src/simulation/agent_simulator.cpp
@@ -69,7 +69,7 @@
          fencing_token_published_at = -1e9;
   std::uint64_t agent_epoch = 1;
   std::map<std::string, TaskRun> runs;
-  std::map<std::string, double> images;  // by name: when its download ends
+  std::map<std::string, double> images;  // by name: when the download ends, in seconds
 
   SimulatedAgent(std::size_t n, std::string name, std::string zone, RunLog& log)
       : number(n), worker(std::move(name), std::move(zone), log) {}
@@ -107,7 +107,7 @@
 AgentSimulator::~AgentSimulator() = default;
 
 std::string AgentSimulator::add_machine(std::size_t zone, double up_at) {
-  // The zone follows from the machine's number, for processes that know only its name.
+  // The number determines the zone, because other processes derive the zone from the machine's name.
   std::size_t number = settings_.zones * next_in_zone_[zone]++ + zone;
   auto hollow = std::make_unique<SimulatedAgent>(number, scale_machine_name(number),
                                                  scale_zone_name(number % settings_.zones), log_);
@@ -164,7 +164,7 @@
         [this, &hollow](net::Request&& request) { on_command(hollow, std::move(request)); });
   }
   hollow.worker.tick(now);
-  if (hollow.worker.agent_epoch() != hollow.agent_epoch) {  // its lease has expired
+  if (hollow.worker.agent_epoch() != hollow.agent_epoch) {  // the lease has expired, which ended all tasks
     hollow.agent_epoch = hollow.worker.agent_epoch();
     auto runs = hollow.runs;
     for (const auto& [id, run] : runs) end_run(hollow, id, run, false);
@@ -173,7 +173,7 @@
 }
 
 void AgentSimulator::send_report(SimulatedAgent& hollow, double now) {
-  // A client is replaced here and not in its own callback, which must not destroy it.
+  // The client is replaced here, because its own callback must not destroy it.
   if (!hollow.client || hollow.connected_to != hollow.controller)
     hollow.client = std::make_unique<net::HttpClient>(base_, addresses_.controller(hollow.controller), 1);
   hollow.connected_to = hollow.controller;
@@ -301,7 +301,7 @@
   auto gang = gangs_.find(split_id(event.task_id).first);
   bool in_gang = gang != gangs_.end() && gang->second.attempt == run.attempt;
   if (run.started_at >= 0) {
-    // The timeout of its wait for the other members may fire while it runs; it has no effect then.
+    // The timeout of the wait for the other gang members may still fire after the start; it is ignored then.
     bool lost = in_gang && gang->second.lost_at >= 0;
     if (lost) finish(hollow, event.task_id, EndCause::peers_lost);
     if (!lost && now >= run.ends_at) finish(hollow, event.task_id, EndCause::done);
@@ -378,7 +378,7 @@
 }
 
 std::vector<AgentSimulator::SimulatedAgent*> AgentSimulator::pick_machines(std::uint32_t count) {
-  // Consecutive numbers, like the machines of a rack.
+  // Consecutive machines, as in the failure of a rack.
   std::vector<SimulatedAgent*> alive;
   for (const auto& [number, hollow] : machines_) {
     if (hollow->alive) alive.push_back(hollow.get());
@@ -393,7 +393,8 @@
 
 void AgentSimulator::apply(const ScaleFault& fault, double now) {
   bool gone = fault.kind == ScaleFaultKind::workers_gone || fault.kind == ScaleFaultKind::workers_replaced;
-  if (!gone && fault.kind != ScaleFaultKind::workers_cut) return;  // injected by another process
+  if (!gone && fault.kind != ScaleFaultKind::workers_cut)
+    return;  // other faults are injected by other processes
   for (SimulatedAgent* hollow : pick_machines(fault.count)) {
     if (gone) power_off(*hollow);
     if (fault.kind == ScaleFaultKind::workers_replaced)
--- a/src/simulation/market_baselines.cpp
+++ b/src/simulation/market_baselines.cpp
@@ -1,4 +1,4 @@
-// Simpler allocations of demands to offers, which the planner is compared with.
+// Simple allocations of demands to offers, and the oracle, with which the planner is compared.
 #include <algorithm>
 #include <cmath>
 #include <numeric>
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr int delivery_samples = 40;  // observations from which the oracle's delivery distribution is built
-constexpr double certain_loss_chance = 0.9;  // the oracle ignores a market that loses more
+constexpr double certain_loss_chance = 0.9;  // above it, the oracle ignores the market
 constexpr double raise_margin = 1.05, price_margin = 1.03;
 
-/// The fraction of ordered machines that the market is going to deliver now, on average.
+/// Expected fraction of the ordered machines that the market delivers.
 double true_delivered_fraction(const MarketBehavior& behavior, bool faulty) {
   if (!faulty) return 1;
   if (behavior.overcharge_factor > 1 || behavior.lost_request_chance > certain_loss_chance ||
@@ -35,7 +35,7 @@
   return reputation;
 }
 
-/// Replaces what was learnt about the offer by what its market is going to do at this moment, on average.
+/// Replaces the estimates in the offer by the expected values of the market's actual behaviour at `now`.
 void reveal_truth(market::Offer& offer, const MarketBehavior& behavior, double now) {
   bool faulty = now >= behavior.faults_from_s && now < behavior.faults_to_s;
   offer.delivered_fraction = true_delivered_fraction(behavior, faulty);
@@ -62,7 +62,7 @@
   return offers;
 }
 
-/// Serves demands by priority from the cheapest offers on, each within what the ledger still allows.
+/// Serves demands by priority, each from the cheapest offers first and within the ledger's limits.
 class GreedyAllocation {
  public:
   GreedyAllocation(const std::vector<market::Demand>& demands, const std::vector<market::Offer>& offers,
@@ -95,7 +95,7 @@
       for (std::size_t offer_index : by_price_) take(demand_index, offer_index, each, wanted);
     }
     for (std::size_t offer_index : by_price_) {
-      // The single market is the first of the list, whatever it does; the cloud serves the rest.
+      // `single_market` buys from the first market of the list alone, and the rest from the cloud.
       const market::Offer& offer = offers_[offer_index];
       if (policy == Policy::single_market && offer.market.valid() && offer.market.value != 0) continue;
       take(demand_index, offer_index, wanted, wanted);
@@ -124,9 +124,9 @@
   const market::Ledger& ledger_;
   const market::Settings& settings_;
   market::Plan plan_;
-  std::vector<std::uint32_t> left_;    // machines left, by offer
-  std::vector<std::size_t> by_price_;  // offers, the cheapest first
-  std::uint32_t committed_ = 0;        // machines of markets awarded so far
+  std::vector<std::uint32_t> left_;    // machines not awarded yet, by offer
+  std::vector<std::size_t> by_price_;  // offer indices, the cheapest first
+  std::uint32_t committed_ = 0;        // machines of markets that were awarded so far
 };
 
 }  // namespace
--- a/src/simulation/market_scenario.cpp
+++ b/src/simulation/market_scenario.cpp
@@ -1,4 +1,4 @@
-// Scenario files of the market simulation.
+// Reads the scenario files of the market simulation.
 #include "oxbowmill/error.h"
 #include "oxbowmill/market/ledger.h"
 #include "oxbowmill/simulation/market_simulation.h"
--- a/src/simulation/market_simulation.cpp
+++ b/src/simulation/market_simulation.cpp
@@ -71,7 +71,7 @@
   std::uniform_real_distribution<> uniform(0, 1);
   for (std::uint32_t i = 0; i < scenario.jobs; ++i) {
     JobArrival arrival;
-    // Half of the jobs exist when the zone is lost, the others arrive over the following minutes.
+    // Half of the jobs exist when the zone fails; the others arrive during the next third of the scenario.
     arrival.arrives_at = scenario.drop_at_s + (i % 2 == 0 ? 0 : uniform(random_) * scenario.duration_s / 3);
     arrival.run_s = scenario.run_s * (0.6 + 0.8 * uniform(random_));
     arrival.due_s = arrival.run_s + scenario.slack_s * (0.6 + 0.8 * uniform(random_));
@@ -353,7 +353,7 @@
   Revision revision = 0;
   apply({{}, {ownership}}, revision);
   market::BiddingService& bidding_service = leader_->bidding_service;
-  // The earlier leader may have ended between marking a machine for return and returning it.
+  // The previous leader may have crashed between marking a machine for return and returning it.
   for (std::uint32_t m = 0; m < leader_->cluster_state.machine_count(); ++m) {
     const auto& known = leader_->cluster_state.machine(MachineIndex{m});
     if (known.revision != 0 && machines_.count(known_state_.names.machines.name(MachineIndex{m})) == 0)
@@ -401,7 +401,7 @@
 }
 
 void MarketSimulation::adopt_delivered(const market::HostUpdate& delivery, const MachineRecord& record) {
-  // Stored records name machines by index, so all leaders share one table of indices.
+  // Stored records refer to machines by index, so that all leaders must share one table of indices.
   MachineIndex machine_index = known_state_.names.machines.intern(delivery.name);
   while (leader_->cluster_state.names.machines.size() <= machine_index.value)
     leader_->cluster_state.intern_machine(
@@ -424,7 +424,8 @@
     ++jobs_[machine.job].pending;
     machine.busy_until = -1;
   }
-  machine.ready_at = machine.idle_since = -1e9;  // idle for long enough to be returned in this step
+  machine.ready_at = machine.idle_since =
+      -1e9;  // makes it count as idle long enough to be returned in this step
   machine.partition = idle_pool;
 }
 
--- a/src/simulation/scale_controller_settings.cpp
+++ b/src/simulation/scale_controller_settings.cpp
@@ -1,4 +1,3 @@
-// Writes the platform's settings file of a controller of a scale run.
 #include "scale_controller_settings.h"
 
 #include <fstream>
--- a/src/simulation/scale_controller_settings.h
+++ b/src/simulation/scale_controller_settings.h
@@ -1,4 +1,4 @@
-// Writes the platform's settings file of a controller of a scale run. No state.
+// Writes the TOML settings file (`--config`) of a controller in a scale run. Stateless.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace oxbowmill::simulation {
 
-/// Writes the TOML settings of the controller with number `i`. Throws Error where the file cannot be written.
+/// Writes the TOML settings of controller `i`. Throws Error if the file cannot be written.
 void write_controller_settings(const std::string& file, std::size_t i, const ScaleSettings& settings,
                                const ScaleAddresses& addresses);
 
--- a/src/simulation/scale_evaluator.cpp
+++ b/src/simulation/scale_evaluator.cpp
@@ -21,7 +21,7 @@
       invariants_(settings.cancel_timeout_s, std::vector<double>(settings.teams, settings.team_gpus)),
       waits_(settings.classes.size()) {
   invariants_.set_fault_free_from(began + settings.fault_free_from_s());
-  // The protocol's deadline, for tasks that keep running and for late starts alike.
+  // The protocol's deadline of a cancellation also applies to start commands that are still on their way.
   invariants_.set_start_tolerance(settings.cancel_timeout_s);
 }
 
--- a/src/simulation/scale_event.cpp
+++ b/src/simulation/scale_event.cpp
@@ -52,7 +52,7 @@
   std::size_t written = 0;
   while (written < buffer_.size()) {
     ssize_t n = ::write(descriptor_, buffer_.data() + written, buffer_.size() - written);
-    if (n <= 0) break;  // the evaluating process has ended, and this process with it
+    if (n <= 0) break;  // the evaluating process has ended; the kernel then kills this one too
     written += static_cast<std::size_t>(n);
   }
   buffer_.clear();
--- a/src/simulation/scale_process.cpp
+++ b/src/simulation/scale_process.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Resources that a process has used, from /proc; zero where it has ended.
+/// Resource usage of a process according to /proc; all zero if the process has ended.
 struct Usage {
   double processor_s = 0, resident_mb = 0;
   std::size_t sockets = 0;
--- a/src/simulation/scale_process.h
+++ b/src/simulation/scale_process.h
@@ -1,5 +1,5 @@
-// Processes of a scale run: start, observation and end, and the resources they used. Each object owns its
-// process and the pipe of its events.
+// Starts, observes and ends the processes of a scale run and measures their resource usage. A ScaleProcess
+// owns its process and the read end of the pipe for its events.
 #pragma once
 
 #include <sys/types.h>
@@ -17,10 +17,11 @@
 /// Seconds on the steady clock.
 double steady_now();
 
-/// A process of the run, which may be started again, with the resources that all its starts together used
-/// since the warm-up.
+/// A process of the run. It can be restarted; resource usage covers the time since the warm-up over all its
+/// starts.
 class ScaleProcess {
  public:
+  /// Main function of a simulator; it runs the event loop until the process is killed.
   using Serve = std::function<void(event_base*, ScaleEventWriter&)>;
 
   explicit ScaleProcess(std::string role) : role_(std::move(role)) {}
@@ -31,35 +32,37 @@
   /// Kills the process.
   ~ScaleProcess() { end(); }
 
-  /// Forks a simulator that runs `serve` and writes its events to a pipe. Throws Error.
+  /// Forks a simulator that runs `serve` and writes its events to a pipe. Throws Error if the pipe or the
+  /// process cannot be created.
   void start_simulator(const Serve& serve);
-  /// Runs a program, with its standard error appended to the log file. Throws Error.
+  /// Starts a program and appends its standard error to the log file. Throws Error if the process cannot be
+  /// created.
   void start_program(const std::vector<std::string>& command_line, const std::string& log_path);
-  /// Kills and reaps the process; no effect where it is not running.
+  /// Kills and reaps the process; no effect if it is not running.
   void end();
-  /// Sends a signal; no effect where it is not running.
+  /// Sends a signal to the process; no effect if it is not running.
   void signal(int number) const;
-  /// True once after the process has ended without `end`; it counts as not running then.
+  /// Returns true once if the process has ended without a call of `end`; it then counts as not running.
   bool has_ended_by_itself();
-  /// Appends the events that have arrived. Throws Error where the pipe was closed.
+  /// Appends the events that have arrived. Throws Error if the simulator has closed the pipe by ending.
   void read_events(std::vector<ScaleEvent>& events);
-  /// Reads the resources that it has used, and with `counted` adds those used since the last call to the
-  /// sums.
+  /// Samples the resource usage. If `counted`, adds the processor time since the last call to the total and
+  /// updates the maxima.
   void sample_usage(bool counted);
 
-  /// Its name in reports.
+  /// Name of the process in reports.
   const std::string& role() const { return role_; }
-  /// Started, and its end not yet seen.
+  /// Whether the process was started and its end has not been noticed.
   bool is_running() const { return pid_ > 0; }
-  /// Started by `start_simulator`.
+  /// Whether the process was started by `start_simulator`.
   bool is_simulator() const { return is_simulator_; }
-  /// The pipe of its events; -1: none.
+  /// File descriptor from which its events are read; -1: none.
   int events_descriptor() const { return events_; }
-  /// Processor time, in seconds.
+  /// Processor time used, in seconds.
   double processor_s() const { return processor_s_; }
-  /// Highest resident memory.
+  /// Highest resident memory, in MiB.
   double max_resident_mb() const { return max_resident_mb_; }
-  /// Most open sockets.
+  /// Highest number of open sockets.
   std::size_t max_sockets() const { return max_sockets_; }
 
  private:
--- a/src/simulation/scale_report.cpp
+++ b/src/simulation/scale_report.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Beyond these a simulator, not the controllers, limited the run, and its figures do not count.
+// Above either of these, a simulator and not the controllers limited the run, so that its figures are
+// invalid. The first is the fraction of a core that a simulator uses, the second the delay of its event loop.
 constexpr double max_processor_fraction = 0.85, max_lateness_s = 0.5;
 
 Json distribution_json(const Distribution& distribution) {
@@ -43,7 +44,7 @@
   return json;
 }
 
-/// Why a simulator limited this run; empty: none did.
+/// Returns the reasons why a simulator limited this run; empty if none did.
 std::vector<std::string> limits_of_simulators(const ScaleEvaluator& evaluator,
                                               const std::vector<ScaleProcess>& processes, double seconds) {
   std::vector<std::string> reasons;
--- a/src/simulation/scale_report.h
+++ b/src/simulation/scale_report.h
@@ -1,5 +1,4 @@
-// Makes the report of a scale run from the resources that its processes used and from its evaluator. No
-// state.
+// Makes the report of a scale run from the resource usage of its processes and from its evaluator. Stateless.
 #pragma once
 
 #include <string>
@@ -11,7 +10,8 @@
 
 namespace oxbowmill::simulation {
 
-/// `ended`: roles of processes that ended by themselves; `measured_s`: time since the end of the warm-up.
+/// Makes the report. `ended`: roles of processes that ended unexpectedly; `measured_s`: seconds since the end
+/// of the warm-up.
 ScaleReport make_report(const ScaleSettings& settings, const ScaleEvaluator& evaluator,
                         const std::vector<ScaleProcess>& processes, const std::vector<std::string>& ended,
                         double measured_s);
--- a/src/simulation/scale_run.cpp
+++ b/src/simulation/scale_run.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr std::uint16_t lowest_port = 10000, ports = 20000;  // below the system's ephemeral ports
-constexpr double events_settle_s = 1.5;                      // events of a process may arrive this late
+constexpr std::uint16_t lowest_port = 10000, ports = 20000;  // below Linux's ephemeral ports
+constexpr double events_settle_s = 1.5;                      // longest expected delay of an event in its pipe
 constexpr double sample_every_s = 1, progress_every_s = 10;
 
 volatile std::sig_atomic_t interrupted = 0;
@@ -156,7 +156,7 @@
     pending_.erase(pending_.begin(), later);
   }
 
-  /// A fault that is injected into a controller at a time.
+  /// A signal to, or start of, a controller process at a given time.
   struct ScheduledAction {
     double at = 0;
     std::size_t controller = 0;
@@ -216,7 +216,7 @@
       return;
     }
     for (ScaleProcess& process : processes_) {
-      // A controller that ended by itself is a violation, and is not started again.
+      // A controller that ends unexpectedly counts as a violation and is not started again.
       if (!process.is_simulator() && process.has_ended_by_itself()) ended_.push_back(process.role());
       process.sample_usage(true);
     }
@@ -235,7 +235,7 @@
   bool warmed_up_ = false;
 };
 
-/// During its lifetime SIGINT and SIGTERM end the run and its processes in order.
+/// During its lifetime, SIGINT and SIGTERM set `interrupted`, which ends the run and its processes cleanly.
 class InterruptGuard {
  public:
   InterruptGuard() {
--- a/src/simulation/scale_settings.cpp
+++ b/src/simulation/scale_settings.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double max_workers = 5000, max_controllers = 9, longest_run_s = 300, max_tasks = 100000;
-constexpr double settles_s = 5;  // after a fault, until none of its consequences is in flight
+constexpr double settles_s = 5;  // time after a fault until its last messages have arrived
 constexpr std::size_t max_kinds = 16, max_faults = 32;
 
 constexpr ScaleFaultKind fault_kinds[] = {
@@ -84,7 +84,7 @@
   return std::mt19937_64(seed);
 }
 
-constexpr std::uint32_t job_salt = 0xffffffff;  // no task has this number
+constexpr std::uint32_t job_salt = 0xffffffff;  // differs from every task number
 
 }  // namespace
 
@@ -168,7 +168,7 @@
 double scale_run_time_s(const ScaleSettings& settings, const std::string& ref, TaskNumber task) {
   ScaleJob job = scale_job(settings, ref);
   if (job.job_class == nullptr) return 1;
-  // The members of a gang complete together.
+  // All members of a gang get the same run time, because they complete together.
   auto random = random_of(settings, ref, job.job_class->shape == JobShape::gang ? 0 : task);
   double spread = job.job_class->spread;
   return job.job_class->run_s * std::uniform_real_distribution<double>(1 - spread, 1 + spread)(random);
--- a/src/simulation/scale_users.cpp
+++ b/src/simulation/scale_users.cpp
@@ -12,7 +12,7 @@
 constexpr double poll_every_s = 5, submit_timeout_s = 5, poll_timeout_s = 2, retry_after_s = 1,
                  give_up_s = 60;
 constexpr double withdraws_within_s = 40;
-constexpr std::size_t connections = 24;  // to each controller
+constexpr std::size_t connections = 24;  // per controller
 
 const char* wire_name(JobShape shape) {
   return shape == JobShape::array ? "batch" : shape == JobShape::gang ? "gang" : "standing";
--- a/src/simulation/simulated_market.cpp
+++ b/src/simulation/simulated_market.cpp
@@ -70,7 +70,7 @@
 }
 
 void SimulatedMarket::withdraw(const std::string& name) {
-  // No later bid may use the name, also where the withdrawal arrives before the bid.
+  // The bid is kept, so that its name cannot be used again even if the withdrawal arrives before the bid.
   bool is_new = bids_.find(name) == bids_.end();
   Bid& bid = bids_[name];
   if (is_new || bid.phase == "open" || bid.phase == "raised") {
@@ -201,7 +201,7 @@
 void SimulatedMarket::deliver(const std::string& name, Bid& bid, double now) {
   bid.deliveries.pop_back();
   if (bid.delivers_twice) {
-    // A machine of another bid, sold again.
+    // Delivers a machine that already belongs to another bid.
     for (const auto& [host, h] : hosts_) {
       if (h.bid == name || !h.alive) continue;
       bid.hosts.insert(host);
--- a/src/simulation/state_server.cpp
+++ b/src/simulation/state_server.cpp
@@ -15,7 +15,7 @@
 constexpr double tick_s = 0.02;
 constexpr std::size_t max_body_bytes = 16 * std::size_t{65536};
 
-/// Parameters of a query, decoded.
+/// Decoded parameters of a query string.
 class Query {
  public:
   explicit Query(const std::string& text) { evhttp_parse_query_str(text.c_str(), &values_); }
@@ -146,7 +146,7 @@
 }
 
 bool StateServer::answer_watch(const Watch& watch, bool over) {
-  if (store_.outage()) return false;  // open watches wait until the outage is over
+  if (store_.outage()) return false;  // watches remain open until the outage is over
   Json update = Json::array();
   auto first = std::upper_bound(log_.begin(), log_.end(), watch.from,
                                 [](std::uint64_t from, const LogEntry& l) { return from < l.revision; });
