--- a/app/oxbowmill_sim.cpp
+++ b/app/oxbowmill_sim.cpp
@@ -122,7 +122,7 @@
   if (options.directory.empty())
     options.directory =
         (std::filesystem::temp_directory_path() / ("scale-" + std::to_string(::getpid()))).string();
-  simulation::ScaleReport report = simulation::play_scale(settings, options);
+  simulation::ScaleReport report = simulation::run_scale_simulation(settings, options);
   std::cout << simulation::table(report) << "  settings and logs in " << options.directory << '\n';
   if (!report_file.empty()) {
     std::ofstream out(report_file);
--- a/include/oxbowmill/simulation/agent_simulator.h
+++ b/include/oxbowmill/simulation/agent_simulator.h
@@ -67,9 +67,9 @@
     Attempt attempt = 0;
     std::map<TaskNumber, std::size_t> members;  // machine number by task
     bool running = false;
-    double lost_at = -1;  // when the first member stopped after the start; below 0: none has
+    double member_lost_at = -1;  // when the first member stopped after the start; below 0: none has
   };
-  /// Makes `on_due` examine a task at a given time.
+  /// Makes `on_timed_event` examine a task at a given time.
   struct TimedEvent {
     double at = 0;
     std::size_t machine = 0;
@@ -78,37 +78,38 @@
     friend bool operator>(const TimedEvent& a, const TimedEvent& b) { return a.at > b.at; }
   };
   struct Counts {
-    double reports = 0, report_bytes = 0, answer_bytes = 0, unanswered = 0, commands = 0, command_bytes = 0;
+    double reports = 0, report_bytes = 0, answer_bytes = 0, unanswered_reports = 0, commands = 0,
+           command_bytes = 0;
     double max_lateness_s = 0;  // longest delay of a tick since the counters were last written
   };
-  /// Adds a machine whose agent is up from `up_at` on; returns the machine's name.
-  std::string add_machine(std::size_t zone, double up_at);
-  void power_off(SimulatedAgent& hollow);
+  /// Adds a machine whose agent is up from `booted_at` on; returns the machine's name.
+  std::string add_machine(std::size_t zone, double booted_at);
+  void power_off(SimulatedAgent& agent);
   void tick();
-  void tick_machine(SimulatedAgent& hollow, double now);
-  void send_report(SimulatedAgent& hollow, double now);
-  void on_answer(SimulatedAgent& hollow, const net::Response& response);
-  void on_command(SimulatedAgent& hollow, net::Request&& request);
+  void tick_machine(SimulatedAgent& agent, double now);
+  void send_report(SimulatedAgent& agent, double now);
+  void on_report_response(SimulatedAgent& agent, const net::Response& response);
+  void on_commands(SimulatedAgent& agent, net::Request&& request);
   /// Starts and ends runs to match the tasks that the agent has after executing commands.
-  void sync_tasks(SimulatedAgent& hollow);
+  void sync_tasks(SimulatedAgent& agent);
   /// Starts the image download of a task that a command has started.
-  void start_run(SimulatedAgent& hollow, const std::string& id, const TaskReport& task);
+  void start_run(SimulatedAgent& agent, const std::string& id, const TaskReport& task);
   /// Removes a run whose task was stopped before it finished, and makes the other members of its gang end.
   /// `saved`: a checkpoint keeps the progress.
-  void end_run(SimulatedAgent& hollow, const std::string& id, const TaskRun& run, bool saved);
-  void on_due(const TimedEvent& event, double now);
-  void on_image_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now);
-  void begin_running(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now);
-  void on_member_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now);
+  void end_run(SimulatedAgent& agent, const std::string& id, const TaskRun& run, bool saved);
+  void on_timed_event(const TimedEvent& event, double now);
+  void on_image_ready(SimulatedAgent& agent, const std::string& id, TaskRun& run, double now);
+  void begin_running(SimulatedAgent& agent, const std::string& id, TaskRun& run, double now);
+  void on_gang_member_ready(SimulatedAgent& agent, const std::string& id, TaskRun& run, double now);
   /// Ends the task from the machine's side and makes the agent report the cause.
-  void finish(SimulatedAgent& hollow, const std::string& id, EndCause cause);
-  void schedule_report(SimulatedAgent& hollow, double now);
-  void apply(const ScaleFault& fault, double now);
-  std::vector<SimulatedAgent*> pick_machines(std::uint32_t count);
+  void finish_task(SimulatedAgent& agent, const std::string& id, EndCause cause);
+  void schedule_report(SimulatedAgent& agent, double now);
+  void inject_fault(const ScaleFault& fault, double now);
+  std::vector<SimulatedAgent*> choose_machines(std::uint32_t count);
   void serve_cloud(net::Request&& request);
   wire::Json catalog() const;
   wire::Json scale_out(const wire::Json& body);
-  wire::Json list(const std::string& query) const;
+  wire::Json list_machines(const std::string& query) const;
   void write_counts();
   double uniform(double a, double b) { return std::uniform_real_distribution<double>(a, b)(random_); }
 
@@ -123,16 +124,18 @@
   std::vector<std::size_t> next_in_zone_;                            // number of machines ever added, by zone
   std::map<std::string, Gang> gangs_;                                // by job
   std::set<std::string> finished_tasks_;                             // task ids
-  std::map<std::string, double> saved_s_;         // run time that checkpoints hold, in seconds, by task id
-  std::map<std::string, wire::Json> scale_outs_;  // responses by request id, so that a retry rents no more
+  // Run time in seconds that checkpoints hold, by task id.
+  std::map<std::string, double> checkpointed_run_s_;
+  // Responses by request id, so that a retried request rents no further machines.
+  std::map<std::string, wire::Json> scale_out_responses_;
   std::priority_queue<TimedEvent, std::vector<TimedEvent>, std::greater<>> timed_events_;
-  std::vector<net::ResponderPtr>
-      unanswered_commands_;         // commands received by disconnected machines; they get no response
-  std::vector<ScaleFault> faults_;  // not injected yet
+  // Commands that reached disconnected machines; they get no response.
+  std::vector<net::ResponderPtr> unanswered_commands_;
+  std::vector<ScaleFault> pending_faults_;  // not injected yet
   Counts counts_;
-  std::size_t alive_ = 0;
-  double began_at_ = 0, expected_tick_ = 0, next_counts_at_ = 0;
-  TokenBucket cloud_calls_;
+  std::size_t alive_machines_ = 0;
+  double started_at_ = 0, expected_tick_ = 0, next_counts_at_ = 0;
+  TokenBucket cloud_call_limiter_;
   net::Timer timer_;
   std::unique_ptr<net::HttpServer> cloud_;
 };
--- a/include/oxbowmill/simulation/agent_wire.h
+++ b/include/oxbowmill/simulation/agent_wire.h
@@ -14,6 +14,6 @@
 /// Decodes the response to a heartbeat; nullopt if a field is missing or has the wrong type.
 std::optional<ReportAnswer> read_answer(const wire::Json& body);
 /// Decodes the body of `POST /commands`; nullopt if a field is missing or has the wrong type.
-std::optional<DirectCommands> read_command(const wire::Json& body);
+std::optional<DirectCommands> read_direct_commands(const wire::Json& body);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/market_experiment.h
+++ b/include/oxbowmill/simulation/market_experiment.h
@@ -27,7 +27,7 @@
   double bought_machines = 0,       ///< machines delivered by markets, mean over seeds
       unused_machines = 0;          ///< those of them that were never used, mean over seeds
   int breaches = 0,                 ///< sum of MarketResult::breaches over seeds
-      suspended = 0;                ///< markets suspended at the end of a run, sum over seeds
+      suspended_markets = 0;        ///< markets suspended at the end of a run, sum over seeds
 };
 /// Summarises the rows by policy, in the order of `policies`; policies without rows are left out.
 std::vector<MarketSummary> summarise(const std::vector<MarketRow>& rows);
--- a/include/oxbowmill/simulation/market_simulation.h
+++ b/include/oxbowmill/simulation/market_simulation.h
@@ -33,7 +33,7 @@
 struct MarketScenario {
   std::string name;                  ///< for reports
   double duration_s = 1500;          ///< simulated time
-  double drop_at_s = 60;             ///< when a zone fails and its jobs need other machines
+  double zone_loss_at_s = 60;        ///< when a zone fails and its jobs need other machines
   std::uint32_t jobs = 16;           ///< number of jobs
   std::uint32_t max_machines = 6;    ///< most machines of a job
   double run_s = 300,                ///< mean run time of a task
@@ -51,15 +51,15 @@
 
 /// Results of one run.
 struct MarketResult {
-  std::uint32_t jobs = 0,      ///< all jobs
-      in_time = 0,             ///< jobs that met their deadlines
-      guaranteed = 0,          ///< guaranteed jobs
-      guaranteed_in_time = 0;  ///< guaranteed jobs that met their deadlines
-  std::uint32_t bought = 0,    ///< machines delivered by markets
-      unused = 0;              ///< those of them that were never used
-  double cost = 0;             ///< cost of the machines of markets and the cloud
-  int breaches = 0;            ///< steps in which paid and reserved money exceeded a limit
-  int suspended = 0;           ///< markets that are suspended at the end
+  std::uint32_t jobs = 0,             ///< all jobs
+      in_time = 0,                    ///< jobs that met their deadlines
+      guaranteed = 0,                 ///< guaranteed jobs
+      guaranteed_in_time = 0;         ///< guaranteed jobs that met their deadlines
+  std::uint32_t bought_machines = 0,  ///< machines delivered by markets
+      unused_machines = 0;            ///< those of them that were never used
+  double cost = 0;                    ///< cost of the machines of markets and the cloud
+  int breaches = 0;                   ///< steps in which paid and reserved money exceeded a limit
+  int suspended_markets = 0;          ///< markets that the present leader has suspended
 };
 
 /// One run of a scenario in steps of half a second. The same scenario, policy and seed give the same result.
@@ -100,11 +100,11 @@
   /// Cluster state of the present leader; null if there is no leader.
   ClusterState* state() { return leader_ ? &leader_->cluster_state : nullptr; }
   /// Highest spending relative to a limit, in which open bids count with their worst case; must not exceed 1.
-  double highest_use = 0,    ///< paid money and open bids, relative to the limit per window
-      max_hourly_spend = 0;  ///< hourly price of open bids, relative to the limit per hour
+  double max_window_spend_ratio = 0,  ///< paid money and open bids, relative to the limit per window
+      max_hourly_spend_ratio = 0;     ///< hourly price limits of open bids, relative to the limit per hour
   /// Highest number of machines that a plan awarded a partition or that are overdue for it, relative to the
   /// machines that it needed, the allowed extra ones and two more; must not exceed 1.
-  double most_bought = 0;
+  double max_purchase_ratio = 0;
   std::set<std::string> bid_names;  ///< names of all bids ever recorded
   int reused_names = 0;             ///< number of bids recorded under the name of an earlier bid
   int breaches = 0;                 ///< as in MarketResult
@@ -118,30 +118,33 @@
     market::BiddingService bidding_service;
     std::set<std::string> adopted;  // names of machines with a record
   };
+  /// A rented machine. Times are in seconds; `busy_until` below 0: no task runs on it.
   struct Machine {
     PartitionIndex partition;
-    double ready_at = 0, busy_until = -1, idle_since = 0, price = 0, since = 0;
+    double ready_at = 0, busy_until = -1, idle_since = 0, price = 0, rented_since = 0;
     std::size_t job = 0;
-    bool from_market = false, used = false;
+    bool from_market = false, was_used = false;
   };
+  /// A job with the numbers of its tasks by state; `done_at` below 0: not all tasks are done.
   struct Job {
     JobArrival arrival;
     std::uint32_t pending = 0, running = 0, done = 0;
     double done_at = -1;
   };
-  struct InFlight {
+  /// A call to a market whose answer, or timeout, is delivered to the leader at `answer_at`.
+  struct PendingCall {
     market::Call call;
     double answer_at = 0;
     market::Answer answer;
     std::uint64_t term = 0;
   };
   std::vector<UnmetDemand> unmet_demand() const;
-  std::vector<std::size_t> by_urgency() const;
+  std::vector<std::size_t> jobs_by_urgency() const;
   void write(const Write& w);
   bool apply(const Transaction& transaction, Revision& revision);
   void publish(const Change& change, Revision revision);
   void send(const market::Call& call);
-  market::Answer ask_market(const market::Call& call);
+  market::Answer call_market(const market::Call& call);
   /// Adds new jobs and makes the tasks of those that have arrived pending.
   void admit_arrivals();
   /// Starts a new leader from the stored records.
@@ -149,10 +152,10 @@
   /// Makes the policy's plan and updates the highest ratio of bought to needed machines.
   market::Plan plan_and_measure(const std::vector<market::Demand>& demands,
                                 const std::vector<market::Offer>& offers, const market::Ledger& ledger,
-                                double reference, const market::Settings& planner_settings);
+                                double reference_price, const market::Settings& planner_settings);
   void adopt_delivered(const market::HostUpdate& delivery, const MachineRecord& record);
   /// Stops the task on a machine, so that the machine is returned in this step.
-  void vacate(MachineIndex machine_index);
+  void drain_machine(MachineIndex machine_index);
   void deliver_due_answers();
   void run_leader_cycle();
   void advance_jobs();
@@ -160,20 +163,20 @@
   void start_runs();
   void return_idle_machines();
   void scale_out(const std::vector<UnmetDemand>& needs, const std::vector<std::uint32_t>& tasks);
-  void check();
+  void check_spending();
   std::vector<CloudOffer> cloud_offers() const;
 
   MarketScenario scenario_;
   Policy policy_;
   std::mt19937_64 random_;
-  ClusterState known_state_;  // only its name tables are used; all leaders share them
+  ClusterState name_registry_;  // only its name tables are used; all leaders share them
   std::vector<MachineType> catalog_;
   std::unique_ptr<Leader> leader_;
   std::uint64_t last_term_ = 0;
   double next_leader_at_ = 0;
   std::vector<Job> jobs_;
   std::map<std::string, Machine> machines_;
-  std::vector<InFlight> in_flight_;
+  std::vector<PendingCall> pending_calls_;
   struct Entry {
     Change change;
     Revision revision = 0;
@@ -189,10 +192,11 @@
   std::uint32_t machines_used_ = 0;
 };
 
-/// Makes a plan by the given policy; has no side effects. `truth`: behaviour of each market, which only the
-/// oracle uses; `reference`: reference price of the bidding service; `now`: seconds from the start.
-market::Plan baseline(Policy policy, const std::vector<MarketBehavior>& truth, double now,
-                      const std::vector<market::Demand>& demands, std::vector<market::Offer> offers,
-                      const market::Ledger& ledger, double reference, const market::Settings& settings);
+/// Makes a plan by the given policy; has no side effects. `behaviors`: behaviour of each market, which only
+/// the oracle uses; `reference_price`: that of the bidding service; `now`: seconds from the start.
+market::Plan make_policy_plan(Policy policy, const std::vector<MarketBehavior>& behaviors, double now,
+                              const std::vector<market::Demand>& demands, std::vector<market::Offer> offers,
+                              const market::Ledger& ledger, double reference_price,
+                              const market::Settings& settings);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/scale_evaluator.h
+++ b/include/oxbowmill/simulation/scale_evaluator.h
@@ -26,9 +26,9 @@
 /// Evaluates one run. All times are seconds of the steady clock.
 class ScaleEvaluator {
  public:
-  /// `began`: start of the run, to which the times in the settings are relative. `settings` must outlive this
-  /// object.
-  ScaleEvaluator(const ScaleSettings& settings, double began);
+  /// `started_at`: start of the run, to which the times in the settings are relative. `settings` must outlive
+  /// this object.
+  ScaleEvaluator(const ScaleSettings& settings, double started_at);
   /// Adds an event. Events must be added in the order of their times.
   void add(const ScaleEvent& event);
   /// Checks the invariants that depend on elapsed time.
@@ -38,10 +38,10 @@
 
   /// Jobs of one class that were submitted after the warm-up.
   struct ClassWaits {
-    Distribution first_s,    ///< seconds from the first attempt to submit until the first task ran
-        all_s;               ///< seconds from the first attempt to submit until every task had run
-    std::uint32_t jobs = 0,  ///< jobs submitted
-        begun = 0;           ///< jobs of which every task has run
+    Distribution first_task_s,  ///< seconds from the first attempt to submit until the first task ran
+        all_tasks_s;            ///< seconds from the first attempt to submit until every task had run
+    std::uint32_t jobs = 0,     ///< jobs submitted
+        fully_started = 0;      ///< jobs of which every task has run
   };
   /// Waiting times by class, in the order of the settings' classes.
   const std::vector<ClassWaits>& waits() const { return waits_; }
@@ -57,7 +57,7 @@
   /// Number of task starts since the warm-up.
   std::uint64_t starts() const { return starts_; }
   /// Number of tasks since the warm-up that ended without completing although their jobs were not withdrawn.
-  std::uint64_t lost() const { return lost_; }
+  std::uint64_t lost_tasks() const { return lost_tasks_; }
   /// Highest number of tasks on machines at once in the whole run.
   std::size_t max_running() const { return max_running_; }
 
@@ -65,27 +65,27 @@
   struct Job {
     double submitted = 0;
     std::size_t class_index = 0;
-    bool measured = false, withdrawn = false;
+    bool is_measured = false, withdrawn = false;
     std::vector<bool> task_ran;  // by task number
     std::uint32_t ran_count = 0;
   };
   struct Counter {
     double first = 0, last = 0, highest = 0;
-    bool known = false;
+    bool is_known = false;
   };
   void on_submitted(const ScaleEvent& event);
   void on_task_runs(const ScaleEvent& event);
   void on_task_left(const ScaleEvent& event);
-  InvariantChecker::MachinePlacement place_of(const std::string& machine) const;
+  InvariantChecker::MachinePlacement placement_of(const std::string& machine) const;
   const ScaleSettings& settings_;
-  double began_;
+  double started_at_;
   InvariantChecker invariants_;
   std::map<std::string, Job> jobs_;
   std::map<std::string, Counter> counters_;
   std::map<std::string, std::uint32_t> completed_;  // keys: tasks that completed but are still on a machine
   std::vector<ClassWaits> waits_;
   Distribution submit_ms_;
-  std::uint64_t starts_ = 0, lost_ = 0;
+  std::uint64_t starts_ = 0, lost_tasks_ = 0;
   std::size_t running_ = 0, max_running_ = 0;
 };
 
--- a/include/oxbowmill/simulation/scale_run.h
+++ b/include/oxbowmill/simulation/scale_run.h
@@ -20,15 +20,16 @@
 
 /// Results of a scale run.
 struct ScaleReport {
-  nlohmann::json figures;                    ///< measured values by name
-  std::vector<std::string> violations;       ///< violated invariants, and processes that ended unexpectedly
-  std::vector<std::string> missing_figures;  ///< reasons why the figures are invalid: a simulator, not the
-                                             ///< controllers, limited the run. Empty: they are valid
+  nlohmann::json figures;               ///< measured values by name
+  std::vector<std::string> violations;  ///< violated invariants, and processes that ended unexpectedly
+  /// Reasons why the figures are invalid because a simulator and not the controllers limited the run; empty
+  /// if they are valid.
+  std::vector<std::string> invalid_figure_reasons;
 };
 
 /// Runs a scale run to its end. Throws an Error with a one-line message if a process cannot be started, a
 /// simulator ends unexpectedly or the run is interrupted.
-ScaleReport play_scale(const ScaleSettings& settings, const ScaleOptions& options);
+ScaleReport run_scale_simulation(const ScaleSettings& settings, const ScaleOptions& options);
 /// Formats the report as a table for people.
 std::string table(const ScaleReport& report);
 
--- a/include/oxbowmill/simulation/scale_users.h
+++ b/include/oxbowmill/simulation/scale_users.h
@@ -19,17 +19,17 @@
              ScaleEventWriter& events, std::function<double()> now);
 
  private:
-  enum class Step : std::uint8_t { submitting, polling, withdrawing, finished };
+  enum class UserStep : std::uint8_t { submitting, polling, withdrawing, finished };
   /// A user with one job. Times are in seconds of the steady clock; `withdraws_at` below 0: never.
   struct User {
     std::string ref;
-    Step step = Step::submitting;
+    UserStep step = UserStep::submitting;
     double first_attempt_at = 0, next_request_at = 0, withdraws_at = -1;
     bool request_pending = false;
   };
   void tick();
-  void arrive(std::size_t class_index, double now);
-  void act(User& user, double now);
+  void add_user(std::size_t class_index, double now);
+  void send_next_request(User& user, double now);
   void submit(User& user);
   void poll(User& user);
   void withdraw(User& user);
@@ -38,7 +38,7 @@
   void on_withdrawn(User& user, const net::Response& response);
   /// Reports an answer to the evaluating process; `no_answer` counts as refused.
   void record_answer(const User& user, JobAnswer answer);
-  net::HttpClient& any_controller();
+  net::HttpClient& random_controller();
   void write_counts();
 
   const ScaleSettings& settings_;
@@ -47,10 +47,10 @@
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<net::HttpClient>> controllers_;
   std::vector<std::unique_ptr<User>> users_;
-  std::vector<double> next_arrival_;    // by class
-  std::vector<std::uint32_t> arrived_;  // by class
-  double expected_tick_ = 0, next_counts_at_ = 0, max_lateness_s_ = 0, requests_ = 0, refused_ = 0,
-         bytes_ = 0;
+  std::vector<double> next_arrival_at_;        // by class
+  std::vector<std::uint32_t> arrival_counts_;  // by class
+  double expected_tick_ = 0, next_counts_at_ = 0, max_lateness_s_ = 0, request_count_ = 0, refused_count_ = 0,
+         transferred_bytes_ = 0;
   net::Timer timer_;
 };
 
--- a/include/oxbowmill/simulation/simulated_market.h
+++ b/include/oxbowmill/simulation/simulated_market.h
@@ -53,7 +53,7 @@
 class SimulatedMarket {
  public:
   /// `types`, `zones`: names of the machine types and zones that it can deliver.
-  SimulatedMarket(MarketBehavior profile, std::uint64_t seed, std::vector<std::string> types,
+  SimulatedMarket(MarketBehavior behavior, std::uint64_t seed, std::vector<std::string> types,
                   std::vector<std::string> zones);
 
   /// Handles one request; `body` is CBOR or empty.
@@ -65,14 +65,14 @@
 
   /// A delivered machine. Times are in seconds.
   struct Host {
-    std::string name,       ///< unique within the market
-        bid,                ///< name of the bid that it was delivered for
-        type,               ///< machine type
-        zone;               ///< zone
-    double since = 0,       ///< time from which it is charged
-        until = -1;         ///< time until which it is charged; below 0: it is still charged
-    bool alive = true;      ///< the machine is running
-    bool returned = false;  ///< its return was confirmed
+    std::string name,          ///< unique within the market
+        bid,                   ///< name of the bid that it was delivered for
+        type,                  ///< machine type
+        zone;                  ///< zone
+    double charged_since = 0,  ///< time from which it is charged
+        charged_until = -1;    ///< time until which it is charged; below 0: it is still charged
+    bool alive = true;         ///< the machine is running
+    bool returned = false;     ///< its return was confirmed
   };
   /// Delivered machines by name, including those that have ended.
   const std::map<std::string, Host>& hosts() const { return hosts_; }
@@ -87,10 +87,10 @@
   struct Bid {
     wire::Json request;
     std::string phase = "open";
-    double limit = 0, rate = 0, raise = 0, decides_at = 0, duration_s = 0;
+    double price_limit = 0, price = 0, raised_price = 0, decides_at = 0, duration_s = 0;
     std::uint64_t round = 0;
     std::uint32_t count = 0, expected_count = 0;
-    std::vector<double> deliveries;  // times of outstanding deliveries, the earliest last
+    std::vector<double> delivery_times;  // times of outstanding deliveries, the earliest last
     std::set<std::string> hosts;
     bool delivers_wrong_machines = false, delivers_twice = false;
     double overcharge_factor = 1;
@@ -98,7 +98,7 @@
   bool faults_active(double now) const {
     return now >= behavior_.faults_from_s && now < behavior_.faults_to_s;
   }
-  bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(random_) < p; }
+  bool happens(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
   MarketReply route(const std::string& method, const std::string& path, const std::string& body, double now);
   MarketReply handle_bid(const std::string& method, const std::string& name_and_verb,
                          const wire::Json& request, double now);
@@ -108,16 +108,16 @@
   wire::Json charges(double now) const;
   wire::Json quotes(const wire::Json& body, double now);
   MarketReply bid(const wire::Json& body, double now);
-  wire::Json state_of(const std::string& name, double now);
+  wire::Json bid_json(const std::string& name, double now);
   void decide(Bid& bid, double now);
   void accept(Bid& bid, double rate, double now);
   void deliver(const std::string& name, Bid& bid, double now);
   /// Ends a won bid that expects no more machines: `closed` once its machines have ended, `withdrawn` if it
   /// has none.
-  void maybe_close(Bid& bid);
+  void close_if_finished(Bid& bid);
   double charge(const Bid& bid, double now) const;
   /// Number of machines that are charged, ordered or bid for.
-  std::uint32_t busy() const;
+  std::uint32_t machines_in_use() const;
 
   MarketBehavior behavior_;
   std::mt19937_64 random_;
--- a/include/oxbowmill/simulation/state_server.h
+++ b/include/oxbowmill/simulation/state_server.h
@@ -24,14 +24,14 @@
  public:
   /// Counters since the start of the server.
   struct Counts {
-    std::uint64_t requests = 0,  ///< requests received
-        refused = 0,             ///< requests beyond a rate limit (429)
-        changes = 0,             ///< changes applied
-        transactions = 0,        ///< transactions, applied or not
-        failed = 0,              ///< transactions refused by a guard (409)
-        bytes_in = 0,            ///< bytes of request bodies
-        bytes_out = 0,           ///< bytes of response bodies
-        watch_bytes = 0;         ///< part of `bytes_out` that answered watches
+    std::uint64_t requests = 0,    ///< requests received
+        refused_requests = 0,      ///< requests beyond a rate limit (429)
+        changes = 0,               ///< changes applied
+        transactions = 0,          ///< transactions, applied or not
+        refused_transactions = 0,  ///< transactions refused by a guard (409)
+        bytes_in = 0,              ///< bytes of request bodies
+        bytes_out = 0,             ///< bytes of response bodies
+        watch_bytes = 0;           ///< part of `bytes_out` that answered watches
   };
   /// `now` returns the time in seconds, by which leases expire. Throws if the address cannot be bound.
   StateServer(event_base* base, const net::Address& bind, const StateLimits& limits,
@@ -49,8 +49,8 @@
   struct Watch {
     net::ResponderPtr responder;
     std::string prefix;
-    std::uint64_t from = 0;  // revision after which changes are sent
-    double until = 0;        // when it is answered even without changes, in seconds
+    std::uint64_t from_revision = 0;  // revision after which changes are sent
+    double expires_at = 0;            // when it is answered even without changes, in seconds
   };
   struct LogEntry {
     std::uint64_t revision = 0;
@@ -67,11 +67,11 @@
   void publish();
   void answer(const net::ResponderPtr& responder, int status, const Json& body);
   /// Answers a watch if there are changes for it or its time is over; false if it remains open.
-  bool answer_watch(const Watch& watch, bool over);
+  bool answer_watch(const Watch& watch, bool expired);
   std::function<double()> now_;
   StateStore store_;
   Counts counts_;
-  TokenBucket requests_, changes_;
+  TokenBucket request_limiter_, change_limiter_;
   std::deque<LogEntry> log_;
   std::vector<Watch> watches_;
   net::Timer timer_;
--- a/src/simulation/agent_simulator.cpp
+++ b/src/simulation/agent_simulator.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr double tick_s = 0.02, counts_interval_s = 1;
-constexpr double report_timeout_s = 4, least_between_reports_s = 0.5, next_controller_after_s = 1;
-constexpr std::size_t hosts_per_block = 250;
-constexpr const char* type_name = "std";
+constexpr double report_timeout_s = 4, min_report_interval_s = 0.5, next_controller_delay_s = 1;
+constexpr std::size_t machines_per_subnet = 250;
+constexpr const char* machine_type_name = "std";
 
 net::Address loopback(std::size_t second, std::size_t third, std::size_t fourth, std::uint16_t port) {
   return {"127." + std::to_string(second) + "." + std::to_string(third) + "." + std::to_string(fourth), port};
 }
 
-std::pair<std::string, TaskNumber> split_id(const std::string& id) {
+std::pair<std::string, TaskNumber> split_task_id(const std::string& id) {
   std::size_t slash = id.rfind('/');
   return {id.substr(0, slash), static_cast<TaskNumber>(std::stoul(id.substr(slash + 1)))};
 }
@@ -40,7 +40,7 @@
   return loopback(60, 0, 1, port);
 }
 net::Address ScaleAddresses::worker(std::size_t i) const {
-  return loopback(64, i / hosts_per_block, 1 + i % hosts_per_block, port);
+  return loopback(64, i / machines_per_subnet, 1 + i % machines_per_subnet, port);
 }
 
 std::string scale_controller_name(std::size_t i) {
@@ -63,9 +63,9 @@
   Worker worker;
   std::unique_ptr<net::HttpServer> command_server;
   std::unique_ptr<net::HttpClient> client;
-  std::size_t controller = 0, connected_to = 0;
-  bool alive = true, reporting = false;
-  double up_at = 0, created_at = 0, next_report = 0, last_report = -1e9, cut_until = -1,
+  std::size_t controller = 0, client_controller = 0;
+  bool alive = true, report_pending = false;
+  double booted_at = 0, created_at = 0, next_report_at = 0, last_report_at = -1e9, disconnected_until = -1,
          fencing_token_published_at = -1e9;
   std::uint64_t agent_epoch = 1;
   std::map<std::string, TaskRun> runs;
@@ -84,20 +84,20 @@
       events_(events),
       now_(std::move(now)),
       random_(settings.seed),
-      faults_(settings.faults),
-      cloud_calls_(settings.cloud_rps, 2 * settings.cloud_rps),
+      pending_faults_(settings.faults),
+      cloud_call_limiter_(settings.cloud_rps, 2 * settings.cloud_rps),
       timer_(base, [this] { tick(); }) {
-  began_at_ = expected_tick_ = now_();
-  log_.on_change = [this](const std::string& id, const std::string& machine, bool on) {
+  started_at_ = expected_tick_ = now_();
+  log_.on_change = [this](const std::string& id, const std::string& machine, bool started) {
     ScaleEvent event;
-    event.kind = on ? ScaleEventKind::task_starts : ScaleEventKind::task_leaves;
-    std::tie(event.job, event.task) = split_id(id);
+    event.kind = started ? ScaleEventKind::task_starts : ScaleEventKind::task_leaves;
+    std::tie(event.job, event.task) = split_task_id(id);
     event.machine = machine;
     events_.write(event);
   };
   next_in_zone_.resize(settings.zones);
   for (std::uint32_t i = 0; i < settings.workers; ++i)
-    add_machine(i % settings.zones, began_at_ + uniform(0, settings.report_interval_s));
+    add_machine(i % settings.zones, started_at_ + uniform(0, settings.report_interval_s));
   cloud_ =
       std::make_unique<net::HttpServer>(base, addresses.cloud(), wire::max_body_size,
                                         [this](net::Request&& request) { serve_cloud(std::move(request)); });
@@ -106,245 +106,246 @@
 
 AgentSimulator::~AgentSimulator() = default;
 
-std::string AgentSimulator::add_machine(std::size_t zone, double up_at) {
+std::string AgentSimulator::add_machine(std::size_t zone, double booted_at) {
   // The number determines the zone, because other processes derive the zone from the machine's name.
   std::size_t number = settings_.zones * next_in_zone_[zone]++ + zone;
-  auto hollow = std::make_unique<SimulatedAgent>(number, scale_machine_name(number),
-                                                 scale_zone_name(number % settings_.zones), log_);
-  hollow->worker.lease_s = settings_.lease_s;
-  hollow->worker.first_phase = TaskPhase::fetching;
-  hollow->worker.address = net::to_string(addresses_.worker(number));
-  hollow->up_at = hollow->next_report = up_at;
-  hollow->created_at = now_();
-  hollow->controller = number % settings_.controllers;
-  std::string name = hollow->worker.name();
-  machines_[number] = std::move(hollow);
-  ++alive_;
+  auto agent = std::make_unique<SimulatedAgent>(number, scale_machine_name(number),
+                                                scale_zone_name(number % settings_.zones), log_);
+  agent->worker.lease_s = settings_.lease_s;
+  agent->worker.first_phase = TaskPhase::fetching;
+  agent->worker.address = net::to_string(addresses_.worker(number));
+  agent->booted_at = agent->next_report_at = booted_at;
+  agent->created_at = now_();
+  agent->controller = number % settings_.controllers;
+  std::string name = agent->worker.name();
+  machines_[number] = std::move(agent);
+  ++alive_machines_;
   return name;
 }
 
-void AgentSimulator::power_off(SimulatedAgent& hollow) {
-  if (!hollow.alive) return;
-  hollow.alive = false;
-  --alive_;
-  auto runs = hollow.runs;
-  for (const auto& [id, run] : runs) end_run(hollow, id, run, false);
-  hollow.worker.power_off();
-  hollow.command_server.reset();
-  hollow.client.reset();
+void AgentSimulator::power_off(SimulatedAgent& agent) {
+  if (!agent.alive) return;
+  agent.alive = false;
+  --alive_machines_;
+  auto runs = agent.runs;
+  for (const auto& [id, run] : runs) end_run(agent, id, run, false);
+  agent.worker.power_off();
+  agent.command_server.reset();
+  agent.client.reset();
 }
 
 void AgentSimulator::tick() {
   double now = now_();
   counts_.max_lateness_s = std::max(counts_.max_lateness_s, now - expected_tick_);
-  while (!faults_.empty()) {
-    auto due_fault = std::find_if(faults_.begin(), faults_.end(),
-                                  [&](const ScaleFault& fault) { return now >= began_at_ + fault.at_s; });
-    if (due_fault == faults_.end()) break;
+  while (!pending_faults_.empty()) {
+    auto due_fault = std::find_if(pending_faults_.begin(), pending_faults_.end(),
+                                  [&](const ScaleFault& fault) { return now >= started_at_ + fault.at_s; });
+    if (due_fault == pending_faults_.end()) break;
     ScaleFault fault = *due_fault;
-    faults_.erase(due_fault);
-    apply(fault, now);
+    pending_faults_.erase(due_fault);
+    inject_fault(fault, now);
   }
   while (!timed_events_.empty() && timed_events_.top().at <= now) {
     TimedEvent due = timed_events_.top();
     timed_events_.pop();
-    on_due(due, now);
+    on_timed_event(due, now);
   }
-  for (const auto& [number, hollow] : machines_) tick_machine(*hollow, now);
+  for (const auto& [number, agent] : machines_) tick_machine(*agent, now);
   if (now >= next_counts_at_) write_counts();
   expected_tick_ = now_() + tick_s;
   timer_.schedule(tick_s);
 }
 
-void AgentSimulator::tick_machine(SimulatedAgent& hollow, double now) {
-  if (!hollow.alive || now < hollow.up_at) return;
-  if (!hollow.command_server) {
-    hollow.command_server = std::make_unique<net::HttpServer>(
-        base_, addresses_.worker(hollow.number), wire::max_body_size,
-        [this, &hollow](net::Request&& request) { on_command(hollow, std::move(request)); });
+void AgentSimulator::tick_machine(SimulatedAgent& agent, double now) {
+  if (!agent.alive || now < agent.booted_at) return;
+  if (!agent.command_server) {
+    agent.command_server = std::make_unique<net::HttpServer>(
+        base_, addresses_.worker(agent.number), wire::max_body_size,
+        [this, &agent](net::Request&& request) { on_commands(agent, std::move(request)); });
   }
-  hollow.worker.tick(now);
-  if (hollow.worker.agent_epoch() != hollow.agent_epoch) {  // the lease has expired, which ended all tasks
-    hollow.agent_epoch = hollow.worker.agent_epoch();
-    auto runs = hollow.runs;
-    for (const auto& [id, run] : runs) end_run(hollow, id, run, false);
+  agent.worker.tick(now);
+  if (agent.worker.agent_epoch() != agent.agent_epoch) {  // the lease has expired, which ended all tasks
+    agent.agent_epoch = agent.worker.agent_epoch();
+    auto runs = agent.runs;
+    for (const auto& [id, run] : runs) end_run(agent, id, run, false);
   }
-  if (!hollow.reporting && now >= hollow.next_report && now >= hollow.cut_until) send_report(hollow, now);
+  if (!agent.report_pending && now >= agent.next_report_at && now >= agent.disconnected_until)
+    send_report(agent, now);
 }
 
-void AgentSimulator::send_report(SimulatedAgent& hollow, double now) {
+void AgentSimulator::send_report(SimulatedAgent& agent, double now) {
   // The client is replaced here, because its own callback must not destroy it.
-  if (!hollow.client || hollow.connected_to != hollow.controller)
-    hollow.client = std::make_unique<net::HttpClient>(base_, addresses_.controller(hollow.controller), 1);
-  hollow.connected_to = hollow.controller;
-  std::string body = wire::encode(write_report(hollow.worker.report(now)));
-  hollow.reporting = true;
-  hollow.last_report = now;
+  if (!agent.client || agent.client_controller != agent.controller)
+    agent.client = std::make_unique<net::HttpClient>(base_, addresses_.controller(agent.controller), 1);
+  agent.client_controller = agent.controller;
+  std::string body = wire::encode(write_report(agent.worker.report(now)));
+  agent.report_pending = true;
+  agent.last_report_at = now;
   ++counts_.reports;
   counts_.report_bytes += static_cast<double>(body.size());
-  hollow.client->send(EVHTTP_REQ_POST, "/hello", std::move(body), report_timeout_s,
-                      [this, &hollow](const net::Response& response) { on_answer(hollow, response); });
+  agent.client->send(EVHTTP_REQ_POST, "/hello", std::move(body), report_timeout_s,
+                     [this, &agent](const net::Response& response) { on_report_response(agent, response); });
 }
 
-void AgentSimulator::on_answer(SimulatedAgent& hollow, const net::Response& response) {
+void AgentSimulator::on_report_response(SimulatedAgent& agent, const net::Response& response) {
   double now = now_();
-  hollow.reporting = false;
-  if (!hollow.alive) return;
+  agent.report_pending = false;
+  if (!agent.alive) return;
   counts_.answer_bytes += static_cast<double>(response.body.size());
-  if (now < hollow.cut_until) {
-    hollow.next_report = hollow.cut_until;
+  if (now < agent.disconnected_until) {
+    agent.next_report_at = agent.disconnected_until;
     return;
   }
   Json body = Json::from_cbor(response.body, true, false);
   if (response.status == 200) {
-    hollow.next_report = now + settings_.report_interval_s * uniform(0.75, 1.25);
-    if (auto answer = read_answer(body)) hollow.worker.answer(*answer, now);
-    sync_tasks(hollow);
+    agent.next_report_at = now + settings_.report_interval_s * uniform(0.75, 1.25);
+    if (auto answer = read_answer(body)) agent.worker.answer(*answer, now);
+    sync_tasks(agent);
     return;
   }
-  if (response.status == 0) ++counts_.unanswered;
-  std::string foreman = response.status == 421 && body.is_object() ? body.value("foreman", "") : "";
-  std::size_t next = (hollow.controller + 1) % settings_.controllers;
-  bool named = false;
+  if (response.status == 0) ++counts_.unanswered_reports;
+  std::string owner = response.status == 421 && body.is_object() ? body.value("foreman", "") : "";
+  std::size_t next = (agent.controller + 1) % settings_.controllers;
+  bool redirected = false;
   for (std::size_t i = 0; i < settings_.controllers; ++i) {
-    if (scale_controller_name(i) != foreman || i == hollow.controller) continue;
+    if (scale_controller_name(i) != owner || i == agent.controller) continue;
     next = i;
-    named = true;
+    redirected = true;
   }
-  hollow.controller = next;
-  hollow.next_report = now + (named ? uniform(0, least_between_reports_s) : next_controller_after_s);
+  agent.controller = next;
+  agent.next_report_at = now + (redirected ? uniform(0, min_report_interval_s) : next_controller_delay_s);
 }
 
-void AgentSimulator::on_command(SimulatedAgent& hollow, net::Request&& request) {
+void AgentSimulator::on_commands(SimulatedAgent& agent, net::Request&& request) {
   double now = now_();
-  if (now < hollow.cut_until) {
+  if (now < agent.disconnected_until) {
     unanswered_commands_.push_back(request.responder);
     return;
   }
   ++counts_.commands;
   counts_.command_bytes += static_cast<double>(request.body.size());
   Json body = Json::from_cbor(request.body, true, false);
-  auto command = body.is_object() ? read_command(body) : std::nullopt;
+  auto command = body.is_object() ? read_direct_commands(body) : std::nullopt;
   if (!command) return request.responder->reply(400, "");
-  std::uint64_t fencing_token = hollow.worker.fencing_token();
-  bool done = hollow.worker.command(*command);
-  bool token_is_new = hollow.worker.fencing_token() > fencing_token &&
-                      now - hollow.fencing_token_published_at >= settings_.lease_s / 2;
-  if (token_is_new) hollow.fencing_token_published_at = now;
-  if (done && (token_is_new || !command->commands.empty())) schedule_report(hollow, now);
-  if (done) sync_tasks(hollow);
+  std::uint64_t fencing_token = agent.worker.fencing_token();
+  bool done = agent.worker.command(*command);
+  bool token_is_new = agent.worker.fencing_token() > fencing_token &&
+                      now - agent.fencing_token_published_at >= settings_.lease_s / 2;
+  if (token_is_new) agent.fencing_token_published_at = now;
+  if (done && (token_is_new || !command->commands.empty())) schedule_report(agent, now);
+  if (done) sync_tasks(agent);
   request.responder->reply(done ? 200 : 409, "");
 }
 
-void AgentSimulator::schedule_report(SimulatedAgent& hollow, double now) {
-  hollow.next_report =
-      std::min(hollow.next_report, std::max(now, hollow.last_report + least_between_reports_s));
+void AgentSimulator::schedule_report(SimulatedAgent& agent, double now) {
+  agent.next_report_at =
+      std::min(agent.next_report_at, std::max(now, agent.last_report_at + min_report_interval_s));
 }
 
-void AgentSimulator::sync_tasks(SimulatedAgent& hollow) {
+void AgentSimulator::sync_tasks(SimulatedAgent& agent) {
   double now = now_();
-  auto runs = hollow.runs;
+  auto runs = agent.runs;
   for (const auto& [id, run] : runs) {
-    auto task = hollow.worker.tasks().find(id);
-    bool there = task != hollow.worker.tasks().end() && task->second.attempt == run.attempt &&
-                 task->second.phase != TaskPhase::ended;
-    if (there) continue;
-    end_run(hollow, id, run, task != hollow.worker.tasks().end() && task->second.checkpoint_saved);
-    schedule_report(hollow, now);
+    auto task = agent.worker.tasks().find(id);
+    bool still_present = task != agent.worker.tasks().end() && task->second.attempt == run.attempt &&
+                         task->second.phase != TaskPhase::ended;
+    if (still_present) continue;
+    end_run(agent, id, run, task != agent.worker.tasks().end() && task->second.checkpoint_saved);
+    schedule_report(agent, now);
   }
-  for (const auto& [id, task] : hollow.worker.tasks()) {
-    if (task.phase == TaskPhase::ended || hollow.runs.count(id) != 0) continue;
-    start_run(hollow, id, task);
-    schedule_report(hollow, now);
+  for (const auto& [id, task] : agent.worker.tasks()) {
+    if (task.phase == TaskPhase::ended || agent.runs.count(id) != 0) continue;
+    start_run(agent, id, task);
+    schedule_report(agent, now);
   }
 }
 
-void AgentSimulator::start_run(SimulatedAgent& hollow, const std::string& id, const TaskReport& task) {
+void AgentSimulator::start_run(SimulatedAgent& agent, const std::string& id, const TaskReport& task) {
   ScaleJob job = scale_job(settings_, task.job);
   double now = now_(),
          fetch_s = job.job_class == nullptr ? 0 : job.job_class->image_gb / settings_.fetch_gb_per_s;
   std::string image = job.job_class == nullptr ? "" : job.job_class->name + std::to_string(job.image);
-  double ready_at = hollow.images.try_emplace(image, now + fetch_s * uniform(0.8, 1.2)).first->second;
-  TaskRun& run = hollow.runs[id];
+  double ready_at = agent.images.try_emplace(image, now + fetch_s * uniform(0.8, 1.2)).first->second;
+  TaskRun& run = agent.runs[id];
   run.task = task.task;
   run.attempt = task.attempt;
   run.ready_at = std::max(now, ready_at);
-  timed_events_.push({run.ready_at, hollow.number, id, run.attempt});
+  timed_events_.push({run.ready_at, agent.number, id, run.attempt});
   if (job.job_class != nullptr && job.job_class->shape == JobShape::gang) {
     Gang& gang = gangs_[task.job];
     if (gang.attempt != task.attempt) gang = {task.attempt, {}, false, -1};
-    gang.members[task.task] = hollow.number;
+    gang.members[task.task] = agent.number;
   }
 }
 
-void AgentSimulator::end_run(SimulatedAgent& hollow, const std::string& id, const TaskRun& run, bool saved) {
-  auto [ref, task] = split_id(id);
+void AgentSimulator::end_run(SimulatedAgent& agent, const std::string& id, const TaskRun& run, bool saved) {
+  auto [ref, task] = split_task_id(id);
   double now = now_();
-  if (saved && run.started_at >= 0) saved_s_[id] += now - run.started_at;
-  hollow.runs.erase(id);
+  if (saved && run.started_at >= 0) checkpointed_run_s_[id] += now - run.started_at;
+  agent.runs.erase(id);
   auto gang = gangs_.find(ref);
   if (gang == gangs_.end() || gang->second.attempt != run.attempt) return;
   gang->second.members.erase(task);
-  if (!gang->second.running || gang->second.lost_at >= 0) return;
-  gang->second.lost_at = now;
+  if (!gang->second.running || gang->second.member_lost_at >= 0) return;
+  gang->second.member_lost_at = now;
   for (const auto& [member, machine] : gang->second.members) {
     timed_events_.push(
         {now + settings_.gang_peer_s / 2, machine, ref + "/" + std::to_string(member), run.attempt});
   }
 }
 
-void AgentSimulator::on_due(const TimedEvent& event, double now) {
-  SimulatedAgent& hollow = *machines_.at(event.machine);
-  auto found = hollow.runs.find(event.task_id);
-  if (!hollow.alive || found == hollow.runs.end() || found->second.attempt != event.attempt) return;
+void AgentSimulator::on_timed_event(const TimedEvent& event, double now) {
+  SimulatedAgent& agent = *machines_.at(event.machine);
+  auto found = agent.runs.find(event.task_id);
+  if (!agent.alive || found == agent.runs.end() || found->second.attempt != event.attempt) return;
   TaskRun& run = found->second;
-  auto gang = gangs_.find(split_id(event.task_id).first);
+  auto gang = gangs_.find(split_task_id(event.task_id).first);
   bool in_gang = gang != gangs_.end() && gang->second.attempt == run.attempt;
   if (run.started_at >= 0) {
     // The timeout of the wait for the other gang members may still fire after the start; it is ignored then.
-    bool lost = in_gang && gang->second.lost_at >= 0;
-    if (lost) finish(hollow, event.task_id, EndCause::peers_lost);
-    if (!lost && now >= run.ends_at) finish(hollow, event.task_id, EndCause::done);
+    bool lost = in_gang && gang->second.member_lost_at >= 0;
+    if (lost) finish_task(agent, event.task_id, EndCause::peers_lost);
+    if (!lost && now >= run.ends_at) finish_task(agent, event.task_id, EndCause::done);
     return;
   }
-  if (run.waiting_for_gang_since < 0) return on_image_ready(hollow, event.task_id, run, now);
+  if (run.waiting_for_gang_since < 0) return on_image_ready(agent, event.task_id, run, now);
   if (now - run.waiting_for_gang_since >= settings_.gang_wait_s)
-    finish(hollow, event.task_id, EndCause::gang_incomplete);
+    finish_task(agent, event.task_id, EndCause::gang_incomplete);
 }
 
-void AgentSimulator::on_image_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now) {
-  if (finished_tasks_.count(id) != 0) return finish(hollow, id, EndCause::done);
-  ScaleJob job = scale_job(settings_, split_id(id).first);
+void AgentSimulator::on_image_ready(SimulatedAgent& agent, const std::string& id, TaskRun& run, double now) {
+  if (finished_tasks_.count(id) != 0) return finish_task(agent, id, EndCause::done);
+  ScaleJob job = scale_job(settings_, split_task_id(id).first);
   if (job.job_class != nullptr && job.job_class->shape == JobShape::gang)
-    return on_member_ready(hollow, id, run, now);
-  begin_running(hollow, id, run, now);
+    return on_gang_member_ready(agent, id, run, now);
+  begin_running(agent, id, run, now);
 }
 
-void AgentSimulator::begin_running(SimulatedAgent& hollow, const std::string& id, TaskRun& run, double now) {
-  auto [ref, task] = split_id(id);
+void AgentSimulator::begin_running(SimulatedAgent& agent, const std::string& id, TaskRun& run, double now) {
+  auto [ref, task] = split_task_id(id);
   ScaleJob job = scale_job(settings_, ref);
   run.started_at = now;
-  hollow.worker.set_phase(id, TaskPhase::running);
+  agent.worker.set_phase(id, TaskPhase::running);
   ScaleEvent event;
   event.kind = ScaleEventKind::task_runs;
   event.job = ref;
   event.task = task;
-  event.machine = hollow.worker.name();
+  event.machine = agent.worker.name();
   events_.write(event);
-  schedule_report(hollow, now);
+  schedule_report(agent, now);
   if (job.job_class != nullptr && job.job_class->shape == JobShape::service) return;
-  double left = std::max(1.0, scale_run_time_s(settings_, ref, task) - saved_s_[id]);
-  run.ends_at = now + left;
-  timed_events_.push({run.ends_at, hollow.number, id, run.attempt});
+  double remaining_s = std::max(1.0, scale_run_time_s(settings_, ref, task) - checkpointed_run_s_[id]);
+  run.ends_at = now + remaining_s;
+  timed_events_.push({run.ends_at, agent.number, id, run.attempt});
 }
 
-void AgentSimulator::on_member_ready(SimulatedAgent& hollow, const std::string& id, TaskRun& run,
-                                     double now) {
-  std::string ref = split_id(id).first;
+void AgentSimulator::on_gang_member_ready(SimulatedAgent& agent, const std::string& id, TaskRun& run,
+                                          double now) {
+  std::string ref = split_task_id(id).first;
   run.waiting_for_gang_since = now;
-  hollow.worker.set_phase(id, TaskPhase::gathering);
-  timed_events_.push({now + settings_.gang_wait_s, hollow.number, id, run.attempt});
-  schedule_report(hollow, now);
+  agent.worker.set_phase(id, TaskPhase::gathering);
+  timed_events_.push({now + settings_.gang_wait_s, agent.number, id, run.attempt});
+  schedule_report(agent, now);
   Gang& gang = gangs_[ref];
   if (gang.members.size() < scale_job(settings_, ref).job_class->tasks) return;
   auto is_ready = [&](const auto& member) {
@@ -359,10 +360,10 @@
   }
 }
 
-void AgentSimulator::finish(SimulatedAgent& hollow, const std::string& id, EndCause cause) {
-  auto [ref, task] = split_id(id);
-  TaskRun run = hollow.runs.at(id);
-  hollow.runs.erase(id);
+void AgentSimulator::finish_task(SimulatedAgent& agent, const std::string& id, EndCause cause) {
+  auto [ref, task] = split_task_id(id);
+  TaskRun run = agent.runs.at(id);
+  agent.runs.erase(id);
   auto gang = gangs_.find(ref);
   if (gang != gangs_.end() && gang->second.attempt == run.attempt) gang->second.members.erase(task);
   if (cause == EndCause::done) {
@@ -373,15 +374,15 @@
     event.task = task;
     events_.write(event);
   }
-  hollow.worker.finish(id, cause);
-  schedule_report(hollow, now_());
+  agent.worker.finish(id, cause);
+  schedule_report(agent, now_());
 }
 
-std::vector<AgentSimulator::SimulatedAgent*> AgentSimulator::pick_machines(std::uint32_t count) {
+std::vector<AgentSimulator::SimulatedAgent*> AgentSimulator::choose_machines(std::uint32_t count) {
   // Consecutive machines, as in the failure of a rack.
   std::vector<SimulatedAgent*> alive;
-  for (const auto& [number, hollow] : machines_) {
-    if (hollow->alive) alive.push_back(hollow.get());
+  for (const auto& [number, agent] : machines_) {
+    if (agent->alive) alive.push_back(agent.get());
   }
   if (alive.empty()) return alive;
   auto first =
@@ -391,15 +392,16 @@
   return alive;
 }
 
-void AgentSimulator::apply(const ScaleFault& fault, double now) {
-  bool gone = fault.kind == ScaleFaultKind::workers_gone || fault.kind == ScaleFaultKind::workers_replaced;
-  if (!gone && fault.kind != ScaleFaultKind::workers_cut)
+void AgentSimulator::inject_fault(const ScaleFault& fault, double now) {
+  bool powers_off =
+      fault.kind == ScaleFaultKind::workers_gone || fault.kind == ScaleFaultKind::workers_replaced;
+  if (!powers_off && fault.kind != ScaleFaultKind::workers_cut)
     return;  // other faults are injected by other processes
-  for (SimulatedAgent* hollow : pick_machines(fault.count)) {
-    if (gone) power_off(*hollow);
+  for (SimulatedAgent* agent : choose_machines(fault.count)) {
+    if (powers_off) power_off(*agent);
     if (fault.kind == ScaleFaultKind::workers_replaced)
-      add_machine(hollow->number % settings_.zones, now + settings_.boot_s);
-    if (fault.kind == ScaleFaultKind::workers_cut) hollow->cut_until = now + fault.duration_s;
+      add_machine(agent->number % settings_.zones, now + settings_.boot_s);
+    if (fault.kind == ScaleFaultKind::workers_cut) agent->disconnected_until = now + fault.duration_s;
   }
 }
 
@@ -408,11 +410,11 @@
   events_.counter("reports", counts_.reports);
   events_.counter("report_bytes", counts_.report_bytes);
   events_.counter("answer_bytes", counts_.answer_bytes);
-  events_.counter("reports_unanswered", counts_.unanswered);
+  events_.counter("reports_unanswered", counts_.unanswered_reports);
   events_.counter("commands", counts_.commands);
   events_.counter("command_bytes", counts_.command_bytes);
   events_.counter("workers_late_s", counts_.max_lateness_s);
-  events_.counter("machines", static_cast<double>(alive_));
+  events_.counter("machines", static_cast<double>(alive_machines_));
   counts_.max_lateness_s = 0;
   events_.flush();
   if (unanswered_commands_.size() > settings_.workers) unanswered_commands_.clear();
@@ -422,7 +424,7 @@
   Json zones = Json::array();
   for (std::size_t z = 0; z < settings_.zones; ++z) zones.push_back(scale_zone_name(z));
   return {{"rigs",
-           {{{"sku", type_name},
+           {{{"sku", machine_type_name},
              {"vcpus", settings_.machine_resources.cpus},
              {"accelerators", settings_.machine_resources.gpus},
              {"memory_gb", settings_.machine_resources.memory_gb},
@@ -435,41 +437,42 @@
 }
 
 Json AgentSimulator::scale_out(const Json& body) {
-  auto [known, fresh] = scale_outs_.try_emplace(body.at("hire").get<std::string>());
-  if (!fresh) return known->second;
+  auto [entry, is_new] = scale_out_responses_.try_emplace(body.at("hire").get<std::string>());
+  if (!is_new) return entry->second;
   Json hosts = Json::array();
-  auto wanted = body.at("count").get<std::size_t>();
+  auto requested_count = body.at("count").get<std::size_t>();
   std::string zone = body.at("yard").get<std::string>();
   bool spot = body.value("loaners", false);
   for (std::size_t z = 0; z < settings_.zones && !spot; ++z) {
-    while (scale_zone_name(z) == zone && hosts.size() < wanted && alive_ < settings_.workers)
+    while (scale_zone_name(z) == zone && hosts.size() < requested_count &&
+           alive_machines_ < settings_.workers)
       hosts.push_back(add_machine(z, now_() + settings_.boot_s * uniform(0.6, 1.5)));
   }
-  if (hosts.empty()) scale_outs_.erase(known);
+  if (hosts.empty()) scale_out_responses_.erase(entry);
   Json answer = {{"hosts", hosts}};
-  if (!hosts.empty()) scale_outs_[body.at("hire").get<std::string>()] = answer;
+  if (!hosts.empty()) scale_out_responses_[body.at("hire").get<std::string>()] = answer;
   return answer;
 }
 
-Json AgentSimulator::list(const std::string& query) const {
-  constexpr std::size_t most = 500;
+Json AgentSimulator::list_machines(const std::string& query) const {
+  constexpr std::size_t max_hosts = 500;
   std::size_t at = query.find("from=");
   std::string from = at == std::string::npos ? "" : query.substr(at + 5, scale_machine_name(0).size());
   Json hosts = Json::array();
   bool truncated = false;
   auto first = from.empty() ? machines_.begin() : machines_.upper_bound(scale_machine_number(from));
   for (; first != machines_.end(); ++first) {
-    const SimulatedAgent& hollow = *first->second;
-    if (!hollow.alive) continue;
-    truncated = hosts.size() >= most;
+    const SimulatedAgent& agent = *first->second;
+    if (!agent.alive) continue;
+    truncated = hosts.size() >= max_hosts;
     if (truncated) break;
-    hosts.push_back({{"ref", hollow.worker.name()},
-                     {"address", hollow.worker.address},
-                     {"rig", type_name},
-                     {"yard", scale_zone_name(hollow.number % settings_.zones)},
+    hosts.push_back({{"ref", agent.worker.name()},
+                     {"address", agent.worker.address},
+                     {"rig", machine_type_name},
+                     {"yard", scale_zone_name(agent.number % settings_.zones)},
                      {"loaners", false},
-                     {"phase", now_() < hollow.up_at ? "starting" : "running"},
-                     {"age_s", now_() - hollow.created_at}});
+                     {"phase", now_() < agent.booted_at ? "starting" : "running"},
+                     {"age_s", now_() - agent.created_at}});
   }
   return {{"hosts", hosts}, {"truncated", truncated}};
 }
@@ -478,9 +481,10 @@
   auto reply = [&request](int status, const Json& body) {
     request.responder->reply(status, wire::encode(body));
   };
-  if (!cloud_calls_.take(1, now_())) return reply(429, Json::object());
+  if (!cloud_call_limiter_.take(1, now_())) return reply(429, Json::object());
   if (request.path == "/catalog") return reply(200, catalog());
-  if (request.path == "/rentals" && request.method == EVHTTP_REQ_GET) return reply(200, list(request.query));
+  if (request.path == "/rentals" && request.method == EVHTTP_REQ_GET)
+    return reply(200, list_machines(request.query));
   auto body = wire::decode_map(request.body);
   if (!body) return reply(400, Json::object());
   if (request.path == "/rentals") {
--- a/src/simulation/agent_wire.cpp
+++ b/src/simulation/agent_wire.cpp
@@ -8,22 +8,22 @@
 
 constexpr const char* phase_names[] = {"fetching", "gathering", "running", "saving", "ended"};
 
-std::vector<AgentCommand> read_commands(const Json& list) {
-  std::vector<AgentCommand> orders;
+std::vector<AgentCommand> decode_command_list(const Json& list) {
+  std::vector<AgentCommand> commands;
   for (const Json& entry : list) {
     auto shard = entry.at("shard").get<std::string>(), verb = entry.at("verb").get<std::string>();
     std::size_t slash = shard.rfind('/');
-    AgentCommand order;
-    order.kind = verb == "start"  ? CommandKind::start
-                 : verb == "kill" ? CommandKind::kill
-                                  : CommandKind::clear;
-    order.job = shard.substr(0, slash);
-    order.task = static_cast<TaskNumber>(std::stoul(shard.substr(slash + 1)));
-    order.attempt = entry.at("try").get<Attempt>();
-    order.termination_timeout_s = entry.value("wind_down_s", 0.0);
-    orders.push_back(std::move(order));
+    AgentCommand command;
+    command.kind = verb == "start"  ? CommandKind::start
+                   : verb == "kill" ? CommandKind::kill
+                                    : CommandKind::clear;
+    command.job = shard.substr(0, slash);
+    command.task = static_cast<TaskNumber>(std::stoul(shard.substr(slash + 1)));
+    command.attempt = entry.at("try").get<Attempt>();
+    command.termination_timeout_s = entry.value("wind_down_s", 0.0);
+    commands.push_back(std::move(command));
   }
-  return orders;
+  return commands;
 }
 
 }  // namespace
@@ -55,19 +55,19 @@
     ReportAnswer answer;
     answer.kind = ReportAnswer::Kind::ok;
     answer.fencing_token = body.at("warrant").get<Revision>();
-    answer.commands = read_commands(body.at("orders"));
+    answer.commands = decode_command_list(body.at("orders"));
     return answer;
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
-std::optional<DirectCommands> read_command(const Json& body) {
+std::optional<DirectCommands> read_direct_commands(const Json& body) {
   try {
     DirectCommands command;
     command.fencing_token = body.at("warrant").get<Revision>();
     command.agent_epoch = body.at("tenure").get<std::uint64_t>();
-    command.commands = read_commands(body.at("orders"));
+    command.commands = decode_command_list(body.at("orders"));
     return command;
   } catch (const std::exception&) {
     return std::nullopt;
--- a/src/simulation/market_experiment.cpp
+++ b/src/simulation/market_experiment.cpp
@@ -25,7 +25,7 @@
   for (Policy policy : policies) {
     MarketSummary summary;
     summary.policy = policy;
-    std::vector<double> shares, costs, per_job;
+    std::vector<double> met_fractions, costs, costs_per_job;
     double jobs = 0, in_time = 0, guaranteed = 0, guaranteed_in_time = 0;
     for (const MarketRow& row : rows) {
       if (row.policy != policy) continue;
@@ -33,25 +33,26 @@
       in_time += row.result.in_time;
       guaranteed += row.result.guaranteed;
       guaranteed_in_time += row.result.guaranteed_in_time;
-      shares.push_back(static_cast<double>(row.result.in_time) / std::max(1U, row.result.jobs));
+      met_fractions.push_back(static_cast<double>(row.result.in_time) / std::max(1U, row.result.jobs));
       costs.push_back(row.result.cost);
-      per_job.push_back(row.result.cost / std::max(1U, row.result.in_time));
-      summary.bought_machines += row.result.bought;
-      summary.unused_machines += row.result.unused;
+      costs_per_job.push_back(row.result.cost / std::max(1U, row.result.in_time));
+      summary.bought_machines += row.result.bought_machines;
+      summary.unused_machines += row.result.unused_machines;
       summary.breaches += row.result.breaches;
-      summary.suspended += row.result.suspended;
+      summary.suspended_markets += row.result.suspended_markets;
     }
-    if (shares.empty()) continue;
-    auto sample_weight = static_cast<double>(shares.size());
+    if (met_fractions.empty()) continue;
+    auto run_count = static_cast<double>(met_fractions.size());
     summary.deadlines_met = in_time / std::max(1.0, jobs);
     summary.guaranteed_met = guaranteed_in_time / std::max(1.0, guaranteed);
-    double var = 0;
-    for (double x : shares) var += (x - summary.deadlines_met) * (x - summary.deadlines_met);
-    summary.deadlines_met_error = std::sqrt(var / sample_weight / sample_weight);
+    double squared_deviations = 0;
+    for (double x : met_fractions)
+      squared_deviations += (x - summary.deadlines_met) * (x - summary.deadlines_met);
+    summary.deadlines_met_error = std::sqrt(squared_deviations / run_count / run_count);
     summary.cost = median(costs);
-    summary.cost_per_job = median(per_job);
-    summary.bought_machines /= sample_weight;
-    summary.unused_machines /= sample_weight;
+    summary.cost_per_job = median(costs_per_job);
+    summary.bought_machines /= run_count;
+    summary.unused_machines /= run_count;
     out.push_back(summary);
   }
   return out;
@@ -64,7 +65,7 @@
   for (const MarketSummary& s : rows) {
     out += fmt::format("{:<10}{:>11.3f}{:>8.3f}{:>12.3f}{:>8.2f}{:>10.3f}{:>8.1f}{:>8.1f}{:>9}{:>6}\n",
                        name_of(s.policy), s.deadlines_met, s.deadlines_met_error, s.guaranteed_met, s.cost,
-                       s.cost_per_job, s.bought_machines, s.unused_machines, s.breaches, s.suspended);
+                       s.cost_per_job, s.bought_machines, s.unused_machines, s.breaches, s.suspended_markets);
   }
   return out;
 }
@@ -75,8 +76,8 @@
   for (const MarketRow& r : rows) {
     const MarketResult& x = r.result;
     out += fmt::format("{},{},{},{},{},{},{},{:.4f},{},{},{},{}\n", scenario, name_of(r.policy), r.seed,
-                       x.jobs, x.in_time, x.guaranteed, x.guaranteed_in_time, x.cost, x.bought, x.unused,
-                       x.breaches, x.suspended);
+                       x.jobs, x.in_time, x.guaranteed, x.guaranteed_in_time, x.cost, x.bought_machines,
+                       x.unused_machines, x.breaches, x.suspended_markets);
   }
   return out;
 }
@@ -93,7 +94,7 @@
                     {"bought", summary.bought_machines},
                     {"unused", summary.unused_machines},
                     {"breaches", summary.breaches},
-                    {"shut", summary.suspended}});
+                    {"shut", summary.suspended_markets}});
   }
   return {{"scenario", scenario}, {"policies", list}};
 }
--- a/src/simulation/market_simulation.cpp
+++ b/src/simulation/market_simulation.cpp
@@ -9,7 +9,7 @@
 namespace oxbowmill::simulation {
 
 namespace {
-constexpr double step_s = 0.5, idle_keep_s = 10, acquire_after_s = 1, answer_after_s = 0.1;
+constexpr double step_s = 0.5, idle_timeout_s = 10, takeover_delay_s = 1, call_latency_s = 0.1;
 const char* const partition_names[] = {"red", "blue"};
 
 Settings controller_settings(std::uint64_t term, double controller_lease_s) {
@@ -21,11 +21,11 @@
   return settings;
 }
 
-Names world_names() {
+Names initial_names() {
   Names names;
   names.partitions.intern(state::idle_pool_name);
-  for (const char* p : partition_names) names.partitions.intern(p);
-  for (const char* z : {"a", "b"}) names.zones.intern(z);
+  for (const char* partition : partition_names) names.partitions.intern(partition);
+  for (const char* zone : {"a", "b"}) names.zones.intern(zone);
   names.types.intern("std");
   return names;
 }
@@ -37,13 +37,13 @@
 }
 
 MarketSimulation::Leader::Leader(MarketSimulation& simulation, std::uint64_t term)
-    : cluster_state(controller_settings(term, 1e9), simulation.known_state_.names),
+    : cluster_state(controller_settings(term, 1e9), simulation.name_registry_.names),
       lease(cluster_state.settings),
       scheduler(cluster_state, lease),
       bidding_service(cluster_state, scheduler, simulation.settings) {
   cluster_state.catalog = simulation.catalog_;
-  for (std::uint32_t m = 0; m < simulation.known_state_.names.machines.size(); ++m)
-    cluster_state.intern_machine(simulation.known_state_.names.machines.name(MachineIndex{m}));
+  for (std::uint32_t m = 0; m < simulation.name_registry_.names.machines.size(); ++m)
+    cluster_state.intern_machine(simulation.name_registry_.names.machines.name(MachineIndex{m}));
   for (const auto& [key, e] : simulation.store_) cluster_state.apply(e.change, e.revision, simulation.now);
   lease.on_granted(term, simulation.now);
   lease.on_watch_answered(simulation.now + 1e9);
@@ -55,7 +55,7 @@
       scenario_(scenario),
       policy_(policy),
       random_(seed),
-      known_state_(controller_settings(0, 1), world_names()) {
+      name_registry_(controller_settings(0, 1), initial_names()) {
   MachineType type;
   type.capacity = {8, 1, 64};
   type.price = scenario.cloud_price;
@@ -64,15 +64,18 @@
   type.zones = {ZoneIndex{0}};
   catalog_ = {type};
   settings.markets.clear();
-  for (const MarketBehavior& c : scenario.markets) {
-    settings.markets.push_back({c.name, known_state_.names.markets.intern(c.name), "127.0.0.1:1", 20});
-    markets.emplace_back(c, random_(), std::vector<std::string>{"std"}, std::vector<std::string>{"a", "b"});
+  for (const MarketBehavior& behavior : scenario.markets) {
+    settings.markets.push_back(
+        {behavior.name, name_registry_.names.markets.intern(behavior.name), "127.0.0.1:1", 20});
+    markets.emplace_back(behavior, random_(), std::vector<std::string>{"std"},
+                         std::vector<std::string>{"a", "b"});
   }
   std::uniform_real_distribution<> uniform(0, 1);
   for (std::uint32_t i = 0; i < scenario.jobs; ++i) {
     JobArrival arrival;
     // Half of the jobs exist when the zone fails; the others arrive during the next third of the scenario.
-    arrival.arrives_at = scenario.drop_at_s + (i % 2 == 0 ? 0 : uniform(random_) * scenario.duration_s / 3);
+    arrival.arrives_at =
+        scenario.zone_loss_at_s + (i % 2 == 0 ? 0 : uniform(random_) * scenario.duration_s / 3);
     arrival.run_s = scenario.run_s * (0.6 + 0.8 * uniform(random_));
     arrival.due_s = arrival.run_s + scenario.slack_s * (0.6 + 0.8 * uniform(random_));
     arrival.machines = 1 + static_cast<std::uint32_t>(uniform(random_) * scenario.max_machines);
@@ -89,9 +92,9 @@
 
 void MarketSimulation::end_leader() {
   leader_.reset();
-  in_flight_.clear();
+  pending_calls_.clear();
   store_.erase("claim");
-  next_leader_at_ = now + acquire_after_s;
+  next_leader_at_ = now + takeover_delay_s;
 }
 
 void MarketSimulation::publish(const Change& change, Revision revision) {
@@ -103,7 +106,7 @@
 bool MarketSimulation::apply(const Transaction& transaction, Revision& revision) {
   auto key_of = [&](const Key& k) {
     if (std::holds_alternative<OwnershipKey>(k)) return std::string("claim");
-    return state::encode_key(k, known_state_);
+    return state::encode_key(k, name_registry_);
   };
   for (const Guard& g : transaction.guards) {
     auto it = store_.find(key_of(g.key));
@@ -151,36 +154,37 @@
   delayed_writes_.clear();
 }
 
-market::Answer MarketSimulation::ask_market(const market::Call& call) {
-  return markets[call.market.value].call(call, known_state_.names, now - start_s);
+market::Answer MarketSimulation::call_market(const market::Call& call) {
+  return markets[call.market.value].call(call, name_registry_.names, now - start_s);
 }
 
 void MarketSimulation::send(const market::Call& call) {
-  InFlight in_flight{call, now + settings.answer_timeout_s, {}, last_term_};
+  PendingCall pending_call{call, now + settings.answer_timeout_s, {}, last_term_};
   if (delaying_calls_) {
     delayed_calls_.push_back(call);
   } else {
-    in_flight.answer = ask_market(call);
-    if (in_flight.answer.kind != market::AnswerKind::no_answer) in_flight.answer_at = now + answer_after_s;
+    pending_call.answer = call_market(call);
+    if (pending_call.answer.kind != market::AnswerKind::no_answer)
+      pending_call.answer_at = now + call_latency_s;
   }
-  in_flight_.push_back(std::move(in_flight));
+  pending_calls_.push_back(std::move(pending_call));
 }
 
 void MarketSimulation::release_calls() {
   delaying_calls_ = false;
-  for (const market::Call& c : delayed_calls_) ask_market(c);
+  for (const market::Call& call : delayed_calls_) call_market(call);
   delayed_calls_.clear();
 }
 
 std::vector<CloudOffer> MarketSimulation::cloud_offers() const {
-  std::uint32_t used = 0;
-  for (const auto& [name, m] : machines_) used += m.from_market ? 0 : 1;
-  if (used >= scenario_.cloud_capacity) return {};
+  std::uint32_t rented = 0;
+  for (const auto& [name, m] : machines_) rented += m.from_market ? 0 : 1;
+  if (rented >= scenario_.cloud_capacity) return {};
   return {{TypeIndex{0}, ZoneIndex{0}, false, scenario_.cloud_price, scenario_.cloud_ready_s,
-           scenario_.cloud_capacity - used}};
+           scenario_.cloud_capacity - rented}};
 }
 
-std::vector<std::size_t> MarketSimulation::by_urgency() const {
+std::vector<std::size_t> MarketSimulation::jobs_by_urgency() const {
   std::vector<std::size_t> order(jobs_.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(), [this](std::size_t a, std::size_t b) {
@@ -198,22 +202,22 @@
     if (m.busy_until < 0) ++supply[m.partition];
   }
   if (leader_) {
-    for (std::uint32_t p = 1; p < 3; ++p) {
-      for (const auto& e : leader_->bidding_service.expected(PartitionIndex{p}, now))
-        supply[PartitionIndex{p}] += e.machines;
+    for (std::uint32_t partition = 1; partition < 3; ++partition) {
+      for (const auto& e : leader_->bidding_service.expected(PartitionIndex{partition}, now))
+        supply[PartitionIndex{partition}] += e.machines;
     }
   }
-  for (std::size_t i : by_urgency()) {
+  for (std::size_t i : jobs_by_urgency()) {
     const Job& job = jobs_[i];
     PartitionIndex partition{static_cast<std::uint32_t>(1 + i % 2)};
-    std::uint32_t n = job.pending - std::min(job.pending, supply[partition]);
-    supply[partition] -= job.pending - n;
-    if (n == 0) continue;
+    std::uint32_t unserved = job.pending - std::min(job.pending, supply[partition]);
+    supply[partition] -= job.pending - unserved;
+    if (unserved == 0) continue;
     UnmetDemand need;
     need.partition = partition;
     need.priority = job.arrival.priority;
     need.guaranteed = job.arrival.guaranteed;
-    need.tasks = n;
+    need.tasks = unserved;
     need.tasks_per_machine = {1};
     need.estimated_run_s = job.arrival.run_s;
     need.slack_s = start_s + job.arrival.arrives_at + job.arrival.due_s - job.arrival.run_s - now;
@@ -225,14 +229,14 @@
 
 void MarketSimulation::scale_out(const std::vector<UnmetDemand>& needs,
                                  const std::vector<std::uint32_t>& tasks) {
-  std::uint32_t used = 0;
-  for (const auto& [name, m] : machines_) used += m.from_market ? 0 : 1;
+  std::uint32_t rented = 0;
+  for (const auto& [name, m] : machines_) rented += m.from_market ? 0 : 1;
   std::uniform_real_distribution<> boot(0.8, 1.3);
   for (std::size_t i = 0; i < needs.size(); ++i) {
-    for (std::uint32_t k = 0; k < tasks[i] && used < scenario_.cloud_capacity; ++k, ++used) {
+    for (std::uint32_t k = 0; k < tasks[i] && rented < scenario_.cloud_capacity; ++k, ++rented) {
       Machine machine;
       machine.partition = needs[i].partition;
-      machine.since = now;
+      machine.rented_since = now;
       machine.ready_at = machine.idle_since = now + scenario_.cloud_ready_s * boot(random_);
       machine.price = scenario_.cloud_price;
       machines_["host-" + std::to_string(++last_cloud_machine_number_)] = machine;
@@ -270,7 +274,7 @@
 }
 
 void MarketSimulation::start_runs() {
-  std::vector<std::size_t> order = by_urgency();
+  std::vector<std::size_t> order = jobs_by_urgency();
   for (auto& [name, machine] : machines_) {
     if (machine.busy_until >= 0 || now < machine.ready_at) continue;
     for (std::size_t i : order) {
@@ -281,8 +285,8 @@
       ++job.running;
       machine.job = i;
       machine.busy_until = now + job.arrival.run_s;
-      if (machine.from_market && !machine.used) ++machines_used_;
-      machine.used = true;
+      if (machine.from_market && !machine.was_used) ++machines_used_;
+      machine.was_used = true;
       break;
     }
   }
@@ -290,37 +294,41 @@
 
 void MarketSimulation::return_idle_machines() {
   for (auto it = machines_.begin(); it != machines_.end();) {
-    auto here = it++;
-    Machine& machine = here->second;
-    if (machine.busy_until >= 0 || now < machine.ready_at || now - machine.idle_since < idle_keep_s) continue;
+    auto current = it++;
+    Machine& machine = current->second;
+    if (machine.busy_until >= 0 || now < machine.ready_at || now - machine.idle_since < idle_timeout_s)
+      continue;
     if (!machine.from_market) {
-      cloud_cost_ += std::max(60.0, now - machine.since) * machine.price / 3600;
+      cloud_cost_ += std::max(60.0, now - machine.rented_since) * machine.price / 3600;
     } else {
-      leader_->bidding_service.release({leader_->cluster_state.intern_machine(here->first)}, now);
+      leader_->bidding_service.release({leader_->cluster_state.intern_machine(current->first)}, now);
     }
-    machines_.erase(here);
+    machines_.erase(current);
   }
 }
 
-void MarketSimulation::check() {
-  MoneyAmount hour = 0, window = 0;
+void MarketSimulation::check_spending() {
+  MoneyAmount hourly_spend = 0, window_spend = 0;
   for (const auto& [key, entry] : store_) {
     if (const auto* b = std::get_if<BidRecord>(&entry.change.value)) {
-      hour += b->price_limit * static_cast<MoneyAmount>(b->count());
-      window += market::worst_case_cost(*b);
+      hourly_spend += b->price_limit * static_cast<MoneyAmount>(b->count());
+      window_spend += market::worst_case_cost(*b);
     } else if (const auto* l = std::get_if<LedgerRecord>(&entry.change.value)) {
-      for (const auto& [partition, paid] : l->spent) window += paid;
+      for (const auto& [partition, paid] : l->spent) window_spend += paid;
     }
   }
-  auto over = [](MoneyAmount use, MoneyAmount ceiling) {
-    return ceiling > 0 ? static_cast<double>(use) / static_cast<double>(ceiling) : 0;
+  auto ratio = [](MoneyAmount spend, MoneyAmount limit) {
+    return limit > 0 ? static_cast<double>(spend) / static_cast<double>(limit) : 0;
   };
-  highest_use = std::max(highest_use, over(window, settings.total_limit.per_window));
-  max_hourly_spend = std::max(max_hourly_spend, over(hour, settings.total_limit.per_hour));
+  max_window_spend_ratio =
+      std::max(max_window_spend_ratio, ratio(window_spend, settings.total_limit.per_window));
+  max_hourly_spend_ratio =
+      std::max(max_hourly_spend_ratio, ratio(hourly_spend, settings.total_limit.per_hour));
   double charged = 0;
   for (const SimulatedMarket& m : markets) charged += m.charged(now - start_s);
-  if (over(window, settings.total_limit.per_window) > 1 || over(hour, settings.total_limit.per_hour) > 1 ||
-      over(market::to_money_amount(charged), settings.total_limit.per_window) > 1)
+  if (ratio(window_spend, settings.total_limit.per_window) > 1 ||
+      ratio(hourly_spend, settings.total_limit.per_hour) > 1 ||
+      ratio(market::to_money_amount(charged), settings.total_limit.per_window) > 1)
     ++breaches;
 }
 
@@ -334,7 +342,7 @@
     run_leader_cycle();
   }
   advance_jobs();
-  check();
+  check_spending();
 }
 
 void MarketSimulation::admit_arrivals() {
@@ -350,73 +358,74 @@
   leader_ = std::make_unique<Leader>(*this, last_term_);
   Change ownership{OwnershipKey{idle_pool},
                    OwnershipRecord{leader_->cluster_state.settings.controller_name, last_term_}, last_term_};
-  Revision revision = 0;
-  apply({{}, {ownership}}, revision);
+  Revision ownership_revision = 0;
+  apply({{}, {ownership}}, ownership_revision);
   market::BiddingService& bidding_service = leader_->bidding_service;
   // The previous leader may have crashed between marking a machine for return and returning it.
   for (std::uint32_t m = 0; m < leader_->cluster_state.machine_count(); ++m) {
     const auto& known = leader_->cluster_state.machine(MachineIndex{m});
-    if (known.revision != 0 && machines_.count(known_state_.names.machines.name(MachineIndex{m})) == 0)
+    if (known.revision != 0 && machines_.count(name_registry_.names.machines.name(MachineIndex{m})) == 0)
       bidding_service.release({MachineIndex{m}}, now);
   }
   bidding_service.planner = [this](const auto& demands, const auto& offers, const auto& ledger,
-                                   double reference, const auto& planner_settings) {
-    return plan_and_measure(demands, offers, ledger, reference, planner_settings);
+                                   double reference_price, const auto& planner_settings) {
+    return plan_and_measure(demands, offers, ledger, reference_price, planner_settings);
   };
   bidding_service.on_delivered = [this](const market::HostUpdate& delivery, const MachineRecord& record) {
     adopt_delivered(delivery, record);
   };
   bidding_service.on_disputed = [this](const std::vector<MachineIndex>& overpriced) {
-    for (MachineIndex machine_index : overpriced) vacate(machine_index);
+    for (MachineIndex machine_index : overpriced) drain_machine(machine_index);
   };
-  bidding_service.on_returned = [this](const std::vector<MachineIndex>& returned, bool said) {
-    Revision at = 0;
+  bidding_service.on_returned = [this](const std::vector<MachineIndex>& returned, bool confirmed) {
+    Revision revision = 0;
     for (MachineIndex machine_index : returned) {
-      if (said) apply({{}, {{MachineKey{machine_index}, {}}}}, at);
+      if (confirmed) apply({{}, {{MachineKey{machine_index}, {}}}}, revision);
     }
   };
 }
 
 market::Plan MarketSimulation::plan_and_measure(const std::vector<market::Demand>& demands,
                                                 const std::vector<market::Offer>& offers,
-                                                const market::Ledger& ledger, double reference,
+                                                const market::Ledger& ledger, double reference_price,
                                                 const market::Settings& planner_settings) {
-  std::map<PartitionIndex, std::uint32_t> late, wanted, awarded;
+  std::map<PartitionIndex, std::uint32_t> overdue_machines, wanted, awarded;
   for (const auto& [name, bid] : leader_->bidding_service.bids()) {
-    bool overdue = bid.first_sent_at >= 0 && (now > bid.late_after || bid.withdraw_requested);
-    if (!overdue || bid.state >= market::BidState::running) continue;
+    bool is_overdue = bid.first_sent_at >= 0 && (now > bid.late_after || bid.withdraw_requested);
+    if (!is_overdue || bid.state >= market::BidState::running) continue;
     for (const auto& [partition, count] : bid.record.machines)
-      late[partition] += count * (bid.record.count() - bid.delivered_machines) / bid.record.count();
+      overdue_machines[partition] +=
+          count * (bid.record.count() - bid.delivered_machines) / bid.record.count();
   }
-  market::Plan plan = baseline(policy_, scenario_.markets, now - start_s, demands, offers, ledger, reference,
-                               planner_settings);
+  market::Plan plan = make_policy_plan(policy_, scenario_.markets, now - start_s, demands, offers, ledger,
+                                       reference_price, planner_settings);
   for (const UnmetDemand& need : unmet_demand()) wanted[need.partition] += need.tasks;
   for (const market::Award& award : plan.awards)
     awarded[demands[award.demand_index].partition] += award.machines;
   for (const auto& [partition, count] : awarded) {
-    double most = (1 + planner_settings.extra_fraction) * wanted[partition] + 2;
-    most_bought = std::max(most_bought, (count + late[partition]) / most);
+    double allowed = (1 + planner_settings.extra_fraction) * wanted[partition] + 2;
+    max_purchase_ratio = std::max(max_purchase_ratio, (count + overdue_machines[partition]) / allowed);
   }
   return plan;
 }
 
 void MarketSimulation::adopt_delivered(const market::HostUpdate& delivery, const MachineRecord& record) {
   // Stored records refer to machines by index, so that all leaders must share one table of indices.
-  MachineIndex machine_index = known_state_.names.machines.intern(delivery.name);
+  MachineIndex machine_index = name_registry_.names.machines.intern(delivery.name);
   while (leader_->cluster_state.names.machines.size() <= machine_index.value)
     leader_->cluster_state.intern_machine(
-        known_state_.names.machines.name(MachineIndex{leader_->cluster_state.names.machines.size()}));
-  Revision at = 0;
-  apply({{}, {{MachineKey{machine_index}, record}}}, at);
+        name_registry_.names.machines.name(MachineIndex{leader_->cluster_state.names.machines.size()}));
+  Revision revision = 0;
+  apply({{}, {{MachineKey{machine_index}, record}}}, revision);
   Machine machine;
   machine.partition = record.partition;
-  machine.since = machine.idle_since = now;
+  machine.rented_since = machine.idle_since = now;
   machine.from_market = true;
   machines_[delivery.name] = machine;
 }
 
-void MarketSimulation::vacate(MachineIndex machine_index) {
-  auto it = machines_.find(known_state_.names.machines.name(machine_index));
+void MarketSimulation::drain_machine(MachineIndex machine_index) {
+  auto it = machines_.find(name_registry_.names.machines.name(machine_index));
   if (it == machines_.end()) return;
   Machine& machine = it->second;
   if (machine.busy_until >= 0) {
@@ -430,12 +439,12 @@
 }
 
 void MarketSimulation::deliver_due_answers() {
-  std::vector<InFlight> due_calls;
-  auto split = std::partition(in_flight_.begin(), in_flight_.end(),
-                              [this](const InFlight& call) { return call.answer_at > now; });
-  std::move(split, in_flight_.end(), std::back_inserter(due_calls));
-  in_flight_.erase(split, in_flight_.end());
-  for (const InFlight& call : due_calls) {
+  std::vector<PendingCall> due_calls;
+  auto split = std::partition(pending_calls_.begin(), pending_calls_.end(),
+                              [this](const PendingCall& call) { return call.answer_at > now; });
+  std::move(split, pending_calls_.end(), std::back_inserter(due_calls));
+  pending_calls_.erase(split, pending_calls_.end());
+  for (const PendingCall& call : due_calls) {
     if (call.term == last_term_) leader_->bidding_service.on_answer(call.call, call.answer, {now, now});
   }
 }
@@ -455,13 +464,13 @@
   MarketResult result;
   result.cost = cloud_cost_;
   for (const auto& [name, m] : machines_) {
-    if (!m.from_market) result.cost += std::max(60.0, now - m.since) * m.price / 3600;
+    if (!m.from_market) result.cost += std::max(60.0, now - m.rented_since) * m.price / 3600;
   }
   for (const SimulatedMarket& m : markets) {
     result.cost += m.charged(now - start_s);
-    result.bought += static_cast<std::uint32_t>(m.hosts().size());
+    result.bought_machines += static_cast<std::uint32_t>(m.hosts().size());
   }
-  result.unused = result.bought - std::min(result.bought, machines_used_);
+  result.unused_machines = result.bought_machines - std::min(result.bought_machines, machines_used_);
   for (const Job& job : jobs_) {
     bool in_time = job.done_at >= 0 && job.done_at <= start_s + job.arrival.arrives_at + job.arrival.due_s;
     ++result.jobs;
@@ -472,7 +481,7 @@
   result.breaches = breaches;
   if (leader_) {
     for (const market::MarketSettings& m : settings.markets)
-      result.suspended +=
+      result.suspended_markets +=
           leader_->bidding_service.market_client(m.index).state() == market::MarketState::suspended ? 1 : 0;
   }
   return result;
--- a/src/simulation/scale_evaluator.cpp
+++ b/src/simulation/scale_evaluator.cpp
@@ -15,17 +15,17 @@
   return sorted[std::clamp<std::size_t>(rank, 1, sorted.size()) - 1];
 }
 
-ScaleEvaluator::ScaleEvaluator(const ScaleSettings& settings, double began)
+ScaleEvaluator::ScaleEvaluator(const ScaleSettings& settings, double started_at)
     : settings_(settings),
-      began_(began),
+      started_at_(started_at),
       invariants_(settings.cancel_timeout_s, std::vector<double>(settings.teams, settings.team_gpus)),
       waits_(settings.classes.size()) {
-  invariants_.set_fault_free_from(began + settings.fault_free_from_s());
+  invariants_.set_fault_free_from(started_at + settings.fault_free_from_s());
   // The protocol's deadline of a cancellation also applies to start commands that are still on their way.
   invariants_.set_start_tolerance(settings.cancel_timeout_s);
 }
 
-InvariantChecker::MachinePlacement ScaleEvaluator::place_of(const std::string& machine) const {
+InvariantChecker::MachinePlacement ScaleEvaluator::placement_of(const std::string& machine) const {
   return {scale_zone_name(scale_machine_number(machine) % settings_.zones), false, "std"};
 }
 
@@ -38,12 +38,12 @@
   terms.spot = false;
   terms.gang = job.job_class->shape == JobShape::gang;
   invariants_.on_submit(event.job, terms);
-  Job& known = jobs_[event.job];
-  known.submitted = event.at;
-  known.class_index = static_cast<std::size_t>(job.job_class - settings_.classes.data());
-  known.measured = event.at >= began_ + settings_.warm_up_s;
-  known.task_ran.resize(job.job_class->tasks);
-  if (known.measured) ++waits_[known.class_index].jobs;
+  Job& entry = jobs_[event.job];
+  entry.submitted = event.at;
+  entry.class_index = static_cast<std::size_t>(job.job_class - settings_.classes.data());
+  entry.is_measured = event.at >= started_at_ + settings_.warm_up_s;
+  entry.task_ran.resize(job.job_class->tasks);
+  if (entry.is_measured) ++waits_[entry.class_index].jobs;
 }
 
 void ScaleEvaluator::on_task_runs(const ScaleEvent& event) {
@@ -53,28 +53,28 @@
   if (event.task >= job.task_ran.size() || job.task_ran[event.task]) return;
   job.task_ran[event.task] = true;
   ++job.ran_count;
-  if (!job.measured) return;
+  if (!job.is_measured) return;
   ClassWaits& waits = waits_[job.class_index];
-  if (job.ran_count == 1) waits.first_s.add(event.at - job.submitted);
+  if (job.ran_count == 1) waits.first_task_s.add(event.at - job.submitted);
   if (job.ran_count != job.task_ran.size()) return;
-  waits.all_s.add(event.at - job.submitted);
-  ++waits.begun;
+  waits.all_tasks_s.add(event.at - job.submitted);
+  ++waits.fully_started;
 }
 
 void ScaleEvaluator::on_task_left(const ScaleEvent& event) {
   --running_;
   std::string id = event.job + "/" + std::to_string(event.task);
-  bool done = completed_.erase(id) != 0;
+  bool completed = completed_.erase(id) != 0;
   auto job = jobs_.find(event.job);
-  bool unwanted = job != jobs_.end() && job->second.withdrawn;
-  if (!done && !unwanted && event.at >= began_ + settings_.warm_up_s) ++lost_;
+  bool withdrawn_by_user = job != jobs_.end() && job->second.withdrawn;
+  if (!completed && !withdrawn_by_user && event.at >= started_at_ + settings_.warm_up_s) ++lost_tasks_;
 }
 
 void ScaleEvaluator::add(const ScaleEvent& event) {
   switch (event.kind) {
     case ScaleEventKind::task_starts:
-      invariants_.on_task_start(event.job, event.task, event.machine, place_of(event.machine), event.at);
-      if (event.at >= began_ + settings_.warm_up_s) ++starts_;
+      invariants_.on_task_start(event.job, event.task, event.machine, placement_of(event.machine), event.at);
+      if (event.at >= started_at_ + settings_.warm_up_s) ++starts_;
       max_running_ = std::max(max_running_, ++running_);
       break;
     case ScaleEventKind::task_runs:
@@ -92,7 +92,7 @@
       on_submitted(event);
       break;
     case ScaleEventKind::job_accepted:
-      if (event.at >= began_ + settings_.warm_up_s) submit_ms_.add(event.value);
+      if (event.at >= started_at_ + settings_.warm_up_s) submit_ms_.add(event.value);
       break;
     case ScaleEventKind::job_withdrawn:
       invariants_.on_withdraw(event.job);
@@ -103,11 +103,11 @@
       break;
     case ScaleEventKind::counter: {
       Counter& counter = counters_[event.job];
-      bool warm = event.at >= began_ + settings_.warm_up_s;
-      if (!warm || !counter.known) counter.first = event.value;
-      if (warm) counter.highest = std::max(counter.highest, event.value);
+      bool warmed_up = event.at >= started_at_ + settings_.warm_up_s;
+      if (!warmed_up || !counter.is_known) counter.first = event.value;
+      if (warmed_up) counter.highest = std::max(counter.highest, event.value);
       counter.last = event.value;
-      counter.known = true;
+      counter.is_known = true;
       break;
     }
   }
--- a/src/simulation/scale_event.cpp
+++ b/src/simulation/scale_event.cpp
@@ -16,9 +16,9 @@
 }
 
 std::optional<ScaleEvent> parse_event(const std::string& line) {
-  constexpr std::size_t fields = 7;
+  constexpr std::size_t field_count = 7;
   Json list = Json::parse(line, nullptr, false);
-  if (!list.is_array() || list.size() != fields) return std::nullopt;
+  if (!list.is_array() || list.size() != field_count) return std::nullopt;
   try {
     ScaleEvent event;
     event.kind = static_cast<ScaleEventKind>(list[0].get<int>());
@@ -35,10 +35,10 @@
 }
 
 void ScaleEventWriter::write(ScaleEvent event) {
-  constexpr std::size_t buffered = 1 << 16;
+  constexpr std::size_t max_buffered_bytes = 1 << 16;
   event.at = now_();
   buffer_ += to_line(event);
-  if (buffer_.size() >= buffered) flush();
+  if (buffer_.size() >= max_buffered_bytes) flush();
 }
 
 void ScaleEventWriter::counter(const std::string& name, double value) {
--- a/src/simulation/scale_process.cpp
+++ b/src/simulation/scale_process.cpp
@@ -6,12 +6,14 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cerrno>
 #include <chrono>
 #include <csignal>
 #include <filesystem>
 #include <fstream>
 #include <iostream>
 #include <sstream>
+#include <system_error>
 #include <utility>
 
 #include "oxbowmill/error.h"
@@ -21,6 +23,11 @@
 
 namespace {
 
+/// Describes the error of the last system call.
+std::string last_system_error() {
+  return std::generic_category().message(errno);
+}
+
 /// Resource usage of a process according to /proc; all zero if the process has ended.
 struct Usage {
   double processor_s = 0, resident_mb = 0;
@@ -36,8 +43,8 @@
   if (after_name == std::string::npos) return usage;
   std::istringstream fields(text.substr(after_name + 1));
   std::string skipped;
-  constexpr int before_times = 11;
-  for (int i = 0; i < before_times; ++i) fields >> skipped;
+  constexpr int fields_before_times = 11;
+  for (int i = 0; i < fields_before_times; ++i) fields >> skipped;
   double user = 0, system = 0;
   fields >> user >> system;
   usage.processor_s = (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
@@ -52,11 +59,12 @@
   return usage;
 }
 
-[[noreturn]] void run_simulator(const std::string& role, int events, const ScaleProcess::Serve& serve) {
+[[noreturn]] void run_simulator(const std::string& role, int events,
+                                const ScaleProcess::SimulatorMain& simulator_main) {
   try {
     auto base = net::make_event_base();
     ScaleEventWriter writer(events, steady_now);
-    serve(base.get(), writer);
+    simulator_main(base.get(), writer);
   } catch (const std::exception& e) {
     std::cerr << "oxbowmill-sim: " << role << ": " << e.what() << std::endl;
   }
@@ -64,14 +72,14 @@
 }
 
 [[noreturn]] void run_program(std::vector<std::string> command_line, const std::string& log_path) {
-  constexpr int log_mode = 0644, cannot_run = 127;
-  int out = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, log_mode);
-  if (out >= 0) ::dup2(out, STDERR_FILENO);
+  constexpr int log_mode = 0644, exec_failed_status = 127;
+  int log_file = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, log_mode);
+  if (log_file >= 0) ::dup2(log_file, STDERR_FILENO);
   std::vector<char*> arguments;
   for (std::string& argument : command_line) arguments.push_back(argument.data());
   arguments.push_back(nullptr);
   ::execv(arguments.front(), arguments.data());
-  ::_exit(cannot_run);
+  ::_exit(exec_failed_status);
 }
 
 }  // namespace
@@ -83,35 +91,36 @@
 ScaleProcess::ScaleProcess(ScaleProcess&& other) noexcept
     : role_(std::move(other.role_)),
       pid_(std::exchange(other.pid_, -1)),
-      events_(std::exchange(other.events_, -1)),
+      events_fd_(std::exchange(other.events_fd_, -1)),
       is_simulator_(other.is_simulator_),
-      unread_(std::move(other.unread_)),
+      partial_line_(std::move(other.partial_line_)),
       processor_s_(other.processor_s_),
       last_processor_s_(other.last_processor_s_),
       max_resident_mb_(other.max_resident_mb_),
       max_sockets_(other.max_sockets_) {}
 
-void ScaleProcess::start_simulator(const Serve& serve) {
-  int ends[2];
-  if (::pipe(ends) != 0) throw Error("no pipe for " + role_);
+void ScaleProcess::start_simulator(const SimulatorMain& simulator_main) {
+  int pipe_ends[2];
+  if (::pipe(pipe_ends) != 0)
+    throw Error("cannot create an event pipe for " + role_ + ": " + last_system_error());
   pid_t pid = ::fork();
-  if (pid < 0) throw Error("cannot start " + role_);
+  if (pid < 0) throw Error("cannot fork process " + role_ + ": " + last_system_error());
   if (pid == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    ::close(ends[0]);
+    ::close(pipe_ends[0]);
     ::signal(SIGPIPE, SIG_IGN);
-    run_simulator(role_, ends[1], serve);
+    run_simulator(role_, pipe_ends[1], simulator_main);
   }
-  ::close(ends[1]);
-  ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
+  ::close(pipe_ends[1]);
+  ::fcntl(pipe_ends[0], F_SETFL, O_NONBLOCK);
   pid_ = pid;
-  events_ = ends[0];
+  events_fd_ = pipe_ends[0];
   is_simulator_ = true;
 }
 
 void ScaleProcess::start_program(const std::vector<std::string>& command_line, const std::string& log_path) {
   pid_t pid = ::fork();
-  if (pid < 0) throw Error("cannot start " + role_);
+  if (pid < 0) throw Error("cannot fork process " + role_ + ": " + last_system_error());
   if (pid == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     run_program(command_line, log_path);
@@ -120,20 +129,20 @@
   last_processor_s_ = 0;
 }
 
-void ScaleProcess::end() {
+void ScaleProcess::kill() {
   if (pid_ <= 0) return;
   ::kill(pid_, SIGKILL);
   ::waitpid(pid_, nullptr, 0);
   pid_ = -1;
-  if (events_ >= 0) ::close(events_);
-  events_ = -1;
+  if (events_fd_ >= 0) ::close(events_fd_);
+  events_fd_ = -1;
 }
 
 void ScaleProcess::signal(int number) const {
   if (pid_ > 0) ::kill(pid_, number);
 }
 
-bool ScaleProcess::has_ended_by_itself() {
+bool ScaleProcess::has_ended_unexpectedly() {
   if (pid_ <= 0 || ::waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
   pid_ = -1;
   return true;
@@ -141,17 +150,17 @@
 
 void ScaleProcess::read_events(std::vector<ScaleEvent>& events) {
   char buffer[1 << 16];
-  while (events_ >= 0) {
-    ssize_t bytes_read = ::read(events_, buffer, sizeof buffer);
-    if (bytes_read == 0) throw Error(role_ + " ended by itself");
+  while (events_fd_ >= 0) {
+    ssize_t bytes_read = ::read(events_fd_, buffer, sizeof buffer);
+    if (bytes_read == 0) throw Error("process " + role_ + " ended unexpectedly");
     if (bytes_read < 0) break;
-    unread_.append(buffer, static_cast<std::size_t>(bytes_read));
+    partial_line_.append(buffer, static_cast<std::size_t>(bytes_read));
   }
   std::size_t from = 0;
-  for (std::size_t to = 0; (to = unread_.find('\n', from)) != std::string::npos; from = to + 1) {
-    if (auto event = parse_event(unread_.substr(from, to - from))) events.push_back(std::move(*event));
+  for (std::size_t to = 0; (to = partial_line_.find('\n', from)) != std::string::npos; from = to + 1) {
+    if (auto event = parse_event(partial_line_.substr(from, to - from))) events.push_back(std::move(*event));
   }
-  unread_.erase(0, from);
+  partial_line_.erase(0, from);
 }
 
 void ScaleProcess::sample_usage(bool counted) {
--- a/src/simulation/scale_report.cpp
+++ b/src/simulation/scale_report.cpp
@@ -37,25 +37,27 @@
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const ScaleEvaluator::ClassWaits& waits = evaluator.waits()[i];
     json[settings.classes[i].name] = {{"jobs", waits.jobs},
-                                      {"begun", waits.begun},
-                                      {"first_s", distribution_json(waits.first_s)},
-                                      {"all_s", distribution_json(waits.all_s)}};
+                                      {"begun", waits.fully_started},
+                                      {"first_s", distribution_json(waits.first_task_s)},
+                                      {"all_s", distribution_json(waits.all_tasks_s)}};
   }
   return json;
 }
 
 /// Returns the reasons why a simulator limited this run; empty if none did.
-std::vector<std::string> limits_of_simulators(const ScaleEvaluator& evaluator,
-                                              const std::vector<ScaleProcess>& processes, double seconds) {
+std::vector<std::string> simulator_limits(const ScaleEvaluator& evaluator,
+                                          const std::vector<ScaleProcess>& processes, double seconds) {
   std::vector<std::string> reasons;
   for (const ScaleProcess& process : processes) {
     double fraction = process.processor_s() / seconds;
     if (process.is_simulator() && fraction > max_processor_fraction)
-      reasons.push_back(process.role() + " used " + std::to_string(fraction) + " of a core");
+      reasons.push_back(process.role() + " used " + std::to_string(fraction) + " of a core, more than " +
+                        std::to_string(max_processor_fraction));
   }
   for (const char* counter : {"workers_late_s", "users_late_s", "state_late_s"}) {
     if (evaluator.maximum_of(counter) > max_lateness_s)
-      reasons.push_back(std::string(counter) + " " + std::to_string(evaluator.maximum_of(counter)));
+      reasons.push_back(std::string(counter) + " was " + std::to_string(evaluator.maximum_of(counter)) +
+                        " s, more than " + std::to_string(max_lateness_s) + " s");
   }
   return reasons;
 }
@@ -63,13 +65,14 @@
 }  // namespace
 
 ScaleReport make_report(const ScaleSettings& settings, const ScaleEvaluator& evaluator,
-                        const std::vector<ScaleProcess>& processes, const std::vector<std::string>& ended,
-                        double measured_s) {
+                        const std::vector<ScaleProcess>& processes,
+                        const std::vector<std::string>& unexpectedly_ended, double measured_s) {
   ScaleReport out;
   out.violations = evaluator.violations();
-  for (const std::string& role : ended) out.violations.push_back("ended by itself: " + role);
+  for (const std::string& role : unexpectedly_ended)
+    out.violations.push_back("process ended unexpectedly: " + role);
   double seconds = std::max(1.0, measured_s);
-  out.missing_figures = limits_of_simulators(evaluator, processes, seconds);
+  out.invalid_figure_reasons = simulator_limits(evaluator, processes, seconds);
   double controllers = 0;
   for (const ScaleProcess& process : processes)
     controllers += process.is_simulator() ? 0 : process.processor_s();
@@ -84,7 +87,7 @@
       {"starts", evaluator.starts()},
       {"starts_a_s", static_cast<double>(evaluator.starts()) / seconds},
       {"most_running", evaluator.max_running()},
-      {"lost", evaluator.lost()},
+      {"lost", evaluator.lost_tasks()},
       {"controllers_ms_a_start", 1000 * controllers / starts},
       {"controllers_processor", controllers / seconds},
       {"changes_a_start", evaluator.increase_of("state_changes") / starts},
@@ -105,7 +108,7 @@
       {"submit_ms", distribution_json(evaluator.submit_ms())},
       {"classes", classes_json(settings, evaluator)},
       {"broken", out.violations},
-      {"no_figure", out.missing_figures}};
+      {"no_figure", out.invalid_figure_reasons}};
   return out;
 }
 
@@ -119,9 +122,9 @@
   out << figures.at("run").get<std::string>() << ", seed " << figures.at("seed") << ", "
       << figures.at("workers") << " workers, " << figures.at("controllers") << " controllers, "
       << figures.at("measured_s").get<double>() << " s measured\n";
-  if (!report.missing_figures.empty()) {
-    out << "  the machine was the limit, so these are no figures of the service:\n";
-    for (const std::string& why : report.missing_figures) out << "    " << why << '\n';
+  if (!report.invalid_figure_reasons.empty()) {
+    out << "  invalid figures, because a simulator and not the controllers limited the run:\n";
+    for (const std::string& reason : report.invalid_figure_reasons) out << "    " << reason << '\n';
   }
   for (const char* key :
        {"starts", "starts_a_s", "most_running", "lost", "controllers_ms_a_start", "controllers_processor",
@@ -129,9 +132,9 @@
         "report_bytes_a_worker_s", "answer_bytes_a_worker_s", "submit_ms"})
     row(key, figures.at(key));
   for (const auto& [name, waits] : figures.at("classes").items()) row(name, waits);
-  for (const Json& p : figures.at("processes")) row(p.at("role").get<std::string>(), p);
-  out << "  " << report.violations.size() << " rules broken\n";
-  for (const std::string& rule : report.violations) out << "    " << rule << '\n';
+  for (const Json& process : figures.at("processes")) row(process.at("role").get<std::string>(), process);
+  out << "  " << report.violations.size() << " invariant violations\n";
+  for (const std::string& violation : report.violations) out << "    " << violation << '\n';
   return out.str();
 }
 
--- a/src/simulation/scale_report.h
+++ b/src/simulation/scale_report.h
@@ -10,10 +10,10 @@
 
 namespace oxbowmill::simulation {
 
-/// Makes the report. `ended`: roles of processes that ended unexpectedly; `measured_s`: seconds since the end
-/// of the warm-up.
+/// Makes the report. `unexpectedly_ended`: roles of processes that ended unexpectedly; `measured_s`: seconds
+/// since the end of the warm-up.
 ScaleReport make_report(const ScaleSettings& settings, const ScaleEvaluator& evaluator,
-                        const std::vector<ScaleProcess>& processes, const std::vector<std::string>& ended,
-                        double measured_s);
+                        const std::vector<ScaleProcess>& processes,
+                        const std::vector<std::string>& unexpectedly_ended, double measured_s);
 
 }  // namespace oxbowmill::simulation
--- a/src/simulation/scale_settings.cpp
+++ b/src/simulation/scale_settings.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-constexpr double max_workers = 5000, max_controllers = 9, longest_run_s = 300, max_tasks = 100000;
-constexpr double settles_s = 5;  // time after a fault until its last messages have arrived
-constexpr std::size_t max_kinds = 16, max_faults = 32;
+constexpr double max_workers = 5000, max_controllers = 9, max_duration_s = 300, max_tasks = 100000;
+constexpr double settle_s = 5;  // time after a fault until its last messages have arrived
+constexpr std::size_t max_classes = 16, max_faults = 32;
 
 constexpr ScaleFaultKind fault_kinds[] = {
     ScaleFaultKind::controller_killed, ScaleFaultKind::controllers_killed, ScaleFaultKind::controller_stopped,
     ScaleFaultKind::state_outage,      ScaleFaultKind::workers_gone,       ScaleFaultKind::workers_replaced,
     ScaleFaultKind::workers_cut};
 
-void read_count(yaml::Map& map, const std::string& key, std::uint32_t& out, double least, double most) {
+void read_count(yaml::Map& map, const std::string& key, std::uint32_t& out, double min, double max) {
   double value = out;
-  map.number(key, value, least, most);
-  if (value != static_cast<double>(static_cast<std::uint32_t>(value))) map.fail(key, "not a whole number");
+  map.number(key, value, min, max);
+  if (value != static_cast<double>(static_cast<std::uint32_t>(value)))
+    map.fail(key, "must be a whole number");
   out = static_cast<std::uint32_t>(value);
 }
 
@@ -33,43 +34,43 @@
 }
 
 template <class Value>
-Value one_of(yaml::Map& map, const std::string& key,
-             const std::vector<std::pair<std::string, Value>>& known) {
+Value read_choice(yaml::Map& map, const std::string& key,
+                  const std::vector<std::pair<std::string, Value>>& choices) {
   std::string name = map.text(key);
-  for (const auto& [known_name, value] : known) {
-    if (known_name == name) return value;
+  for (const auto& [choice_name, value] : choices) {
+    if (choice_name == name) return value;
   }
-  map.fail(key, "none is named " + name);
+  map.fail(key, "unknown value \"" + name + "\"");
 }
 
 ScaleClass read_class(yaml::Map map) {
-  ScaleClass kind;
-  kind.name = map.text("name");
-  kind.shape = one_of<JobShape>(
+  ScaleClass job_class;
+  job_class.name = map.text("name");
+  job_class.shape = read_choice<JobShape>(
       map, "shape", {{"array", JobShape::array}, {"gang", JobShape::gang}, {"service", JobShape::service}});
-  kind.priority = one_of<Priority>(map, "rank",
-                                   {{"low", Priority::low},
-                                    {"normal", Priority::normal},
-                                    {"high", Priority::high},
-                                    {"production", Priority::production}});
-  map.number("rate", kind.rate, 0, 50);
-  read_count(map, "initial", kind.initial, 0, 5000);
-  read_count(map, "tasks", kind.tasks, 1, max_tasks);
-  map.number("run_s", kind.run_s, 1, longest_run_s);
-  map.number("spread", kind.spread, 0, 0.9);
-  read_resources(map, kind.resources);
-  map.number("image_gb", kind.image_gb, 0, 100);
-  read_count(map, "images", kind.images, 1, 1000);
-  map.number("withdrawn", kind.withdrawn_fraction, 0, 1);
+  job_class.priority = read_choice<Priority>(map, "rank",
+                                             {{"low", Priority::low},
+                                              {"normal", Priority::normal},
+                                              {"high", Priority::high},
+                                              {"production", Priority::production}});
+  map.number("rate", job_class.rate, 0, 50);
+  read_count(map, "initial", job_class.initial, 0, 5000);
+  read_count(map, "tasks", job_class.tasks, 1, max_tasks);
+  map.number("run_s", job_class.run_s, 1, max_duration_s);
+  map.number("spread", job_class.spread, 0, 0.9);
+  read_resources(map, job_class.resources);
+  map.number("image_gb", job_class.image_gb, 0, 100);
+  read_count(map, "images", job_class.images, 1, 1000);
+  map.number("withdrawn", job_class.withdrawn_fraction, 0, 1);
   map.reject_unknown_keys();
-  return kind;
+  return job_class;
 }
 
 ScaleFault read_fault(yaml::Map map, const ScaleSettings& settings) {
   ScaleFault fault;
-  std::vector<std::pair<std::string, ScaleFaultKind>> known;
-  for (ScaleFaultKind kind : fault_kinds) known.emplace_back(name_of(kind), kind);
-  fault.kind = one_of(map, "kind", known);
+  std::vector<std::pair<std::string, ScaleFaultKind>> choices;
+  for (ScaleFaultKind kind : fault_kinds) choices.emplace_back(name_of(kind), kind);
+  fault.kind = read_choice(map, "kind", choices);
   map.number("at_s", fault.at_s, 0, settings.duration_s);
   map.number("for_s", fault.duration_s, 0, settings.duration_s);
   read_count(map, "count", fault.count, 1, settings.workers);
@@ -77,7 +78,7 @@
   return fault;
 }
 
-std::mt19937_64 random_of(const ScaleSettings& settings, const std::string& ref, std::uint32_t salt) {
+std::mt19937_64 random_generator(const ScaleSettings& settings, const std::string& ref, std::uint32_t salt) {
   std::seed_seq seed{static_cast<std::uint64_t>(settings.seed),
                      static_cast<std::uint64_t>(std::hash<std::string>()(ref)),
                      static_cast<std::uint64_t>(salt)};
@@ -98,7 +99,7 @@
 double ScaleSettings::fault_free_from_s() const {
   double end = warm_up_s;
   for (const ScaleFault& fault : faults) end = std::max(end, fault.at_s + fault.duration_s);
-  return end + lease_s + settles_s;
+  return end + lease_s + settle_s;
 }
 
 ScaleSettings load_scale_settings(const std::string& file) {
@@ -112,7 +113,7 @@
   read_count(map, "controllers", settings.controllers, 1, max_controllers);
   read_count(map, "zones", settings.zones, 1, 19);
   read_count(map, "teams", settings.teams, 1, 80);
-  map.number("duration_s", settings.duration_s, 5, longest_run_s);
+  map.number("duration_s", settings.duration_s, 5, max_duration_s);
   map.number("warm_s", settings.warm_up_s, 0, settings.duration_s);
   map.number("report_s", settings.report_interval_s, 0.5, 60);
   map.number("lease_s", settings.lease_s, 2, 120);
@@ -133,12 +134,12 @@
     sub.reject_unknown_keys();
   }
   auto classes = map.take("classes");
-  if (!classes || !classes->IsSequence() || classes->size() == 0 || classes->size() > max_kinds)
-    map.fail("classes", "1 to 16 are needed");
+  if (!classes || !classes->IsSequence() || classes->size() == 0 || classes->size() > max_classes)
+    map.fail("classes", "must be a list of 1 to 16 job classes");
   for (const auto& node : *classes) settings.classes.push_back(read_class(map.child("classes", node)));
   if (auto faults = map.take("faults")) {
     if (!faults->IsSequence() || faults->size() > max_faults)
-      map.fail("faults", "a list of 32 at most is needed");
+      map.fail("faults", "must be a list of at most 32 faults");
     for (const auto& node : *faults)
       settings.faults.push_back(read_fault(map.child("faults", node), settings));
   }
@@ -158,7 +159,7 @@
   ScaleJob job;
   job.job_class = &settings.classes[index];
   job.number = static_cast<std::uint32_t>(std::stoul(ref.substr(dash + 1)));
-  auto random = random_of(settings, ref, job_salt);
+  auto random = random_generator(settings, ref, job_salt);
   job.team = std::uniform_int_distribution<std::uint32_t>(0, settings.teams - 1)(random);
   job.image = std::uniform_int_distribution<std::uint32_t>(0, job.job_class->images - 1)(random);
   job.withdrawn = std::bernoulli_distribution(job.job_class->withdrawn_fraction)(random);
@@ -169,7 +170,7 @@
   ScaleJob job = scale_job(settings, ref);
   if (job.job_class == nullptr) return 1;
   // All members of a gang get the same run time, because they complete together.
-  auto random = random_of(settings, ref, job.job_class->shape == JobShape::gang ? 0 : task);
+  auto random = random_generator(settings, ref, job.job_class->shape == JobShape::gang ? 0 : task);
   double spread = job.job_class->spread;
   return job.job_class->run_s * std::uniform_real_distribution<double>(1 - spread, 1 + spread)(random);
 }
--- a/src/simulation/state_server.cpp
+++ b/src/simulation/state_server.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t log_length = 10000;
+constexpr std::size_t max_log_entries = 10000;
 constexpr std::size_t max_items = 1000, max_list_bytes = 512 * std::size_t{1024};
 constexpr double tick_s = 0.02;
 constexpr std::size_t max_body_bytes = 16 * std::size_t{65536};
@@ -26,9 +26,9 @@
     const char* value = evhttp_find_header(&values_, name);
     return value == nullptr ? "" : value;
   }
-  std::uint64_t number(const char* name, std::uint64_t otherwise) const {
+  std::uint64_t number(const char* name, std::uint64_t default_value) const {
     std::string value = text(name);
-    return value.empty() ? otherwise : std::strtoull(value.c_str(), nullptr, 10);
+    return value.empty() ? default_value : std::strtoull(value.c_str(), nullptr, 10);
   }
 
  private:
@@ -44,8 +44,8 @@
 StateServer::StateServer(event_base* base, const net::Address& bind, const StateLimits& limits,
                          std::function<double()> now)
     : now_(std::move(now)),
-      requests_(limits.rps, limits.rps),
-      changes_(limits.write_rps, limits.write_rps),
+      request_limiter_(limits.rps, limits.rps),
+      change_limiter_(limits.write_rps, limits.write_rps),
       timer_(base, [this] { tick(); }),
       server_(base, bind, max_body_bytes, [this](net::Request&& request) { serve(std::move(request)); }) {
   store_.txn_ops = limits.txn_ops;
@@ -65,8 +65,8 @@
   double now = now_();
   store_.expire_leases(now);
   publish();
-  if (!requests_.take(1, now)) {
-    ++counts_.refused;
+  if (!request_limiter_.take(1, now)) {
+    ++counts_.refused_requests;
     return answer(request.responder, 429, Json::object());
   }
   if (request.path == "/watch") return open_watch(request);
@@ -88,13 +88,13 @@
   if (!body.contains("guards") || !body.contains("apply"))
     return answer(request.responder, 400, {{"error", "malformed"}});
   auto changes = static_cast<double>(body["apply"].size());
-  if (!changes_.take(changes, now_())) {
-    ++counts_.refused;
+  if (!change_limiter_.take(changes, now_())) {
+    ++counts_.refused_requests;
     return answer(request.responder, 429, Json::object());
   }
   StateStore::Result result = store_.txn(body);
   ++counts_.transactions;
-  counts_.failed += result.status == 409 ? 1 : 0;
+  counts_.refused_transactions += result.status == 409 ? 1 : 0;
   if (result.status == 200) counts_.changes += body["apply"].size();
   answer(request.responder, result.status, result.body);
   publish();
@@ -119,12 +119,12 @@
 void StateServer::serve_list(const net::Request& request) {
   Query query(request.query);
   std::string prefix = query.text("prefix"), from = query.text("from");
-  std::size_t most = std::min<std::size_t>(query.number("most", max_items), max_items), bytes = 0;
+  std::size_t max_entries = std::min<std::size_t>(query.number("most", max_items), max_items), bytes = 0;
   Json items = Json::array();
   bool truncated = false;
   auto entry = from.empty() ? store_.keys().lower_bound(prefix) : store_.keys().upper_bound(from);
   for (; entry != store_.keys().end() && has_prefix(entry->first, prefix); ++entry) {
-    if (items.size() >= most || bytes >= max_list_bytes) {
+    if (items.size() >= max_entries || bytes >= max_list_bytes) {
       truncated = true;
       break;
     }
@@ -138,22 +138,23 @@
 void StateServer::open_watch(const net::Request& request) {
   Query query(request.query);
   std::uint64_t from = query.number("from", 0);
-  bool too_old = !log_.empty() && log_.size() >= log_length && from + 1 < log_.front().revision;
+  bool too_old = !log_.empty() && log_.size() >= max_log_entries && from + 1 < log_.front().revision;
   if (too_old) return answer(request.responder, 410, Json::object());
   double wait_s = static_cast<double>(query.number("hold_ms", 0)) / 1000;
   Watch watch{request.responder, query.text("prefix"), from, now_() + wait_s};
   if (!answer_watch(watch, wait_s <= 0)) watches_.push_back(std::move(watch));
 }
 
-bool StateServer::answer_watch(const Watch& watch, bool over) {
+bool StateServer::answer_watch(const Watch& watch, bool expired) {
   if (store_.outage()) return false;  // watches remain open until the outage is over
   Json update = Json::array();
-  auto first = std::upper_bound(log_.begin(), log_.end(), watch.from,
-                                [](std::uint64_t from, const LogEntry& l) { return from < l.revision; });
+  auto first =
+      std::upper_bound(log_.begin(), log_.end(), watch.from_revision,
+                       [](std::uint64_t from, const LogEntry& entry) { return from < entry.revision; });
   for (; first != log_.end(); ++first) {
     if (has_prefix(first->key, watch.prefix)) update.push_back(first->update);
   }
-  if (update.empty() && !over) return false;
+  if (update.empty() && !expired) return false;
   std::string bytes = wire::encode({{"ledger_rev", store_.revision()}, {"news", std::move(update)}});
   counts_.watch_bytes += bytes.size();
   counts_.bytes_out += bytes.size();
@@ -170,17 +171,19 @@
     if (event.value) update["value"] = std::move(*event.value);
     log_.push_back({event.revision, event.key, std::move(update)});
   }
-  while (log_.size() > log_length) log_.pop_front();
-  auto waits = [this](const Watch& watch) { return answer_watch(watch, false); };
-  watches_.erase(std::remove_if(watches_.begin(), watches_.end(), waits), watches_.end());
+  while (log_.size() > max_log_entries) log_.pop_front();
+  auto answered = [this](const Watch& watch) { return answer_watch(watch, false); };
+  watches_.erase(std::remove_if(watches_.begin(), watches_.end(), answered), watches_.end());
 }
 
 void StateServer::tick() {
   double now = now_();
   store_.expire_leases(now);
   publish();
-  auto over = [this, now](const Watch& watch) { return now >= watch.until && answer_watch(watch, true); };
-  watches_.erase(std::remove_if(watches_.begin(), watches_.end(), over), watches_.end());
+  auto expired = [this, now](const Watch& watch) {
+    return now >= watch.expires_at && answer_watch(watch, true);
+  };
+  watches_.erase(std::remove_if(watches_.begin(), watches_.end(), expired), watches_.end());
   timer_.schedule(tick_s);
 }
 
--- a/tests/bidding_service_test.cpp
+++ b/tests/bidding_service_test.cpp
@@ -63,7 +63,7 @@
     EXPECT_EQ(breaches, 0);
     EXPECT_EQ(reused_names, 0);
     for (const SimulatedMarket& market : markets) EXPECT_EQ(market.reused_bid_names, 0);
-    EXPECT_LE(most_bought, 1);
+    EXPECT_LE(max_purchase_ratio, 1);
   }
 };
 
@@ -199,7 +199,7 @@
   ASSERT_NE(simulation.bidding_service(), nullptr);
   EXPECT_GT(simulation.bidding_service()->unmet_guaranteed_machines(), 0U);
   simulation.expect_invariants();
-  EXPECT_GT(simulation.max_hourly_spend, 0.6);
+  EXPECT_GT(simulation.max_hourly_spend_ratio, 0.6);
   simulation.run_steps(1200);  // the guarantee is met once reserved money is released
   EXPECT_EQ(simulation.result().guaranteed_in_time, 1U);
 }
@@ -224,8 +224,8 @@
   simulation.run_steps(300);
   EXPECT_GT(delivered_machines(simulation), 0U);
   EXPECT_EQ(simulation.breaches, 0);
-  EXPECT_LE(simulation.max_hourly_spend, 1);
-  EXPECT_LE(simulation.highest_use, 1);
+  EXPECT_LE(simulation.max_hourly_spend_ratio, 1);
+  EXPECT_LE(simulation.max_window_spend_ratio, 1);
 }
 
 TEST(BiddingService, UnresponsiveMarketsKeepMoneyReservedAndCloudServesJobs) {
@@ -284,7 +284,7 @@
         << test_case.description;
     if (test_case.is_suspended) {
       for (const auto& [host_name, host] : simulation.markets[0].hosts())
-        EXPECT_LT(host.since, 350) << test_case.description;
+        EXPECT_LT(host.charged_since, 350) << test_case.description;
     }
     EXPECT_EQ(simulation.reused_names, 0);
   }
@@ -299,7 +299,7 @@
   EXPECT_EQ(simulation.result().in_time, 1U);
   for (const auto& [host_name, host] : simulation.markets[0].hosts()) {
     EXPECT_TRUE(host.returned);
-    EXPECT_LT(host.until - host.since, 10);
+    EXPECT_LT(host.charged_until - host.charged_since, 10);
   }
   EXPECT_LT(
       simulation.bidding_service()->market_client(MarketIndex{0}).overall_reputation().delivered_fraction(),
@@ -341,7 +341,7 @@
   simulation.run_steps(1400);
   MarketResult result = simulation.result();
   EXPECT_GE(result.in_time, 90U);
-  EXPECT_GE(result.bought, 1000U);
+  EXPECT_GE(result.bought_machines, 1000U);
   simulation.expect_invariants();
 }
 
@@ -350,7 +350,7 @@
 RC_GTEST_PROP(BiddingServiceProperties, InvariantsHoldUnderRandomFaults, ()) {
   MarketScenario scenario;
   scenario.jobs = 5;
-  scenario.drop_at_s = 5;
+  scenario.zone_loss_at_s = 5;
   scenario.duration_s = 600;
   scenario.run_s = 100;
   scenario.cloud_capacity = 4;
@@ -383,7 +383,7 @@
   auto check = [&] {
     RC_ASSERT(simulation.breaches == 0);
     RC_ASSERT(simulation.reused_names == 0);
-    RC_ASSERT(simulation.most_bought <= 1);
+    RC_ASSERT(simulation.max_purchase_ratio <= 1);
     for (const SimulatedMarket& market : simulation.markets) RC_ASSERT(market.reused_bid_names == 0);
   };
   auto run_steps = [&](int steps) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -90,8 +90,8 @@
   evaluator.add({ScaleEventKind::task_starts, 7, ref, "host-000001", 0, 0, JobAnswer::no_answer});
   evaluator.add({ScaleEventKind::task_runs, 8, ref, "host-000001", 0, 0, JobAnswer::no_answer});
   EXPECT_TRUE(evaluator.violations().empty());
-  EXPECT_EQ(evaluator.waits()[0].first_s.quantile(1), 2);
-  EXPECT_EQ(evaluator.waits()[0].begun, 0U);
+  EXPECT_EQ(evaluator.waits()[0].first_task_s.quantile(1), 2);
+  EXPECT_EQ(evaluator.waits()[0].fully_started, 0U);
   evaluator.add({ScaleEventKind::task_starts, 9, ref, "host-000002", 0, 0, JobAnswer::no_answer});
   ASSERT_EQ(evaluator.violations().size(), 1U);
   EXPECT_EQ(evaluator.violations()[0].rfind("ran_twice", 0), 0U);
@@ -102,7 +102,7 @@
   ScaleOptions options;
   options.program = temporary_file("no-such-program");
   options.directory = temporary_file("logs");
-  EXPECT_THROW(play_scale(settings, options), std::runtime_error);
+  EXPECT_THROW(run_scale_simulation(settings, options), std::runtime_error);
   EXPECT_FALSE(std::filesystem::exists(options.directory));
 }
 
@@ -112,7 +112,7 @@
   options.program = CONTROLLER_PROGRAM;
   options.directory = temporary_file("logs");
   options.progress = false;
-  ScaleReport report = play_scale(settings, options);
+  ScaleReport report = run_scale_simulation(settings, options);
   EXPECT_TRUE(report.violations.empty()) << report.violations.front();
   EXPECT_GT(report.figures.at("starts").get<int>(), 0);
   EXPECT_GT(report.figures.at("classes").at("gang").at("begun").get<int>(), 0);
