--- a/include/oxbowmill/simulation/agent.h
+++ b/include/oxbowmill/simulation/agent.h
@@ -1,5 +1,5 @@
-// Simulated agent: the worker process of one machine without sockets or a clock of its own. It owns the
-// machine's tasks, its agent epoch, report sequence, fencing token and lease, as the protocol describes them.
+// The agent of one simulated machine, without sockets and without a clock of its own. It owns the machine's
+// tasks, its agent epoch, report sequence, fencing token and lease, and follows the protocol of a real agent.
 #pragma once
 
 #include <functional>
@@ -12,65 +12,64 @@
 
 namespace oxbowmill::simulation {
 
-/// Records every start and end of a task on all simulated agents, and tasks that were on two machines at
-/// once.
+/// Starts and ends of tasks on all simulated agents, and the tasks that were on two machines at once.
 struct RunLog {
   std::map<std::string, std::set<std::string>>
-      machines_by_task;                       ///< by task ("<job>/<number>"): machines on which it is now
-  std::vector<std::string> duplicated_tasks;  ///< tasks that started while they were on another machine
-  std::map<std::string, int> starts;          ///< number of starts, by task
-  /// Called with each start (`on`) and each end (not `on`) of a task on a machine; may be empty.
+      machines_by_task;                       ///< machines that have the task now, by task ("<job>/<number>")
+  std::vector<std::string> duplicated_tasks;  ///< tasks that started while another machine had them
+  std::map<std::string, int> starts;          ///< number of starts by task
+  /// Called at each start (`on` is true) and each end (`on` is false) of a task on a machine; may be empty.
   std::function<void(const std::string& task, const std::string& machine, bool on)> on_change;
-  /// The task has started on the machine.
+  /// Records that the task has started on the machine.
   void start(const std::string& task, const std::string& machine);
-  /// The task is no longer on the machine; ignored where it was not.
+  /// Records that the machine no longer has the task; ignored if it did not have it.
   void end(const std::string& task, const std::string& machine);
 };
 
 /// The agent of one machine. Times are in seconds on the caller's clock; tasks are named "<job>/<number>".
 class Worker {
  public:
-  /// `log` has to outlive the agent.
+  /// `log` must outlive the agent.
   Worker(std::string name, std::string zone, RunLog& log, bool spot = false);
 
-  /// The next report, with all tasks. Ends the epoch first when the lease has expired.
+  /// Returns the next report, with all tasks. Ends the agent epoch first if the lease has expired.
   AgentReport report(double now);
-  /// Applies the response to the last report: renews the lease and executes its commands. Ignored unless it
-  /// is `ok`, when its fencing token is lower than the agent's, or when the epoch has ended since the
-  /// report.
+  /// Applies the response to the last report: renews the lease from the time of that report and executes the
+  /// commands. Ignores a response that is not `ok`, has a lower fencing token than the agent's, or arrives
+  /// after the agent epoch of the report has ended.
   void answer(const ReportAnswer& a, double now);
-  /// Applies commands sent directly to the agent; false where their fencing token is lower or the agent
-  /// epoch is another.
+  /// Executes commands sent directly to the agent. Returns false and executes none if their fencing token is
+  /// lower than the agent's or they were sent to another agent epoch.
   bool command(const DirectCommands& commands);
-  /// Ends the agent epoch, and with it all tasks, when the lease has expired.
+  /// Ends the agent epoch, and with it all tasks, if the lease has expired.
   void tick(double now);
-  /// The machine is gone, with all tasks on it.
+  /// Removes all tasks because the machine is gone.
   void power_off();
-  /// The task has ended; `saved`: with a checkpoint. Throws std::out_of_range where the agent has no such
-  /// task.
+  /// Ends the task; `saved` tells whether it saved a checkpoint. Throws std::out_of_range if the agent does
+  /// not have the task.
   void finish(const std::string& task, EndCause cause, bool saved = false);
-  /// Throws std::out_of_range where the agent has no such task.
+  /// Throws std::out_of_range if the agent does not have the task.
   void set_phase(const std::string& task, TaskPhase phase);
-  /// The agent has the task, and it has not ended.
+  /// Whether the agent has the task and it has not ended.
   bool has(const std::string& task) const;
-  /// By "<job>/<number>"; ended tasks stay until they are cleared.
+  /// Tasks by "<job>/<number>"; an ended task stays until a clear command removes it.
   const std::map<std::string, TaskReport>& tasks() const { return tasks_; }
-  /// Throws std::out_of_range where the agent has no such task.
+  /// Throws std::out_of_range if the agent does not have the task.
   TaskPhase phase(const std::string& task) const { return tasks_.at(task).phase; }
-  /// Throws std::out_of_range where the agent has no such task.
+  /// Throws std::out_of_range if the agent does not have the task.
   Attempt attempt(const std::string& task) const { return tasks_.at(task).attempt; }
   /// The machine's name.
   const std::string& name() const { return name_; }
-  /// The present epoch; the first is 1.
+  /// The present agent epoch; the first is 1.
   std::uint64_t agent_epoch() const { return agent_epoch_; }
-  /// The highest token seen.
+  /// The highest fencing token that the agent has accepted.
   std::uint64_t fencing_token() const { return fencing_token_; }
   double preemption_notice_s =
-      -1;               ///< seconds until the spot machine is taken back, as reported; below 0: no notice
+      -1;               ///< seconds until the spot machine is preempted, as reported; negative: no notice
   double lease_s = 10;  ///< the agent's lease, in seconds
-  bool saves_checkpoints = true;               ///< a kill with a termination timeout saves a checkpoint
-  TaskPhase first_phase = TaskPhase::running;  ///< phase of a task that has just started
-  std::string address = "127.0.0.1:1";         ///< where it accepts commands, as reported
+  bool saves_checkpoints = true;  ///< whether a kill with a termination timeout saves a checkpoint
+  TaskPhase first_phase = TaskPhase::running;  ///< phase in which a task starts
+  std::string address = "127.0.0.1:1";         ///< address for direct commands, as reported
 
  private:
   void execute(const std::vector<AgentCommand>& orders);
--- a/include/oxbowmill/simulation/parallel.h
+++ b/include/oxbowmill/simulation/parallel.h
@@ -1,4 +1,4 @@
-// What the experiments share: running many simulations on several threads, and medians. No state.
+// Functions that all experiments use: running many simulations on several threads, and medians. No state.
 #pragma once
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace oxbowmill::simulation {
 
-/// Calls `run` with 0 to `n` - 1 on `threads` threads (one at least) and returns when all calls have. `run`
-/// has to be safe to call concurrently and must not throw.
+/// Calls `run` with each number from 0 to `n` - 1 on `threads` threads (at least one) and waits until all
+/// calls have returned. `run` must be safe to call concurrently and must not throw.
 inline void run_in_parallel(std::size_t n, unsigned threads, const std::function<void(std::size_t)>& run) {
   std::atomic<std::size_t> next{0};
   std::vector<std::thread> worker_threads;
@@ -22,7 +22,7 @@
   for (std::thread& t : worker_threads) t.join();
 }
 
-/// 0 where there are no values.
+/// The median of the values; 0 if there are none.
 inline double median(std::vector<double> values) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
--- a/include/oxbowmill/simulation/simulated_cluster.h
+++ b/include/oxbowmill/simulation/simulated_cluster.h
@@ -1,6 +1,7 @@
-// Controllers' decisions on a simulated clock, connected without sockets to the simulated state service,
-// agents and markets. A simulated controller owns its replica, lease, scheduler and what was enabled; a
-// simulated cluster owns its controllers, agents and the stored state. One thread.
+// Runs the decisions of controllers on a simulated clock, connected without sockets to the simulated state
+// service, agents and markets. A simulated controller owns its replica, lease, scheduler and the components
+// that were enabled; a simulated cluster owns its controllers, its agents and the stored state. For use by
+// one thread.
 #pragma once
 
 #include <deque>
@@ -18,71 +19,72 @@
 
 namespace oxbowmill::simulation {
 
-/// What happens to a controller's next transactions: applied and answered, applied without an answer, or
-/// lost on the way.
+/// What happens to a controller's next transactions: applied with a response, applied but the response is
+/// lost, or lost before they reach the state service.
 enum class WriteOutcome { answered, answer_lost, not_arrived };
 
-/// Settings of a small cluster, for the controller with this name.
+/// Settings of a small cluster for the controller `node`.
 Settings test_settings(const std::string& node);
-/// Teams, zones, types, images and classes that go with `test_settings`.
+/// Partitions, zones, machine types, images and classes that match `test_settings`.
 Names test_names();
-/// One machine type in two zones.
+/// A catalog with one machine type, which is available in two zones.
 std::vector<MachineType> test_catalog();
 
-/// The outcome of a transaction by its response; none: unknown.
+/// The outcome of a transaction with this response; unknown if there is no response.
 TransactionOutcome outcome_of(const std::optional<StateStore::Result>& r);
 
 /// One controller without I/O. Times are in seconds on the caller's clock.
 class SimulatedController {
  public:
-  /// `state` has to outlive it.
+  /// `state` must outlive the controller.
   SimulatedController(std::string name, StateStore& state, Settings settings, Names names = test_names(),
                       std::vector<MachineType> catalog = test_catalog());
 
-  /// Reads all keys, as a controller does that has just started.
+  /// Reads all keys, as a controller does after its start.
   void load_state(double now);
-  /// Applies all changes up to now, as if its watch had delivered them.
+  /// Applies all changes up to now, as if the watch had delivered them.
   void sync(double now) { apply_events_up_to(store_.events().size(), store_.revision(), now, now); }
-  /// Applies the first `count` changes, up to `revision`, as the response to a watch that was opened at
-  /// `asked`.
+  /// Applies the first `count` changes since the start of the state service, up to `revision`, as the
+  /// response to a watch that was opened at `asked`.
   void apply_events_up_to(std::size_t count, std::uint64_t revision, double asked, double now);
-  /// Writes the ownership of a partition, under a controller lease granted where it has none; false where
-  /// the partition has an owner or the state service refuses.
+  /// Writes the ownership of a partition under the controller's lease, which is granted first if it has none.
+  /// Returns false if the partition has an owner or the state service refuses.
   bool acquire_partition(PartitionIndex partition, double now);
-  /// `acquire_partition` for each partition.
+  /// Calls `acquire_partition` for each partition.
   void acquire_all_partitions(double now);
-  /// Renews its controller lease, where the state service still has it.
+  /// Renews the controller lease if it has not expired in the state service.
   void renew(double now);
-  /// One cycle: decides, and sends all transactions, market calls and direct commands.
+  /// Runs one scheduling cycle: decides, sends all transactions and market calls, and collects the direct
+  /// commands and the requests to the cloud.
   void run_cycle(double now);
-  /// The first half of a cycle: the effects, with nothing sent yet.
+  /// Runs the decisions of a cycle and returns their effects, without sending anything.
   Effects decide(double now);
-  /// Encodes a transaction by the present replica; it is sent so, however late.
+  /// Encodes a transaction by the present replica; later sends and retries use that encoding.
   void queue_write(const Write& write) { write_queue_.get_or_create(write, cluster_state); }
-  /// Sends one transaction; none where it does not arrive.
+  /// Sends one transaction and returns the response; none if the transaction does not arrive.
   std::optional<StateStore::Result> send(const Write& write);
-  /// Applies the outcome of a transaction, as its sender sees it.
+  /// Applies the outcome of a transaction as the controller sees it.
   void on_write_result(const Write& write, TransactionOutcome outcome, Revision revision, double now);
-  /// The response to an agent's report.
+  /// Handles an agent's report and returns the response.
   ReportAnswer handle_report(const AgentReport& report, double now);
-  /// Reconciles after failovers from now on, as `deploy/recovery.yaml` switches it on.
+  /// Enables reconciliation after failovers, as `deploy/recovery.yaml` does.
   void enable_reconciliation(const reconciliation::Settings& settings);
-  /// Follows this calendar and scales these models from now on.
+  /// Enables coordinated releases by this calendar and the scaling of these models.
   void enable_decisions(release_calendar::ReleaseCalendar calendar, serving::Settings models = {});
-  /// Bids on these markets from now on; their names are added to the replica's. `markets` has to outlive
-  /// it.
+  /// Enables bidding on these markets and adds their names to the replica's names. `markets` must outlive the
+  /// controller.
   void enable_markets(const market::Settings& settings, std::vector<SimulatedMarket>& markets);
 
-  std::string name;                                     ///< the controller's
-  ClusterState cluster_state;                           ///< its replica
-  ControllerLease lease;                                ///< its authority
-  Scheduler scheduler;                                  ///< of its partitions
-  Autoscaler autoscaler;                                ///< acts where it is the leader
-  WriteOutcome write_outcome = WriteOutcome::answered;  ///< of the next transactions
-  std::vector<Json> lost_writes;                 ///< bodies of transactions that have not arrived (yet)
-  std::deque<DirectCommands> direct_commands;    ///< not yet delivered to agents
+  std::string name;            ///< name of the controller
+  ClusterState cluster_state;  ///< its replica of the records
+  ControllerLease lease;       ///< its controller lease, from which its authority follows
+  Scheduler scheduler;         ///< schedules its partitions
+  Autoscaler autoscaler;       ///< acts only on the leader
+  WriteOutcome write_outcome = WriteOutcome::answered;  ///< what happens to the next transactions
+  std::vector<Json> lost_writes;  ///< bodies of transactions that did not arrive; a test may apply them later
+  std::deque<DirectCommands> direct_commands;    ///< commands not yet delivered to agents
   std::vector<ScaleOutRequest> scale_outs;       ///< requests to the cloud
-  std::vector<MachineIndex> machines_to_delete;  ///< deletions requested of the cloud
+  std::vector<MachineIndex> machines_to_delete;  ///< machines whose deletion was requested from the cloud
   int refused_writes = 0;                        ///< transactions refused by a guard
   std::unique_ptr<market::BiddingService> bidding_service;  ///< null: markets are not enabled
   std::unique_ptr<reconciliation::Reconciler> reconciler;   ///< null: reconciliation is not enabled
@@ -99,55 +101,58 @@
   std::vector<SimulatedMarket>* markets_ = nullptr;
 };
 
-/// Controllers, a state service and agents, for tests; time moves only by `run` and `fail_over`.
+/// Controllers, a state service and agents for tests. Only `run`, `fail_over` and the test itself move the
+/// clock.
 class SimulatedCluster {
  public:
-  /// The first controller owns all partitions.
+  /// Creates `controllers` controllers, the first of which owns all partitions.
   explicit SimulatedCluster(int controllers = 2);
-  /// Throws std::out_of_range where there is none.
+  /// The controller with this index. Throws std::out_of_range if there is none.
   SimulatedController& controller(std::size_t i) { return *controllers_.at(i); }
-  /// A machine with its record in this partition, and its agent.
+  /// Adds a machine with its agent and with a record in this partition.
   void add_machine(const std::string& name, const std::string& zone = "a",
                    const std::string& partition = "red", bool spot = false);
-  /// A machine that reports without a record.
+  /// Adds a machine whose agent reports although the machine has no record.
   void add_unregistered_machine(const std::string& name, const std::string& zone = "a");
-  /// All controllers bid on this market; machines that it delivers report.
+  /// Adds a market on which all controllers bid; the machines that it delivers report.
   void add_market(const simulation::MarketBehavior& c);
-  std::vector<SimulatedMarket> markets;  ///< those added
-  market::Settings market_settings;      ///< for the next `add_market`
-  /// The agent of a machine; throws std::out_of_range where there is none.
+  std::vector<SimulatedMarket> markets;  ///< the markets added
+  market::Settings market_settings;      ///< bidding settings; `add_market` adds its market to them
+  /// The agent of a machine. Throws std::out_of_range if there is none.
   Worker& worker(const std::string& name) { return *workers_.at(name); }
-  /// Stores a job, submitted now.
+  /// Stores a job with the present time as its submission time.
   void submit(JobSpec spec);
-  /// The user's withdrawal; returns the status of its transaction, 404 where there is no such job.
+  /// Withdraws a job as its user does. Returns the HTTP status of the transaction, 404 if there is no such
+  /// job.
   int withdraw(const std::string& ref);
-  /// One report of an agent to controller `node` and its response; `lost`: the response does not arrive.
+  /// Sends one report of an agent to controller `node` and returns the response, which does not reach the
+  /// agent if `lost` is set.
   ReportAnswer exchange_report(const std::string& name, std::size_t node, bool lost = false);
-  /// Cycles of controller `n` and reports to it from all agents that are not silenced, each half a second,
-  /// for `seconds`.
+  /// For `seconds`, runs a cycle of controller `n` every half second and then lets all agents that are not
+  /// silenced report to it.
   void run(double seconds, std::size_t n = 0);
   /// Revokes the controller lease of controller `n`.
   void kill_controller(std::size_t n);
-  /// Controller `from` ends; `to` acquires all partitions `after_s` seconds later.
+  /// Ends controller `from`; `to` acquires all partitions `after_s` seconds later.
   void fail_over(std::size_t from, std::size_t to, double after_s);
   /// Registers controller `n` under a new controller lease that does not expire in a test; returns its id.
   std::uint64_t register_controller(std::size_t n);
-  /// The stored phase of a job; "none" where it is not stored.
+  /// The stored phase of a job; "none" if the job is not stored.
   std::string phase(const std::string& ref) const;
-  /// Machines on which the task has a stored placement.
+  /// The machines on which the task has a stored placement.
   std::vector<std::string> machines_of_task(const std::string& ref, TaskNumber task) const;
 
   StateStore store;                        ///< the state service
-  RunLog run_log;                          ///< of all agents
+  RunLog run_log;                          ///< task starts and ends on all agents
   double now = 1000;                       ///< the clock, in seconds
-  std::set<std::string> silenced_workers;  ///< machines whose agents send and receive nothing
+  std::set<std::string> silenced_workers;  ///< machines whose agents neither send nor receive
 
  private:
   std::vector<std::unique_ptr<SimulatedController>> controllers_;
   std::map<std::string, std::unique_ptr<Worker>> workers_;
 };
 
-/// A job of the first team, by `test_names`.
+/// A job in the first partition of `test_names` after the idle pool, with `gpus` GPUs for each task.
 JobSpec test_job(const std::string& ref, std::uint32_t tasks, double gpus = 1);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/state_store.h
+++ b/include/oxbowmill/simulation/state_store.h
@@ -1,5 +1,6 @@
-// Simulated state service without sockets: keys with revisions, guarded transactions, leases and a log of
-// changes. It owns all of them; times are in seconds on the caller's clock. One thread.
+// Simulated state service without sockets. It owns the keys with their revisions, the leases and a log of
+// changes, and executes guarded transactions. Times are in seconds on the caller's clock. For use by one
+// thread.
 #pragma once
 
 #include <map>
@@ -12,49 +13,50 @@
 
 using Json = nlohmann::json;
 
-/// The stored state. All operations are atomic.
+/// The state of the state service. All operations are atomic.
 class StateStore {
  public:
-  std::size_t txn_ops = 12;        ///< most changes of one transaction; four times as many guards
+  std::size_t txn_ops = 12;        ///< most changes in one transaction; it may have four times as many guards
   std::size_t value_bytes = 4096;  ///< largest value, in bytes of JSON text
   /// A live key.
   struct Entry {
-    Json value;                  ///< as it was written
-    std::uint64_t revision = 0,  ///< of its last change
-        lease_id = 0;            ///< lease that it is attached to; 0: none
+    Json value;                  ///< the value as written
+    std::uint64_t revision = 0,  ///< revision of the last change of the key
+        lease_id = 0;            ///< lease to which the key is attached; 0: none
   };
   /// A change of one key.
   struct Event {
-    std::uint64_t revision = 0;  ///< of the change
-    std::string key;             ///< that changed
-    std::optional<Json> value;   ///< none: deleted
+    std::uint64_t revision = 0;  ///< revision of the change
+    std::string key;             ///< key that changed
+    std::optional<Json> value;   ///< new value; none: the key was deleted
   };
-  /// Response to a transaction.
+  /// The response to a transaction.
   struct Result {
     int status = 200;  ///< HTTP status
-    Json body;         ///< with the store's revision on 200 and 409
+    Json body;         ///< contains the store's revision if the status is 200 or 409
   };
 
-  /// Executes a transaction: 200 applied, 409 a guard failed, 400 too large or no such lease, 503 during an
-  /// outage.
+  /// Executes a transaction and returns 200 if it was applied, 409 if a guard failed, 400 if it is too large
+  /// or names a lease that does not exist, or 503 during an outage.
   Result txn(const Json& body);
-  /// A new lease of `life_s` seconds; returns its id.
+  /// Grants a lease of `life_s` seconds and returns its id.
   std::uint64_t grant_lease(double life_s, double now);
-  /// Extends the lease by its life from now; false where it has expired, and during an outage.
+  /// Renews the lease for its full duration from now. Returns false if it has expired or there is an outage.
   bool renew_lease(std::uint64_t id, double now);
   /// Ends the lease and deletes the keys attached to it.
   void revoke_lease(std::uint64_t id);
-  /// Ends the leases whose time is over; none ends during an outage.
+  /// Revokes the expired leases; no lease expires during an outage.
   void expire_leases(double now);
-  /// While on, transactions and renewals fail. At its end each lease has its full life again.
+  /// Begins or ends an outage, during which transactions and renewals fail. When it ends, each lease gets its
+  /// full duration again.
   void set_outage(bool on, double now);
-  /// Whether an outage is on.
+  /// Whether there is an outage.
   bool outage() const { return outage_; }
-  /// Of the last change.
+  /// The revision of the last change.
   std::uint64_t revision() const { return revision_; }
   /// All live keys.
   const std::map<std::string, Entry>& keys() const { return keys_; }
-  /// Changes since the start, or since `take_events`.
+  /// The changes since the start or since the last `take_events`.
   const std::vector<Event>& events() const { return events_; }
   /// Returns the recorded changes and removes them from the log, for a caller that keeps a log of its own.
   std::vector<Event> take_events();
--- a/src/simulation/cluster_agents.cpp
+++ b/src/simulation/cluster_agents.cpp
@@ -55,7 +55,8 @@
   ReportAnswer answer = process.controller->handle_report(report, now);
   bool delayed = now < delayed_responses_until && chance(delayed_responses_fraction);
   if (delayed || now < machine.receives_nothing_until) {
-    // An agent waits 4 s for a response, sends no other report meanwhile, and drops a later response.
+    // An agent waits 4 s for the response, sends no other report meanwhile, and ignores a response that is
+    // later.
     double at_s = now < machine.receives_nothing_until ? now + 9 : now + draw(0.5, max_response_delay);
     if (at_s < now + 4) delayed_answers.push_back({at_s, name, answer});
     machine.waits_until = std::min(at_s, now + 4);
@@ -142,7 +143,7 @@
     machine.worker->tick(now);
     if (machine.worker->agent_epoch() != machine.agent_epoch) {
       machine.agent_epoch = machine.worker->agent_epoch();
-      // Its lease has expired: all its tasks are gone.
+      // The agent's lease has expired, so all tasks on the machine have ended.
       for (auto& [ref, job] : jobs) {
         for (auto it = job.runs.begin(); it != job.runs.end();) {
           TaskNumber t = it->first;
--- a/src/simulation/cluster_cloud.cpp
+++ b/src/simulation/cluster_cloud.cpp
@@ -36,7 +36,8 @@
     calls.pop_front();
     ControllerProcess& process = controllers[call.controller];
     if (!process.controller) {
-      // The controller ended after it had sent the request.
+      // The controller ended after it had sent the request; during `FaultKind::fast_boots` the cloud still
+      // creates the machines.
       if (now < fast_boots_until && !call.list && call.deletes.empty() && now >= cloud_down_until)
         create_machines(call.scale_out);
       continue;
@@ -78,7 +79,7 @@
     add_machine(request.zone.value, request.spot, false);
     created_names.push_back("host-" + std::to_string(100000 + before));
     ++current_sample().rentals;
-    // A machine that was returned is rented again.
+    // This rental replaces a machine that was returned.
     if (!returned_at.empty() && now > scenario.warm_up_s / 2) {
       if (now - returned_at.back() < wasted_within_s) ++result.wasted_scale_outs;
       returned_at.pop_back();
@@ -97,7 +98,7 @@
                                [](const auto& t) { return t.second.phase != TaskPhase::ended; });
     if (working) ++result.marked_for_deletion_alive;
     if (!machine.used)
-      ++result.wasted_scale_outs;  // rented and never used
+      ++result.wasted_scale_outs;  // rented and returned without having run a task
     else if (!working)
       returned_at.push_back(now);
   }
--- a/src/simulation/cluster_controllers.cpp
+++ b/src/simulation/cluster_controllers.cpp
@@ -1,12 +1,13 @@
-// Controllers of the simulated cluster: their connections to the state service, ownership and transactions.
+// Controllers of the simulated cluster: start and end of their processes, watches, leases, ownership and
+// transactions.
 #include "cluster_simulation_impl.h"
 
 namespace oxbowmill::simulation {
 
 namespace {
 
-/// Reconciliation with perfect knowledge: exactly the dead machines are suspected and marked for deletion, at
-/// once.
+/// Reconciliation with perfect knowledge: it suspects exactly the dead machines and marks them for deletion,
+/// at once.
 class Oracle : public reconciliation::Reconciler {
  public:
   Oracle(const ClusterState& model, const Scheduler& scheduler, const reconciliation::Settings& s,
--- a/src/simulation/cluster_experiment.cpp
+++ b/src/simulation/cluster_experiment.cpp
@@ -28,7 +28,7 @@
         five_second_mean(result.samples, i) >= level * five_second_mean(twin.samples, i) ? stable_s + 1 : 0;
     if (stable_s >= stays_s) return static_cast<double>(i + 1) - stays_s - fault_s;
   }
-  return static_cast<double>(n) - fault_s;  // not within the run
+  return static_cast<double>(n) - fault_s;  // the level was not reached within the run
 }
 
 std::vector<ClusterRow> play(const ClusterScenario& scenario, unsigned seeds, unsigned threads) {
@@ -99,7 +99,7 @@
 }
 
 namespace {
-/// One list of columns for all forms.
+/// The columns of the table and of the JSON output.
 std::vector<std::pair<const char*, double>> columns(const ClusterSummary& summary) {
   return {{"level_s", summary.recovery_s},
           {"squared_s", summary.reconciled_s},
--- a/src/simulation/cluster_faults.cpp
+++ b/src/simulation/cluster_faults.cpp
@@ -247,7 +247,7 @@
     write_budget.set_rate(scenario.write_rps, scenario.write_rps);
   }
   each_due(delayed_writes, [this](const Delayed<Json>& w) {
-    if (store.outage()) return false;  // stays delayed until the outage is over
+    if (store.outage()) return false;  // try again after the outage
     store.txn(w.value);
     return true;
   });
@@ -270,7 +270,7 @@
   if (delayed_reports_due_at > 0 && now >= delayed_reports_due_at) {
     for (const AgentReport& r : delayed_reports) {
       for (ControllerProcess& n : controllers) {
-        // The agent has long stopped waiting for these: no response reaches it.
+        // The agent stopped waiting for a response long ago, so none is delivered to it.
         if (acts(n) && n.state_loaded) n.controller->handle_report(r, now);
       }
     }
--- a/src/simulation/cluster_simulation.cpp
+++ b/src/simulation/cluster_simulation.cpp
@@ -1,4 +1,4 @@
-// The simulated cluster step by step, and its result.
+// Steps of the simulated cluster, from its creation to the result.
 #include <spdlog/spdlog.h>
 
 #include <utility>
@@ -30,15 +30,15 @@
   for (std::uint32_t i = 0; i < scenario.initial_gangs; ++i) submit(0);
   for (std::uint32_t i = 0; i < scenario.initial_arrays; ++i) submit(1);
   for (std::size_t i = 0; i < controllers.size(); ++i) start_controller(i);
-  // Cancellations by users are no faults: they also happen in the run without faults.
+  // Cancellations by users also happen in the run without faults, because they are not faults of the system.
   for (const Fault& f : scenario.faults) {
     if (variant != SimulationVariant::without_faults || f.kind == FaultKind::jobs_cancelled)
       faults.push_back(f);
   }
   std::sort(faults.begin(), faults.end(), [](const Fault& a, const Fault& b) { return a.at_s < b.at_s; });
   if (!scenario.faults.empty()) first_fault = scenario.faults.front().at_s;
-  // An isolated owner sees no cancellation until its controller lease ends; its last response may come 4 s
-  // later.
+  // An isolated owner learns of no cancellation until its controller lease ends, and its last response may
+  // arrive up to 4 s later.
   invariants.set_start_tolerance(scenario.faults.empty()
                                      ? 1
                                      : settings(0).operator_settings.controller_lease_s * 1.01 +
@@ -159,7 +159,7 @@
 
 std::map<std::string, InvariantChecker::UsableMachine> ClusterSimulation::Impl::usable_machines() const {
   std::map<std::string, InvariantChecker::UsableMachine> out;
-  if (now < faults_end()) return out;  // no invariant that needs it is checked during faults
+  if (now < faults_end()) return out;  // the invariants that need them are not checked during faults
   const double gpus = catalog().front().capacity.gpus;
   for (const auto& [name, h] : machines) {
     bool well = h.known && reachable(h) && now >= h.receives_nothing_until && now >= h.sends_nothing_until;
--- a/src/simulation/cluster_simulation_impl.h
+++ b/src/simulation/cluster_simulation_impl.h
@@ -1,5 +1,5 @@
-// State of the simulated cluster, and what controllers, cloud, users, agents and faults do in a step; one
-// source file for each of these.
+// State of the simulated cluster, and what its controllers, cloud, users, agents and faults do in each step.
+// Each of these has a source file of its own.
 #pragma once
 
 #include <algorithm>
@@ -15,13 +15,14 @@
 constexpr double step_s = 0.1;
 constexpr double image_gb[] = {4, 6, 8, 10, 12};
 constexpr double save_every_s = 30, flush_s = 3;
-constexpr double wasted_within_s = 60;  // a return followed by a scale-out within this time was wasted
+constexpr double wasted_within_s =
+    60;  // a return of a machine was wasted if a scale-out follows within this time
 constexpr double listed_dead_s = 30;
 constexpr double list_lag_s = 4;
 
 struct ClusterSimulation::Impl {
   struct ControllerProcess {
-    std::unique_ptr<SimulatedController> controller;  // null: the process is down
+    std::unique_ptr<SimulatedController> controller;  // null while the process is down
     double restarts_at = -1, frozen_until = -1, next_renew = 0, next_peer_update = 0, next_sync = 0,
            up_since = 0, without_state_until = -1, refused_until = -1, isolated_until = -1,
            registered_at = -1e9;
@@ -42,7 +43,7 @@
       std::uint64_t revision;
     };
     std::deque<PendingWatch> pending_watches;
-    std::map<std::string, JobPhase> final_phases;  // that this process has answered or read
+    std::map<std::string, JobPhase> final_phases;  // final phases that this process has answered or read
     service::FirstAttempts first_attempts;
   };
   struct SimulatedMachine {
@@ -53,7 +54,7 @@
            receives_nothing_until = -1, sends_nothing_until = -1, waits_until = -1;
     std::size_t controller = 0;
     std::uint64_t agent_epoch = 1;
-    std::map<std::uint32_t, double> images;  // by image: when its download ends
+    std::map<std::uint32_t, double> images;  // end of the download, by image
   };
   struct TaskRun {
     std::string machine_name, task_id;
@@ -64,12 +65,13 @@
     std::uint32_t class_index = 0, team = 0, tasks = 0, image = 0;
     double run_s = 0, gpus = 1, spread = 0;
     double run_time_s(TaskNumber task) const { return run_s * (1 + spread * task); }
-    std::map<TaskNumber, TaskRun> runs;    // tasks on machines
+    std::map<TaskNumber, TaskRun> runs;    // the tasks that are on machines
     std::map<TaskNumber, double> saved_s;  // progress saved in a checkpoint
     double gang_started = -1, gang_saved = 0, gang_lost_at = -1;
     std::set<TaskNumber> done;
     double submitted = 0;
-    std::map<TaskNumber, double> started_at;  // of tasks that have run for long enough to count as started
+    std::map<TaskNumber, double>
+        started_at;  // by task; only tasks that completed or ran for long enough to count as started
     void record_start(TaskNumber task, double at_s) { started_at.try_emplace(task, at_s); }
   };
 
@@ -92,14 +94,14 @@
   }
 
   void run_controller(std::size_t i);
-  /// Opens a watch when its time has come, and applies those whose response has arrived.
+  /// Opens a watch if one is due, and applies the watches whose response has arrived.
   void answer_watches(ControllerProcess& process, SimulatedController& controller, bool state_up);
   void renew_lease(ControllerProcess& process, SimulatedController& controller);
   void deliver_write_responses(ControllerProcess& process, SimulatedController& controller) const;
   void send_effects(std::size_t i, Effects out);
-  /// Sends its reconciliation status to every controller that it reaches.
+  /// Sends the reconciliation status of controller `i` to every controller that it can reach.
   void exchange_peer_status(std::size_t i);
-  /// The state service's response to the transaction; none where it is lost on either way.
+  /// Sends the transaction and returns the response; none if the transaction or the response is lost.
   std::optional<StateStore::Result> send_write(const ControllerProcess& process,
                                                SimulatedController& controller, const Write& write);
   static void remember_final_phases(ControllerProcess& process, const SimulatedController& controller,
@@ -111,16 +113,16 @@
   bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(fault_random) < share; }
   double draw(double a, double b) { return std::uniform_real_distribution<double>(a, b)(fault_random); }
 
-  /// The transaction gets no response and is applied after newer ones.
+  /// Whether the transaction gets no response and is applied later, after newer ones.
   bool delays_write(const Json& body);
   bool delays_next_write() { return now < delayed_writes_until && chance(delayed_writes_fraction); }
-  /// The transaction is applied and its response lost.
+  /// Whether the transaction is applied and its response lost.
   bool loses_write_response() { return now < lost_answers_until && chance(lost_answers_fraction); }
   std::uint32_t zone_of(std::size_t node) const { return static_cast<std::uint32_t>(node) % scenario.zones; }
   bool is_isolated(std::uint32_t zone) const {
     return now < isolated_until && zone_names[zone] == isolated_zone;
   }
-  /// Controller and machine are on the same side of a network partition.
+  /// Whether the controller and the machine are on the same side of a network partition.
   bool linked(std::size_t node, const SimulatedMachine& h) const {
     return is_isolated(zone_of(node)) == is_isolated(h.zone);
   }
@@ -144,7 +146,7 @@
 
   void serve_calls();
   void scale_out(const ScaleOutRequest& request, Autoscaler& fleet);
-  /// Creates as many of the requested machines as the cloud has.
+  /// Creates as many of the requested machines as the cloud has capacity for, and returns their names.
   std::vector<std::string> create_machines(const ScaleOutRequest& request);
   void delete_machine(const std::string& name);
   std::vector<ListedMachine> list_machines();
@@ -152,17 +154,17 @@
   // --- Users.
 
   void submit(std::uint32_t class_index);
-  /// The user of one job: submits it, polls it every 5 s, may withdraw it; each request goes to any
-  /// controller.
+  /// The user of one job, who submits it, polls it every 5 s and may withdraw it. Each request goes to a
+  /// random controller.
   struct User {
     std::string ref;
-    Json body;  // of the submission
+    Json body;  // of the submission request
     double next_request_at = 0, withdraws_at = 1e18, queries_until = -1;
     bool accepted = false, finished = false, withdrawn = false, final = false;
   };
 
   void tick_users();
-  /// Sends a request of the user to controller `k` and returns what the user is told.
+  /// Sends a request of the user to controller `k` and returns the answer.
   enum class RequestKind { submission, status, withdrawal };
   JobAnswer send_request(std::size_t k, User& user, RequestKind what);
   void record_answer(User& user, JobAnswer what) const;
@@ -192,16 +194,19 @@
   /// Records tasks that have just started or stopped on this agent.
   void after_commands(const std::string& name, SimulatedMachine& machine);
   double progress(const SimulatedJob& job, const TaskRun& r) const;
-  /// The task has left its machine; progress since its last checkpoint is lost.
+  /// Records that the task is no longer on its machine. Unless `saved` is set, progress since its last
+  /// checkpoint is lost.
   void on_task_stopped(SimulatedJob& job, TaskNumber task, bool saved);
   void lose_all_tasks(const std::string& name, SimulatedMachine& machine);
   void tick_workers();
   void tick_tasks();
-  /// The task is on its machine with its image. A machine that hangs delays the end of the task.
+  /// Whether the task is on its machine and its image has been fetched. If the machine hangs, also postpones
+  /// the end of the task by a step.
   bool is_ready(TaskRun& run) const;
-  /// Starts the task or lets it run on; true: it ends now.
+  /// Starts the task or continues it; returns true if it ends now.
   bool advance_array_task(SimulatedJob& job, TaskNumber task, TaskRun& run);
-  /// A gang's member with its image waits for the others; true: it has waited for too long.
+  /// Lets a member of a gang whose image has been fetched wait for the others; returns true if it has waited
+  /// for too long.
   bool gives_up_waiting(const SimulatedJob& job, TaskRun& run) const;
   void tick_gang(SimulatedJob& job, bool all_ready, std::vector<TaskNumber>& ended);
   void finish(SimulatedJob& job, TaskNumber task, EndCause cause);
@@ -210,24 +215,25 @@
   // --- Faults and invariants.
 
   std::size_t busiest_owner() const;
-  /// Machines that are up, in random order by the seed.
+  /// Returns up to `count` machines that are up, chosen at random by the seed.
   std::vector<std::string> pick_machines(std::uint32_t count);
   void kill_machine(const std::string& name);
   void apply(const Fault& fault_spec);
-  /// Each returns whether the fault is of its kind and was injected.
+  /// Each of these injects the fault if it is of its kind, and returns whether it was.
   bool apply_to_controllers(const Fault& fault_spec);
   bool apply_to_services(const Fault& fault_spec);
   bool apply_to_machines(const Fault& fault_spec);
   bool apply_to_jobs(const Fault& fault_spec);
   void apply_to_messages(const Fault& fault_spec);
-  /// Machines that the fault hits: its count, else its fraction of those created so far.
+  /// Number of machines that the fault affects: its count or, if that is 0, its fraction of the cloud's
+  /// machines.
   std::uint32_t machine_count(const Fault& fault_spec) const;
   void finish_all_tasks();
   void cancel_jobs(double fraction);
   void cancel_jobs_and_hang_machines(const Fault& fault_spec);
   void kill_gang_members(std::uint32_t count);
   void tick_faults();
-  /// Sends retained reports again when a partition gets a new owner.
+  /// Delivers the retained reports to every controller when a partition gets a new owner.
   void replay_reports();
   template <class T>
   struct Delayed {
@@ -245,7 +251,7 @@
     std::string machine_name;
     T message;
   };
-  /// Handles every item that is due; an item whose handler returns false stays.
+  /// Calls the handler with every item that is due and removes the item unless the handler returns false.
   template <class T, class Fn>
   void each_due(std::vector<T>& all, Fn handler) {
     auto due = std::move(all);
@@ -255,13 +261,12 @@
     }
   }
 
-  /// When the last fault is over, in seconds of simulated time.
+  /// End of the last fault, in seconds of simulated time.
   double faults_end() const;
   SecondSample& current_sample() { return result.samples.back(); }
 
   ClusterResult play();
-  /// Counts, for each job that was accepted and not withdrawn, whether it has started and how long that
-  /// took.
+  /// Counts, for each job that was accepted and not withdrawn, whether it has started and how long that took.
   void count_served();
   void record_reconciled();
 
@@ -269,7 +274,7 @@
   SimulationVariant variant;
   std::mt19937_64 random;
   double now = 0;
-  static constexpr double wall_ahead = 1e-6;  // offset of the wall clock: not absent, and negligible
+  static constexpr double wall_ahead = 1e-6;  // negligibly small; not 0, which stands for an unknown offset
   std::vector<std::string> zone_names;
   StateStore store;
   RunLog run_log;
@@ -286,7 +291,8 @@
          isolated_until = -1, end_cancels_fraction = 0, end_cancels_until = -1, repeated_queries_until = -1,
          invalid_requests_until = -1, fast_boots_until = -1, next_invalid_request = 0, max_response_delay = 6;
   std::vector<AgentReport> retained_reports;
-  std::map<std::uint32_t, Revision> ownership_revisions;  // by partition: of the latest owner seen
+  std::map<std::uint32_t, Revision>
+      ownership_revisions;  // revision of the latest ownership seen, by partition
   std::uint64_t invalid_request_count = 0;
   std::string isolated_zone;
   double delayed_writes_fraction = 0, delayed_writes_until = -1, report_copies_fraction = 0,
--- a/src/simulation/cluster_users.cpp
+++ b/src/simulation/cluster_users.cpp
@@ -76,7 +76,7 @@
                                                : poll(process, user.ref);
   invariants.on_answer(user.ref, answer, now);
   if (answer == JobAnswer::no_answer && user.finished) {
-    user.finished = false;  // without an answer the user asks again
+    user.finished = false;  // the user got no answer and asks again
     user.next_request_at = now + 1.5;
   }
   record_answer(user, answer);
@@ -133,7 +133,7 @@
                                   : withdraws    ? RequestKind::withdrawal
                                                  : RequestKind::status);
     user.next_request_at = now + (what == JobAnswer::no_answer ? 1.5 : 5);
-    // Some users ask again later, through other controllers.
+    // Some users ask again after the final answer, through other controllers.
     bool final = what == JobAnswer::done || what == JobAnswer::cancelled;
     user.finished = final && !chance(0.7);
   }
--- a/src/simulation/decision_simulation.cpp
+++ b/src/simulation/decision_simulation.cpp
@@ -29,7 +29,8 @@
                          static_cast<std::size_t>(q * static_cast<double>(values.size())))];
 }
 
-/// Three controllers, one of which owns all partitions at a time, and tasks that end by themselves.
+/// A cluster of three controllers, one of which owns all partitions at a time, whose tasks end after their
+/// run time.
 struct DecisionSimulation {
   DecisionSimulation(const DecisionScenario& played_scenario, std::uint64_t seed)
       : scenario(played_scenario), cluster(controller_count), random(seed) {
@@ -61,7 +62,8 @@
     submitted_at[ref] = cluster.now;
     cluster.submit(spec);
   }
-  /// Plays half a second; tasks that have run for their time end.
+  /// Simulates half a second and then calls `on_task_ended` for tasks that have run for `runs_s` of their
+  /// job, in seconds.
   void step(const std::function<double(const std::string&)>& runs_s) {
     if (cluster.now >= owner_fails_at) {
       cluster.fail_over(owner, (owner + 1) % controller_count, failover_s);
@@ -101,7 +103,7 @@
   return changes;
 }
 
-/// A model that scales to zero, with calls that arrive in bursts.
+/// Runs a model that scales to zero, with calls that arrive in bursts.
 class ModelPlay {
  public:
   ModelPlay(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed)
@@ -158,7 +160,8 @@
     }
   }
 
-  /// Counts the time of running replicas, and those that started in an epoch before the model served.
+  /// Adds up the time of the model replicas, and records those that started in an epoch before the model
+  /// served.
   void observe_replicas() {
     auto record = simulation_.cluster.store.keys().find("o/d/model/" + spec_.name);
     if (record == simulation_.cluster.store.keys().end()) return;
@@ -204,7 +207,8 @@
     return row_;
   }
 
-  /// Knows when calls arrive: a replica is there for each, and stays where a cold start would cost more.
+  /// Time with an active replica if arrivals of calls were known in advance: a replica is ready for each
+  /// call, and stays between two calls unless a cold start takes less time.
   double oracle_active_s(std::vector<Interval> busy) const {
     std::sort(busy.begin(), busy.end(), [](const Interval& a, const Interval& b) {
       return std::tie(a.from, a.to) < std::tie(b.from, b.to);
@@ -229,7 +233,7 @@
   std::map<std::uint64_t, std::set<std::string>> started_before_serving_;  // by epoch
 };
 
-/// Revisions of two editions that are to be published together, one after the other.
+/// Runs revisions one after the other; each has two editions that are to be published together.
 class ReleasePlay {
  public:
   ReleasePlay(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed)
@@ -288,7 +292,7 @@
     simulation_.submit(publish_job(edition), "publish", JobShape::array, 1, 1, edition == "fr");
   }
 
-  /// Plays until both editions are published, or for as long as that may take.
+  /// Simulates until both editions are published or the time allowed for that is over.
   void follow_revision() {
     double begun_at = simulation_.cluster.now, rendered_at = -1;
     double give_up_at = begun_at + 4 * scenario_.arrival_interval_s + scenario_.manual_check_interval_s;
@@ -318,7 +322,8 @@
                           rendered_at);
   }
 
-  /// Submits the publishing job where somebody does so by hand; returns whether the edition is published.
+  /// Submits the publishing job in the variants without a coordinated release; returns whether the edition is
+  /// published.
   bool advance_edition(const std::string& edition, bool all_rendered, bool checks) {
     std::string job = publish_job(edition);
     bool submits = row_.variant == unpaired ? is_done(render_job(edition))
@@ -333,9 +338,10 @@
   const DecisionScenario& scenario_;
   DecisionRow row_;
   DecisionSimulation simulation_;
-  std::string tag_;                      // of the present revision, part of its jobs' names
+  std::string tag_;                      // number of the present revision, part of the names of its jobs
   std::map<std::string, double> run_s_;  // by job
-  std::vector<double> to_publish_;       // by revision: from rendered until both publishing jobs run
+  std::vector<double>
+      to_publish_;  // by revision: seconds from the last rendering until both publishing jobs run
   double stale_s_ = 0, total_s_ = 0;
 };
 
--- a/src/simulation/invariant_checker.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr double forgotten_after_s = 75;
-constexpr double abandoned_after_s = 90;  // longest time that a job may wait while it could start
+constexpr double abandoned_after_s = 90;  // longest time that a job may wait although it could start
 constexpr double slack = 1e-6;
 }  // namespace
 
@@ -53,7 +53,7 @@
                                                 [](const auto& t) { return !t.second.empty(); }));
 }
 
-/// The job does not allow a task at this place, given where its other tasks are.
+/// Whether the job does not allow another task at this place, given where its tasks are.
 bool InvariantChecker::misplaced(const Job& job_state, const MachinePlacement& place) const {
   const JobTerms& terms = job_state.terms;
   if (place.spot && !terms.spot) return true;
@@ -124,8 +124,8 @@
   return most <= 0 || (used == gpus_by_team_.end() ? 0 : used->second) + wanted <= most + slack;
 }
 
-/// All the time since then, machines have had free capacity for the tasks that the job misses (array: one
-/// task).
+/// Whether machines have had free capacity since then, without interruption, for the missing tasks of a gang
+/// or one task of any other job.
 bool InvariantChecker::has_capacity_since(const Job& job_state, double since) const {
   const JobTerms& terms = job_state.terms;
   std::map<std::string, std::size_t> room;  // tasks by zone
--- a/src/simulation/random_histories.cpp
+++ b/src/simulation/random_histories.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr double abandoned_after_s =
-    90;  // the longest time that an invariant waits: for a job that could start and does not
+    90;  // the longest time that any invariant allows: for a job that could start and does not
 }  // namespace
 
 ClusterScenario fault_combination_scenario() {
@@ -38,8 +38,8 @@
   scenario.small_array_fraction = 0.7;
   scenario.zone_bound_fraction = 0.3;
   scenario.withdrawn_fraction = 0.3;
-  scenario.gang_wait_s =
-      3;  // shorter than the differences of image downloads: members time out and are placed again
+  scenario.gang_wait_s = 3;  // shorter than the differences between image downloads, so that members time out
+                             // and are placed again
   scenario.duration_s = scenario.warm_up_s;
   return scenario;
 }
@@ -53,7 +53,7 @@
 
 namespace {
 
-/// A kind of fault with its longest duration and its largest fraction.
+/// A kind of fault with its longest duration in seconds and its largest fraction.
 struct FaultTemplate {
   FaultKind kind;
   double duration_s, fraction;
@@ -84,7 +84,7 @@
                                    {FaultKind::invalid_requests, 60, 0},
                                    {FaultKind::fast_boots, 60, 0}};
 
-/// Leases and time-outs of a cluster, in seconds.
+/// Leases and timeouts of a cluster, in seconds.
 struct Times {
   double lease_s, cancel_timeout_s, controller_lease_s;
 };
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -181,7 +181,7 @@
 void SimulatedController::run_cycle(double now) {
   Effects out = decide(now);
   if (bidding_service) {
-    // The cloud has no machines where markets are enabled.
+    // The cloud has no machines while markets are enabled.
     for (const ScaleOutRequest& r : out.scale_outs)
       autoscaler.on_scale_out_result(r.request_id, true, {}, now);
     std::vector<market::Call> calls;
--- a/src/simulation/state_store.cpp
+++ b/src/simulation/state_store.cpp
@@ -64,7 +64,7 @@
 }
 
 void StateStore::revoke_lease(std::uint64_t id) {
-  if (id == 0) return;  // the id of keys without a lease
+  if (id == 0) return;  // 0 is the lease id of keys without a lease
   leases_.erase(id);
   std::vector<std::string> keys;
   for (const auto& [key, e] : keys_) {
