--- a/app/oxbowmill_sim.cpp
+++ b/app/oxbowmill_sim.cpp
@@ -81,7 +81,7 @@
         {{*variant, single_seed, simulation::ClusterSimulation(scenario, *variant, single_seed).run()}});
     return 0;
   }
-  auto rows = simulation::play(scenario, seeds, threads);
+  auto rows = simulation::run_variants(scenario, seeds, threads);
   auto summary = simulation::summarise(scenario, rows);
   write_results(scenario.name + " on " + scenario.cluster, rows, summary, report_file);
   // A violated invariant fails the run, whatever its figures are.
@@ -102,8 +102,8 @@
     ++failed_histories;
     std::cout << "seed " << first_seed + i << ": " << results[i].violations.front() << " and "
               << results[i].violations.size() - 1 << " more; reproduced by\n"
-              << simulation::to_script(
-                     simulation::shrunk(simulation::random_history(first_seed + i), first_seed + i));
+              << simulation::faults_to_yaml(
+                     simulation::minimize_faults(simulation::random_history(first_seed + i), first_seed + i));
   }
   std::cout << seeds << " histories from seed " << first_seed << ", " << failed_histories
             << " with a violated invariant\n";
@@ -112,7 +112,7 @@
 
 int run_decisions(const std::string& file, unsigned seeds, unsigned threads) {
   simulation::DecisionScenario scenario = simulation::load_decision_scenario(file);
-  auto rows = simulation::play_decisions(scenario, seeds, threads);
+  auto rows = simulation::run_decision_variants(scenario, seeds, threads);
   std::cout << simulation::table(scenario, rows);
   return std::any_of(rows.begin(), rows.end(), [](const auto& r) { return r.violations != 0; }) ? 1 : 0;
 }
--- a/include/oxbowmill/simulation/agent.h
+++ b/include/oxbowmill/simulation/agent.h
@@ -27,20 +27,20 @@
 };
 
 /// The agent of one machine. Times are in seconds on the caller's clock; tasks are named "<job>/<number>".
-class Worker {
+class Agent {
  public:
   /// `log` must outlive the agent.
-  Worker(std::string name, std::string zone, RunLog& log, bool spot = false);
+  Agent(std::string name, std::string zone, RunLog& log, bool spot = false);
 
   /// Returns the next report, with all tasks. Ends the agent epoch first if the lease has expired.
   AgentReport report(double now);
   /// Applies the response to the last report: renews the lease from the time of that report and executes the
   /// commands. Ignores a response that is not `ok`, has a lower fencing token than the agent's, or arrives
   /// after the agent epoch of the report has ended.
-  void answer(const ReportAnswer& a, double now);
+  void handle_response(const ReportAnswer& response, double now);
   /// Executes commands sent directly to the agent. Returns false and executes none if their fencing token is
   /// lower than the agent's or they were sent to another agent epoch.
-  bool command(const DirectCommands& commands);
+  bool handle_commands(const DirectCommands& commands);
   /// Ends the agent epoch, and with it all tasks, if the lease has expired.
   void tick(double now);
   /// Removes all tasks because the machine is gone.
@@ -72,7 +72,7 @@
   std::string address = "127.0.0.1:1";         ///< address for direct commands, as reported
 
  private:
-  void execute(const std::vector<AgentCommand>& orders);
+  void execute(const std::vector<AgentCommand>& commands);
   std::string name_, zone_;
   bool spot_;
   RunLog* log_;
--- a/include/oxbowmill/simulation/cluster_experiment.h
+++ b/include/oxbowmill/simulation/cluster_experiment.h
@@ -14,17 +14,17 @@
 
 /// Runs every variant with seeds 1 to `seeds` on `threads` threads. The rows are ordered by seed, then by
 /// variant.
-std::vector<ClusterRow> play(const ClusterScenario& scenario, unsigned seeds, unsigned threads);
+std::vector<ClusterRow> run_variants(const ClusterScenario& scenario, unsigned seeds, unsigned threads);
 
 /// Seconds from the fault until the GPUs in use, averaged over five seconds, are at least 95 % of those of
 /// the run without faults (`twin`) for ten seconds in a row. If that never happens, the time from the fault
 /// to the end of the run.
-double time_to_level(const ClusterResult& result, const ClusterResult& twin, double fault_s);
+double recovery_time_s(const ClusterResult& result, const ClusterResult& twin, double fault_s);
 
 /// Summary of one variant: medians over the seeds, except for the lowest served fraction and the violations.
 struct ClusterSummary {
   SimulationVariant variant = SimulationVariant::without_faults;  ///< the variant that is summarised
-  double recovery_s = 0,                                          ///< `time_to_level`
+  double recovery_s = 0,                                          ///< `recovery_time_s`
       reconciled_s = 0;               ///< seconds from the first fault until all partitions are reconciled
   double wasted_scale_outs = 0,       ///< number of machines, see ClusterResult::wasted_scale_outs
       rentals = 0;                    ///< machines rented from the first fault on
@@ -43,10 +43,10 @@
 /// in which `play` returns them.
 std::vector<ClusterSummary> summarise(const ClusterScenario& scenario, const std::vector<ClusterRow>& rows);
 /// Formats the summaries as a text table, followed by the first violation of each variant.
-std::string table(const std::string& scenario, const std::vector<ClusterSummary>& s);
+std::string table(const std::string& scenario, const std::vector<ClusterSummary>& summaries);
 /// Formats the samples of all runs as CSV, one line for each second of each run.
 std::string csv(const std::string& scenario, const std::vector<ClusterRow>& rows);
 /// Returns the summaries as JSON, with the same columns as the table.
-wire::Json json(const std::string& scenario, const std::vector<ClusterSummary>& s);
+wire::Json json(const std::string& scenario, const std::vector<ClusterSummary>& summaries);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/cluster_simulation.h
+++ b/include/oxbowmill/simulation/cluster_simulation.h
@@ -39,7 +39,7 @@
   cloud_outage,          ///< every request to the cloud fails
   machines_die,          ///< machines fail permanently
   machines_hang,         ///< machines send nothing and make no progress for `duration_s`
-  zone_workers_cut_off,  ///< the agents of one zone can neither send nor receive
+  zone_agents_cut_off,   ///< the agents of one zone can neither send nor receive
   owner_frozen,          ///< the process of the owner of the most machines is suspended
   all_tasks_finish,      ///< every running task ends at once
   jobs_cancelled,        ///< users cancel `fraction` of the running jobs
@@ -71,7 +71,7 @@
 };
 
 /// The name of the fault in scenario files.
-const char* name_of(FaultKind k);
+const char* name_of(FaultKind kind);
 
 /// One fault of a scenario. Fields that its kind does not use are ignored.
 struct Fault {
@@ -147,15 +147,16 @@
                               ///< of the run for a job that has not started; in seconds
   /// Adds one job; `wait_s` is its time from submission until it started or, if it has not, until the end of
   /// the run.
-  void count(double wait_s, bool has_begun);
+  void count(double wait_s, bool has_started);
 };
 
 /// The result of one run.
 struct ClusterResult {
-  std::vector<SecondSample> samples;             ///< one sample for each second
-  std::array<std::uint32_t, 2> done_by_class{},  ///< completed tasks of gangs [0] and of arrays [1]
-      tasks_by_class{};                          ///< submitted tasks of gangs [0] and of arrays [1]
-  std::array<std::uint32_t, 2> tasks_by_team{};  ///< completed tasks by team
+  std::vector<SecondSample> samples;  ///< one sample for each second
+  std::array<std::uint32_t, 2>
+      completed_tasks_by_class{},                          ///< completed tasks of gangs [0] and of arrays [1]
+      submitted_tasks_by_class{};                          ///< submitted tasks of gangs [0] and of arrays [1]
+  std::array<std::uint32_t, 2> completed_tasks_by_team{};  ///< completed tasks by team
   std::uint32_t wasted_scale_outs =
       0;  ///< machines returned alive and rented again within 60 s, or rented and returned unused
   double lost_run_time_s = 0;         ///< run time that has to be repeated, in GPU seconds
@@ -178,7 +179,7 @@
 class ClusterSimulation {
  public:
   /// Creates the cluster at time 0.
-  ClusterSimulation(const ClusterScenario& scenario, SimulationVariant way, std::uint64_t seed);
+  ClusterSimulation(const ClusterScenario& scenario, SimulationVariant variant, std::uint64_t seed);
   ~ClusterSimulation();
   /// Simulates the whole scenario. May be called only once.
   ClusterResult run();
--- a/include/oxbowmill/simulation/decision_simulation.h
+++ b/include/oxbowmill/simulation/decision_simulation.h
@@ -22,7 +22,7 @@
       publish_s = 10;    ///< median run time of a publishing job, varied likewise
   double manual_check_interval_s = 900;  ///< time between the checks of a person, in the variant in which
                                          ///< releases are coordinated by hand
-  serving::ModelSpec terms;              ///< settings of the model
+  serving::ModelSpec model;              ///< settings of the model
 };
 /// Reads a scenario file (YAML). Throws yaml::Error with file, key and reason.
 DecisionScenario load_decision_scenario(const std::string& file);
@@ -32,15 +32,15 @@
   std::string variant;     ///< name of the variant in reports
   std::uint64_t seed = 0;  ///< seed of all random draws of the run
   // For a model:
-  double rounds = 0,              ///< epochs of its decision, that is, scale-outs from zero
+  double epochs = 0,              ///< epochs of its decision, that is, scale-outs from zero
       starts_before_serving = 0,  ///< most model replicas started in one epoch before the model served
-      wait_median = 0,            ///< median wait of the calls, in seconds
-      wait_p95 = 0,               ///< 95th percentile of that wait
+      wait_median_s = 0,          ///< median wait of the calls, in seconds
+      wait_p95_s = 0,             ///< 95th percentile of that wait
       gpu_hours = 0;              ///< GPU hours of its model replicas
   // For releases:
-  double to_publish_median = 0,   ///< seconds from the end of the last rendering until both publishing jobs
-                                  ///< run, median over the revisions
-      to_publish_max = 0,         ///< maximum of that time
+  double time_to_publish_median_s = 0,  ///< seconds from the end of the last rendering until both publishing
+                                        ///< jobs run, median over the revisions
+      time_to_publish_max_s = 0,        ///< maximum of that time
       stale_fraction = 0;         ///< fraction of the time in which only one of the two editions is published
   double changes_per_minute = 0;  ///< changes of decision records
   int violations =
@@ -51,7 +51,8 @@
 /// Runs every variant with seeds 1 to `seeds` on `threads` threads. The variants of a model are: always on,
 /// with a fixed idle time, as implemented, and with perfect knowledge of the calls. Those of releases are:
 /// unpaired, coordinated by hand, and as implemented.
-std::vector<DecisionRow> play_decisions(const DecisionScenario& scenario, unsigned seeds, unsigned threads);
+std::vector<DecisionRow> run_decision_variants(const DecisionScenario& scenario, unsigned seeds,
+                                               unsigned threads);
 /// Formats the medians over the seeds as a text table, one line for each variant.
 std::string table(const DecisionScenario& scenario, const std::vector<DecisionRow>& rows);
 
--- a/include/oxbowmill/simulation/invariant_checker.h
+++ b/include/oxbowmill/simulation/invariant_checker.h
@@ -18,14 +18,14 @@
 class InvariantChecker {
  public:
   /// The requirements of a job, as its user submitted them.
-  struct JobTerms {
+  struct JobRequirements {
     std::uint32_t team = 0,            ///< index of the team
         tasks = 1;                     ///< number of tasks
     double gpus = 1;                   ///< GPUs of each task
-    bool one_zone = false,             ///< all tasks must be in one zone
+    bool single_zone = false,          ///< all tasks must be in one zone
         spot = true;                   ///< tasks may run on spot machines
     bool gang = false;                 ///< all tasks must run together
-    bool scatter = false;              ///< at most half of the tasks, rounded up, may be in one zone
+    bool spread_zones = false;         ///< at most half of the tasks, rounded up, may be in one zone
     std::string zone = {};             ///< the only zone allowed; empty: any
     std::set<std::string> types = {};  ///< machine types allowed; empty: any
     bool valid = true;  ///< whether it has all its fields and can run; if not, no controller may accept it
@@ -41,13 +41,13 @@
     MachinePlacement place;  ///< zone and kind
     double gpus = 0;         ///< total GPUs, free or in use
   };
-  /// `cancel_s` is the time in which a cancellation must end all tasks, in seconds; `most_gpus` the GPU quota
-  /// by team, where 0 stands for no quota.
-  InvariantChecker(double cancel_s, std::vector<double> most_gpus)
-      : cancel_s_(cancel_s), max_gpus_(std::move(most_gpus)) {}
+  /// `cancel_timeout_s` is the time in which a cancellation must end all tasks, in seconds; `max_gpus` the
+  /// GPU quota by team, where 0 stands for no quota.
+  InvariantChecker(double cancel_timeout_s, std::vector<double> max_gpus)
+      : cancel_timeout_s_(cancel_timeout_s), max_gpus_(std::move(max_gpus)) {}
 
   /// The user sends the first submission of the job.
-  void on_submit(const std::string& job, const JobTerms& terms);
+  void on_submit(const std::string& job, const JobRequirements& requirements);
   /// The user sends a withdrawal of the job.
   void on_withdraw(const std::string& job) { jobs_[job].withdrawn = true; }
   /// The user receives an answer to any request about the job.
@@ -59,13 +59,13 @@
   void on_task_stop(const std::string& job, std::uint32_t number, const std::string& machine, double now);
   /// Task `number` of the job has completed.
   void on_task_complete(const std::string& job, std::uint32_t number) { jobs_[job].done.insert(number); }
-  /// `there` tells whether the state service has the job under either of its keys.
-  void on_stored(const std::string& job, bool there, double now);
+  /// `is_stored` tells whether the state service has the job under either of its keys.
+  void on_stored(const std::string& job, bool is_stored, double now);
   /// Sets the time from which on there are neither faults nor consequences of faults.
   void set_fault_free_from(double at_s) { fault_free_from_ = at_s; }
   /// Sets for how many seconds after a confirmed cancellation a task may still start, because a start command
   /// may still be on its way.
-  void set_start_tolerance(double s) { start_tolerance_s_ = s; }
+  void set_start_tolerance(double tolerance_s) { start_tolerance_s_ = tolerance_s; }
   /// Sets the machines that are up, reachable and without faults from now on.
   void set_usable_machines(std::map<std::string, UsableMachine> machines, double now);
   /// Checks the invariants that depend on elapsed time.
@@ -80,27 +80,27 @@
 
  private:
   struct Job {
-    JobTerms terms;
+    JobRequirements requirements;
     bool submitted = false, accepted = false, withdrawn = false;
     JobAnswer final_answer = JobAnswer::open;  // done or cancelled once the user was told so
     double cancelled_at = -1, unanswered_since = -1;
     std::map<std::uint32_t, std::map<std::string, MachinePlacement>>
         machines_by_task;  // by task number and machine name
     std::set<std::uint32_t> done;
-    bool forgotten = false, abandoned = false;
+    bool is_forgotten = false, is_abandoned = false;
     double waiting_since =
         -1;  // since when the job has waited with its team below its quota; negative: it does not
     std::size_t running() const;
   };
   void record_violation(const std::string& rule, const std::string& job, double now);
-  bool misplaced(const Job& job_state, const MachinePlacement& place) const;
+  bool is_misplaced(const Job& job_state, const MachinePlacement& place) const;
   /// Number of tasks that must start together: all missing tasks of a gang, one task of any other job.
   std::size_t missing_tasks(const Job& job_state) const;
-  bool under_limit(const Job& job_state) const;
+  bool fits_quota(const Job& job_state) const;
   bool has_capacity_since(const Job& job_state, double since) const;
   void update_free_capacity(const std::string& machine, double now);
-  double limit(std::uint32_t team) const { return team < max_gpus_.size() ? max_gpus_[team] : 0; }
-  double cancel_s_;
+  double gpu_quota(std::uint32_t team) const { return team < max_gpus_.size() ? max_gpus_[team] : 0; }
+  double cancel_timeout_s_;
   std::vector<double> max_gpus_;
   std::map<std::string, Job> jobs_;
   std::set<std::string> cancelled_;  // cancelled jobs whose tasks may still be on machines
@@ -111,7 +111,7 @@
       free_since_;  // since when at least that many GPUs have been free, by machine and number of GPUs
   std::map<std::string, UsableMachine> usable_;
   double fault_free_from_ = 1e18, start_tolerance_s_ = 0;
-  bool any_task_ran_ = false;
+  bool any_task_started_ = false;
 };
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/random_histories.h
+++ b/include/oxbowmill/simulation/random_histories.h
@@ -16,8 +16,8 @@
 void extend_for_settling(ClusterScenario& scenario);
 /// Returns the scenario without the faults that are not needed to violate an invariant; unchanged if it
 /// violates none. Runs the scenario once, and once more for each fault if it violates an invariant.
-ClusterScenario shrunk(ClusterScenario scenario, std::uint64_t seed);
+ClusterScenario minimize_faults(ClusterScenario scenario, std::uint64_t seed);
 /// Formats the faults as in a scenario file, one line for each.
-std::string to_script(const ClusterScenario& scenario);
+std::string faults_to_yaml(const ClusterScenario& scenario);
 
 }  // namespace oxbowmill::simulation
--- a/include/oxbowmill/simulation/simulated_cluster.h
+++ b/include/oxbowmill/simulation/simulated_cluster.h
@@ -23,15 +23,15 @@
 /// lost, or lost before they reach the state service.
 enum class WriteOutcome { answered, answer_lost, not_arrived };
 
-/// Settings of a small cluster for the controller `node`.
-Settings test_settings(const std::string& node);
+/// Settings of a small cluster for the controller `controller_name`.
+Settings test_settings(const std::string& controller_name);
 /// Partitions, zones, machine types, images and classes that match `test_settings`.
 Names test_names();
 /// A catalog with one machine type, which is available in two zones.
 std::vector<MachineType> test_catalog();
 
 /// The outcome of a transaction with this response; unknown if there is no response.
-TransactionOutcome outcome_of(const std::optional<StateStore::Result>& r);
+TransactionOutcome outcome_of(const std::optional<StateStore::Result>& result);
 
 /// One controller without I/O. Times are in seconds on the caller's clock.
 class SimulatedController {
@@ -45,8 +45,8 @@
   /// Applies all changes up to now, as if the watch had delivered them.
   void sync(double now) { apply_events_up_to(store_.events().size(), store_.revision(), now, now); }
   /// Applies the first `count` changes since the start of the state service, up to `revision`, as the
-  /// response to a watch that was opened at `asked`.
-  void apply_events_up_to(std::size_t count, std::uint64_t revision, double asked, double now);
+  /// response to a watch that was opened at `opened_at`.
+  void apply_events_up_to(std::size_t count, std::uint64_t revision, double opened_at, double now);
   /// Writes the ownership of a partition under the controller's lease, which is granted first if it has none.
   /// Returns false if the partition has an owner or the state service refuses.
   bool acquire_partition(PartitionIndex partition, double now);
@@ -89,8 +89,9 @@
   std::unique_ptr<market::BiddingService> bidding_service;  ///< null: markets are not enabled
   std::unique_ptr<reconciliation::Reconciler> reconciler;   ///< null: reconciliation is not enabled
   std::unique_ptr<decisions::DecisionLog> decision_log;     ///< null: decisions are not enabled
-  std::unique_ptr<release_calendar::ReleaseCoordinator> release_planner;  ///< null: decisions are not enabled
-  std::unique_ptr<serving::ModelAutoscaler> model_autoscaler;             ///< null: no models are enabled
+  std::unique_ptr<release_calendar::ReleaseCoordinator>
+      release_coordinator;                                     ///< null: decisions are not enabled
+  std::unique_ptr<serving::ModelAutoscaler> model_autoscaler;  ///< null: no models are enabled
 
  private:
   StateStore& store_;
@@ -115,19 +116,19 @@
   /// Adds a machine whose agent reports although the machine has no record.
   void add_unregistered_machine(const std::string& name, const std::string& zone = "a");
   /// Adds a market on which all controllers bid; the machines that it delivers report.
-  void add_market(const simulation::MarketBehavior& c);
+  void add_market(const simulation::MarketBehavior& behavior);
   std::vector<SimulatedMarket> markets;  ///< the markets added
   market::Settings market_settings;      ///< bidding settings; `add_market` adds its market to them
   /// The agent of a machine. Throws std::out_of_range if there is none.
-  Worker& worker(const std::string& name) { return *workers_.at(name); }
+  Agent& agent(const std::string& name) { return *agents_.at(name); }
   /// Stores a job with the present time as its submission time.
   void submit(JobSpec spec);
   /// Withdraws a job as its user does. Returns the HTTP status of the transaction, 404 if there is no such
   /// job.
   int withdraw(const std::string& ref);
-  /// Sends one report of an agent to controller `node` and returns the response, which does not reach the
-  /// agent if `lost` is set.
-  ReportAnswer exchange_report(const std::string& name, std::size_t node, bool lost = false);
+  /// Sends one report of an agent to controller `n` and returns the response, which does not reach the
+  /// agent if `response_lost` is set.
+  ReportAnswer exchange_report(const std::string& name, std::size_t n, bool response_lost = false);
   /// For `seconds`, runs a cycle of controller `n` every half second and then lets all agents that are not
   /// silenced report to it.
   void run(double seconds, std::size_t n = 0);
@@ -142,14 +143,14 @@
   /// The machines on which the task has a stored placement.
   std::vector<std::string> machines_of_task(const std::string& ref, TaskNumber task) const;
 
-  StateStore store;                        ///< the state service
-  RunLog run_log;                          ///< task starts and ends on all agents
-  double now = 1000;                       ///< the clock, in seconds
-  std::set<std::string> silenced_workers;  ///< machines whose agents neither send nor receive
+  StateStore store;                       ///< the state service
+  RunLog run_log;                         ///< task starts and ends on all agents
+  double now = 1000;                      ///< the clock, in seconds
+  std::set<std::string> silenced_agents;  ///< machines whose agents neither send nor receive
 
  private:
   std::vector<std::unique_ptr<SimulatedController>> controllers_;
-  std::map<std::string, std::unique_ptr<Worker>> workers_;
+  std::map<std::string, std::unique_ptr<Agent>> agents_;
 };
 
 /// A job in the first partition of `test_names` after the idle pool, with `gpus` GPUs for each task.
--- a/include/oxbowmill/simulation/state_store.h
+++ b/include/oxbowmill/simulation/state_store.h
@@ -39,8 +39,8 @@
   /// Executes a transaction and returns 200 if it was applied, 409 if a guard failed, 400 if it is too large
   /// or names a lease that does not exist, or 503 during an outage.
   Result txn(const Json& body);
-  /// Grants a lease of `life_s` seconds and returns its id.
-  std::uint64_t grant_lease(double life_s, double now);
+  /// Grants a lease of `duration_s` seconds and returns its id.
+  std::uint64_t grant_lease(double duration_s, double now);
   /// Renews the lease for its full duration from now. Returns false if it has expired or there is an outage.
   bool renew_lease(std::uint64_t id, double now);
   /// Ends the lease and deletes the keys attached to it.
--- a/src/simulation/agent.cpp
+++ b/src/simulation/agent.cpp
@@ -13,10 +13,10 @@
   if (machines_by_task[task].erase(machine) != 0 && on_change) on_change(task, machine, false);
 }
 
-Worker::Worker(std::string name, std::string zone, RunLog& log, bool spot)
+Agent::Agent(std::string name, std::string zone, RunLog& log, bool spot)
     : name_(std::move(name)), zone_(std::move(zone)), spot_(spot), log_(&log) {}
 
-AgentReport Worker::report(double now) {
+AgentReport Agent::report(double now) {
   if (renewed_at_ < 0) renewed_at_ = now;
   tick(now);
   AgentReport report;
@@ -35,17 +35,17 @@
   return report;
 }
 
-void Worker::answer(const ReportAnswer& answer, double now) {
+void Agent::handle_response(const ReportAnswer& response, double now) {
   tick(now);
-  if (answer.kind != ReportAnswer::Kind::ok || answer.fencing_token < fencing_token_ ||
+  if (response.kind != ReportAnswer::Kind::ok || response.fencing_token < fencing_token_ ||
       reported_agent_epoch_ != agent_epoch_)
     return;
-  fencing_token_ = answer.fencing_token;
+  fencing_token_ = response.fencing_token;
   renewed_at_ = sent_at_;
-  execute(answer.commands);
+  execute(response.commands);
 }
 
-bool Worker::command(const DirectCommands& commands) {
+bool Agent::handle_commands(const DirectCommands& commands) {
   ++report_sequence_;
   if (commands.fencing_token < fencing_token_ || commands.agent_epoch != agent_epoch_) return false;
   fencing_token_ = commands.fencing_token;
@@ -53,8 +53,8 @@
   return true;
 }
 
-void Worker::execute(const std::vector<AgentCommand>& orders) {
-  for (const AgentCommand& command : orders) {
+void Agent::execute(const std::vector<AgentCommand>& commands) {
+  for (const AgentCommand& command : commands) {
     std::string id = command.job + "/" + std::to_string(command.task);
     auto it = tasks_.find(id);
     bool same = it != tasks_.end() && it->second.attempt == command.attempt;
@@ -74,7 +74,7 @@
   }
 }
 
-void Worker::tick(double now) {
+void Agent::tick(double now) {
   if (renewed_at_ < 0 || now - renewed_at_ <= lease_s) return;
   for (const auto& [id, t] : tasks_) log_->end(id, name_);
   tasks_.clear();
@@ -82,12 +82,12 @@
   renewed_at_ = now;
 }
 
-void Worker::power_off() {
+void Agent::power_off() {
   for (const auto& [id, t] : tasks_) log_->end(id, name_);
   tasks_.clear();
 }
 
-void Worker::finish(const std::string& task, EndCause cause, bool saved) {
+void Agent::finish(const std::string& task, EndCause cause, bool saved) {
   TaskReport& t = tasks_.at(task);
   t.phase = TaskPhase::ended;
   t.cause = cause;
@@ -95,11 +95,11 @@
   log_->end(task, name_);
 }
 
-void Worker::set_phase(const std::string& task, TaskPhase phase) {
+void Agent::set_phase(const std::string& task, TaskPhase phase) {
   tasks_.at(task).phase = phase;
 }
 
-bool Worker::has(const std::string& task) const {
+bool Agent::has(const std::string& task) const {
   auto it = tasks_.find(task);
   return it != tasks_.end() && it->second.phase != TaskPhase::ended;
 }
--- a/src/simulation/agent_simulator.cpp
+++ b/src/simulation/agent_simulator.cpp
@@ -60,7 +60,7 @@
 
 struct AgentSimulator::SimulatedAgent {
   std::size_t number = 0;
-  Worker worker;
+  Agent worker;
   std::unique_ptr<net::HttpServer> command_server;
   std::unique_ptr<net::HttpClient> client;
   std::size_t controller = 0, client_controller = 0;
@@ -199,7 +199,7 @@
   Json body = Json::from_cbor(response.body, true, false);
   if (response.status == 200) {
     agent.next_report_at = now + settings_.report_interval_s * uniform(0.75, 1.25);
-    if (auto answer = read_answer(body)) agent.worker.answer(*answer, now);
+    if (auto answer = read_answer(body)) agent.worker.handle_response(*answer, now);
     sync_tasks(agent);
     return;
   }
@@ -228,7 +228,7 @@
   auto command = body.is_object() ? read_direct_commands(body) : std::nullopt;
   if (!command) return request.responder->reply(400, "");
   std::uint64_t fencing_token = agent.worker.fencing_token();
-  bool done = agent.worker.command(*command);
+  bool done = agent.worker.handle_commands(*command);
   bool token_is_new = agent.worker.fencing_token() > fencing_token &&
                       now - agent.fencing_token_published_at >= settings_.lease_s / 2;
   if (token_is_new) agent.fencing_token_published_at = now;
--- a/src/simulation/cluster_agents.cpp
+++ b/src/simulation/cluster_agents.cpp
@@ -3,24 +3,24 @@
 
 namespace oxbowmill::simulation {
 
-std::pair<std::string, TaskNumber> ClusterSimulation::Impl::split(const std::string& id) {
+std::pair<std::string, TaskNumber> ClusterSimulation::Impl::split_task_id(const std::string& id) {
   std::size_t slash = id.rfind('/');
   return {id.substr(0, slash), static_cast<TaskNumber>(std::stoul(id.substr(slash + 1)))};
 }
 
-bool ClusterSimulation::Impl::reachable(const SimulatedMachine& h) const {
-  return h.alive && now >= h.up_at && now >= h.hung_until &&
-         !(cut_zone == zone_names[h.zone] && now < cut_until);
+bool ClusterSimulation::Impl::reachable(const SimulatedMachine& machine) const {
+  return machine.alive && now >= machine.up_at && now >= machine.hung_until &&
+         !(cut_off_zone == zone_names[machine.zone] && now < cut_off_until);
 }
 
 void ClusterSimulation::Impl::deliver(std::size_t node, const DirectCommands& commands) {
   auto machine_it =
       machines.find(controllers[node].controller->cluster_state.names.machines.name(commands.machine));
   if (machine_it == machines.end() || !reachable(machine_it->second) ||
-      now < machine_it->second.receives_nothing_until || !linked(node, machine_it->second))
+      now < machine_it->second.receives_nothing_until || !is_linked(node, machine_it->second))
     return;
   if (now < delayed_responses_until && chance(delayed_responses_fraction)) {
-    delayed_commands.push_back({now + draw(0.5, max_response_delay), machine_it->first, commands});
+    delayed_commands.push_back({now + draw(0.5, max_response_delay_s), machine_it->first, commands});
     return;
   }
   command(machine_it, commands);
@@ -30,130 +30,137 @@
                                       const DirectCommands& commands) {
   for (const AgentCommand& o : commands.commands)
     current_sample().kills += o.kind == CommandKind::kill ? 1 : 0;
-  machine_it->second.worker->command(commands);
-  after_commands(machine_it->first, machine_it->second);
-  machine_it->second.next_report = std::min(machine_it->second.next_report, now + 0.5);
+  machine_it->second.agent->handle_commands(commands);
+  record_task_changes(machine_it->first, machine_it->second);
+  machine_it->second.next_report_at = std::min(machine_it->second.next_report_at, now + 0.5);
 }
 
 void ClusterSimulation::Impl::report(const std::string& name, SimulatedMachine& machine) {
   ControllerProcess& process = controllers[machine.controller];
-  if (now < machine.sends_nothing_until || !linked(machine.controller, machine) || !acts(process) ||
+  if (now < machine.sends_nothing_until || !is_linked(machine.controller, machine) || !is_running(process) ||
       !process.state_loaded) {
-    bool hangs = process.controller && now < process.frozen_until;
+    bool is_frozen = process.controller && now < process.frozen_until;
     machine.controller = (machine.controller + 1) % controllers.size();
-    machine.next_report = now + (hangs ? 5 : 1);
+    machine.next_report_at = now + (is_frozen ? 5 : 1);
     return;
   }
-  AgentReport report = machine.worker->report(now);
+  AgentReport report = machine.agent->report(now);
   if (reports_to_delay > 0) {
     --reports_to_delay;
     delayed_reports.push_back(report);
   }
   if (now < replay_until && chance(replay_fraction)) retained_reports.push_back(report);
-  if (now < report_copies_until && chance(report_copies_fraction))
+  if (now < duplicate_reports_until && chance(duplicate_reports_fraction))
     report_copies.push_back({now + draw(2, 1.3 * scenario.lease_s), machine.controller, report});
-  ReportAnswer answer = process.controller->handle_report(report, now);
-  bool delayed = now < delayed_responses_until && chance(delayed_responses_fraction);
-  if (delayed || now < machine.receives_nothing_until) {
+  ReportAnswer response = process.controller->handle_report(report, now);
+  bool is_delayed = now < delayed_responses_until && chance(delayed_responses_fraction);
+  if (is_delayed || now < machine.receives_nothing_until) {
     // An agent waits 4 s for the response, sends no other report meanwhile, and ignores a response that is
     // later.
-    double at_s = now < machine.receives_nothing_until ? now + 9 : now + draw(0.5, max_response_delay);
-    if (at_s < now + 4) delayed_answers.push_back({at_s, name, answer});
-    machine.waits_until = std::min(at_s, now + 4);
-    machine.next_report = at_s < now + 4 ? at_s + step_s : now + 5;
-    if (at_s >= now + 4) machine.controller = (machine.controller + 1) % controllers.size();
+    double arrives_at =
+        now < machine.receives_nothing_until ? now + 9 : now + draw(0.5, max_response_delay_s);
+    if (arrives_at < now + 4) delayed_responses.push_back({arrives_at, name, response});
+    machine.waits_for_response_until = std::min(arrives_at, now + 4);
+    machine.next_report_at = arrives_at < now + 4 ? arrives_at + step_s : now + 5;
+    if (arrives_at >= now + 4) machine.controller = (machine.controller + 1) % controllers.size();
     return;
   }
-  take_answer(name, machine, answer);
+  handle_response(name, machine, response);
 }
 
-void ClusterSimulation::Impl::take_answer(const std::string& name, SimulatedMachine& machine,
-                                          const ReportAnswer& answer) {
-  machine.worker->answer(answer, now);
-  for (const AgentCommand& o : answer.commands) current_sample().kills += o.kind == CommandKind::kill ? 1 : 0;
-  after_commands(name, machine);
-  if (answer.kind == ReportAnswer::Kind::ok) {
-    machine.next_report = now + scenario.report_interval_s * uniform(0.75, 1.25);
-  } else if (answer.kind == ReportAnswer::Kind::redirect) {
+void ClusterSimulation::Impl::handle_response(const std::string& name, SimulatedMachine& machine,
+                                              const ReportAnswer& response) {
+  machine.agent->handle_response(response, now);
+  for (const AgentCommand& o : response.commands)
+    current_sample().kills += o.kind == CommandKind::kill ? 1 : 0;
+  record_task_changes(name, machine);
+  if (response.kind == ReportAnswer::Kind::ok) {
+    machine.next_report_at = now + scenario.report_interval_s * uniform(0.75, 1.25);
+  } else if (response.kind == ReportAnswer::Kind::redirect) {
     for (std::size_t k = 0; k < controllers.size(); ++k) {
-      if (controller_name(k) == answer.owner) machine.controller = k;
+      if (controller_name(k) == response.owner) machine.controller = k;
     }
-    machine.next_report = now + uniform(0, 0.5);
+    machine.next_report_at = now + uniform(0, 0.5);
   } else {
     machine.controller = (machine.controller + 1) % controllers.size();
-    machine.next_report = now + 1;
+    machine.next_report_at = now + 1;
   }
 }
 
-void ClusterSimulation::Impl::after_commands(const std::string& name, SimulatedMachine& machine) {
-  for (const auto& [id, task_report] : machine.worker->tasks()) {
+void ClusterSimulation::Impl::record_task_changes(const std::string& name, SimulatedMachine& machine) {
+  for (const auto& [id, task_report] : machine.agent->tasks()) {
     SimulatedJob& job = jobs[task_report.job];
     auto run = job.runs.find(task_report.task);
-    bool mine = run != job.runs.end() && run->second.machine_name == name;
+    bool is_here = run != job.runs.end() && run->second.machine_name == name;
     if (task_report.phase == TaskPhase::ended) {
-      if (mine) on_task_stopped(job, task_report.task, task_report.checkpoint_saved);
+      if (is_here) on_task_stopped(job, task_report.task, task_report.checkpoint_saved);
       continue;
     }
-    if (mine) continue;
-    machine.used = true;
-    double& fetched =
-        machine.images
+    if (is_here) continue;
+    machine.has_received_task = true;
+    double& image_ready_at =
+        machine.image_ready_at
             .try_emplace(job.image, now + image_gb[job.image] / scenario.fetch_gb_per_s * uniform(0.8, 1.2))
             .first->second;
-    job.runs[task_report.task] = {name, id, &machine, std::max(now, fetched), -1, -1};
+    job.runs[task_report.task] = {name, id, &machine, std::max(now, image_ready_at), -1, -1};
   }
 }
 
-double ClusterSimulation::Impl::progress(const SimulatedJob& job, const TaskRun& r) const {
-  if (job.class_index == 0) return job.gang_started < 0 ? 0 : now - job.gang_started;
-  return r.started_at < 0 ? 0 : now - r.started_at;
+double ClusterSimulation::Impl::run_time_since_start_s(const SimulatedJob& job, const TaskRun& run) const {
+  if (job.class_index == 0) return job.gang_started_at < 0 ? 0 : now - job.gang_started_at;
+  return run.started_at < 0 ? 0 : now - run.started_at;
 }
 
 void ClusterSimulation::Impl::on_task_stopped(SimulatedJob& job, TaskNumber task, bool saved) {
   TaskRun run = job.runs[task];
   job.runs.erase(task);
-  double elapsed_s = progress(job, run);
+  double elapsed_s = run_time_since_start_s(job, run);
   if (elapsed_s <= 0) return;
-  double before = job.class_index == 0 ? job.gang_saved : job.saved_s[task];
-  double kept = saved ? elapsed_s : std::floor((before + elapsed_s) / save_every_s) * save_every_s - before;
-  kept = std::max(0.0, kept);
-  result.lost_run_time_s += std::max(0.0, elapsed_s - kept) * job.gpus;
+  double saved_before_s = job.class_index == 0 ? job.gang_saved_s : job.saved_s[task];
+  double newly_saved_s =
+      saved ? elapsed_s
+            : std::floor((saved_before_s + elapsed_s) / checkpoint_interval_s) * checkpoint_interval_s -
+                  saved_before_s;
+  newly_saved_s = std::max(0.0, newly_saved_s);
+  result.lost_run_time_s += std::max(0.0, elapsed_s - newly_saved_s) * job.gpus;
   if (job.class_index != 0) {
-    job.saved_s[task] = before + kept;
+    job.saved_s[task] = saved_before_s + newly_saved_s;
     return;
   }
   if (job.gang_lost_at >= 0) return;
-  job.gang_saved = before + kept;
-  result.lost_run_time_s += std::max(0.0, elapsed_s - kept) * job.gpus * static_cast<double>(job.runs.size());
-  job.gang_started = -1;
+  job.gang_saved_s = saved_before_s + newly_saved_s;
+  result.lost_run_time_s +=
+      std::max(0.0, elapsed_s - newly_saved_s) * job.gpus * static_cast<double>(job.runs.size());
+  job.gang_started_at = -1;
   job.gang_lost_at = now;
 }
 
 void ClusterSimulation::Impl::lose_all_tasks(const std::string& name, SimulatedMachine& machine) {
-  for (const auto& [id, t] : machine.worker->tasks()) {
-    SimulatedJob& j = jobs[t.job];
-    auto run = j.runs.find(t.task);
-    if (run != j.runs.end() && run->second.machine_name == name) on_task_stopped(j, t.task, false);
+  for (const auto& [id, task] : machine.agent->tasks()) {
+    SimulatedJob& job = jobs[task.job];
+    auto run = job.runs.find(task.task);
+    if (run != job.runs.end() && run->second.machine_name == name) on_task_stopped(job, task.task, false);
   }
 }
 
-void ClusterSimulation::Impl::tick_workers() {
+void ClusterSimulation::Impl::tick_agents() {
   for (auto& [name, machine] : machines) {
     if (!machine.alive || now < machine.up_at) continue;
-    machine.worker->tick(now);
-    if (machine.worker->agent_epoch() != machine.agent_epoch) {
-      machine.agent_epoch = machine.worker->agent_epoch();
+    machine.agent->tick(now);
+    if (machine.agent->agent_epoch() != machine.agent_epoch) {
+      machine.agent_epoch = machine.agent->agent_epoch();
       // The agent's lease has expired, so all tasks on the machine have ended.
       for (auto& [ref, job] : jobs) {
         for (auto it = job.runs.begin(); it != job.runs.end();) {
-          TaskNumber t = it->first;
-          bool here = it->second.machine_name == name;
+          TaskNumber task = it->first;
+          bool is_here = it->second.machine_name == name;
           ++it;
-          if (here) on_task_stopped(job, t, false);
+          if (is_here) on_task_stopped(job, task, false);
         }
       }
     }
-    if (now >= machine.next_report && now >= machine.waits_until && reachable(machine)) report(name, machine);
+    if (now >= machine.next_report_at && now >= machine.waits_for_response_until && reachable(machine))
+      report(name, machine);
   }
 }
 
@@ -163,7 +170,7 @@
       job.gang_lost_at = -1;
       continue;
     }
-    std::vector<TaskNumber> ended, gave_up;
+    std::vector<TaskNumber> ended, timed_out;
     bool all_ready = job.runs.size() == job.tasks;
     for (auto& [task, run] : job.runs) {
       if (!is_ready(run)) {
@@ -172,14 +179,14 @@
       }
       if (job.class_index == 1) {
         if (advance_array_task(job, task, run)) ended.push_back(task);
-      } else if (gives_up_waiting(job, run)) {
-        gave_up.push_back(task);
+      } else if (wait_for_gang(job, run)) {
+        timed_out.push_back(task);
       }
     }
     if (job.class_index == 0) tick_gang(job, all_ready, ended);
     for (TaskNumber task : ended) finish(job, task, EndCause::done);
-    for (TaskNumber task : gave_up) {
-      if (job.gang_started < 0 && job.runs.count(task) != 0) finish(job, task, EndCause::gang_incomplete);
+    for (TaskNumber task : timed_out) {
+      if (job.gang_started_at < 0 && job.runs.count(task) != 0) finish(job, task, EndCause::gang_incomplete);
     }
   }
 }
@@ -189,13 +196,13 @@
     run.started_at = run.started_at < 0 ? -1 : run.started_at + step_s;
     return false;
   }
-  return now >= run.ready_at && run.machine->worker->has(run.task_id);
+  return now >= run.ready_at && run.machine->agent->has(run.task_id);
 }
 
 bool ClusterSimulation::Impl::advance_array_task(SimulatedJob& job, TaskNumber task, TaskRun& run) {
   if (run.started_at < 0) {
     run.started_at = now;
-    run.machine->worker->set_phase(run.task_id, TaskPhase::running);
+    run.machine->agent->set_phase(run.task_id, TaskPhase::running);
   }
   if (now - run.started_at >= counts_as_started_after_s) job.record_start(task, run.started_at);
   bool ends = now - run.started_at >= std::max(1.0, job.run_time_s(task) - job.saved_s[task]);
@@ -203,10 +210,10 @@
   return ends;
 }
 
-bool ClusterSimulation::Impl::gives_up_waiting(const SimulatedJob& job, TaskRun& run) const {
-  if (job.gang_started >= 0) return false;
-  if (run.machine->worker->phase(run.task_id) == TaskPhase::fetching) {
-    run.machine->worker->set_phase(run.task_id, TaskPhase::gathering);
+bool ClusterSimulation::Impl::wait_for_gang(const SimulatedJob& job, TaskRun& run) const {
+  if (job.gang_started_at >= 0) return false;
+  if (run.machine->agent->phase(run.task_id) == TaskPhase::fetching) {
+    run.machine->agent->set_phase(run.task_id, TaskPhase::gathering);
     run.waiting_for_gang_since = now;
     return false;
   }
@@ -216,56 +223,58 @@
 void ClusterSimulation::Impl::tick_gang(SimulatedJob& job, bool all_ready, std::vector<TaskNumber>& ended) {
   if (job.gang_lost_at >= 0) {
     if (now - job.gang_lost_at < 5) return;
-    std::vector<TaskNumber> rest;
+    std::vector<TaskNumber> remaining_tasks;
     for (auto& [t, r] : job.runs) {
-      if (r.machine->alive && now >= r.machine->hung_until && r.machine->worker->has(r.task_id))
-        rest.push_back(t);
+      if (r.machine->alive && now >= r.machine->hung_until && r.machine->agent->has(r.task_id))
+        remaining_tasks.push_back(t);
     }
-    for (TaskNumber t : rest) finish(job, t, EndCause::peers_lost);
+    for (TaskNumber t : remaining_tasks) finish(job, t, EndCause::peers_lost);
     return;
   }
-  if (job.gang_started < 0) {
+  if (job.gang_started_at < 0) {
     if (!all_ready) return;
-    job.gang_started = now;
-    for (auto& [t, r] : job.runs) r.machine->worker->set_phase(r.task_id, TaskPhase::running);
+    job.gang_started_at = now;
+    for (auto& [t, r] : job.runs) r.machine->agent->set_phase(r.task_id, TaskPhase::running);
   }
   count_gpus(job, job.runs.size());
-  if (now - job.gang_started >= counts_as_started_after_s) {
-    for (auto& [t, r] : job.runs) job.record_start(t, job.gang_started);
+  if (now - job.gang_started_at >= counts_as_started_after_s) {
+    for (auto& [t, r] : job.runs) job.record_start(t, job.gang_started_at);
   }
-  bool hangs = std::any_of(job.runs.begin(), job.runs.end(),
-                           [&](const auto& r) { return now < r.second.machine->hung_until; });
-  if (hangs) {
+  bool any_machine_hangs = std::any_of(job.runs.begin(), job.runs.end(),
+                                       [&](const auto& r) { return now < r.second.machine->hung_until; });
+  if (any_machine_hangs) {
     result.lost_run_time_s +=
-        std::fmod(job.gang_saved + now - job.gang_started, save_every_s) * job.gpus * job.tasks;
-    job.gang_saved = std::floor((job.gang_saved + now - job.gang_started) / save_every_s) * save_every_s;
-    job.gang_started = -1;
+        std::fmod(job.gang_saved_s + now - job.gang_started_at, checkpoint_interval_s) * job.gpus * job.tasks;
+    job.gang_saved_s = std::floor((job.gang_saved_s + now - job.gang_started_at) / checkpoint_interval_s) *
+                       checkpoint_interval_s;
+    job.gang_started_at = -1;
     job.gang_lost_at = now;
-  } else if (now - job.gang_started >= std::max(1.0, job.run_s - job.gang_saved)) {
+  } else if (now - job.gang_started_at >= std::max(1.0, job.base_run_time_s - job.gang_saved_s)) {
     for (auto& [t, r] : job.runs) ended.push_back(t);
   }
 }
 
 void ClusterSimulation::Impl::finish(SimulatedJob& job, TaskNumber task, EndCause cause) {
-  SimulatedMachine& h = *job.runs.at(task).machine;
-  h.worker->finish(job.runs.at(task).task_id, cause);
-  h.next_report = std::min(h.next_report, now + 0.3);
-  if (cause == EndCause::done) invariants.on_task_complete(split(job.runs.at(task).task_id).first, task);
+  SimulatedMachine& machine = *job.runs.at(task).machine;
+  machine.agent->finish(job.runs.at(task).task_id, cause);
+  machine.next_report_at = std::min(machine.next_report_at, now + 0.3);
+  if (cause == EndCause::done)
+    invariants.on_task_complete(split_task_id(job.runs.at(task).task_id).first, task);
   if (cause == EndCause::done)
-    job.record_start(task, job.class_index == 0 ? job.gang_started : job.runs.at(task).started_at);
-  if (cause == EndCause::done && job.done.insert(task).second) {
-    ++result.done_by_class[job.class_index];
-    ++result.tasks_by_team[job.team];
-    User* u = job.done.size() == job.tasks
-                  ? user_of(job.runs.at(task).task_id.substr(0, job.runs.at(task).task_id.rfind('/')))
-                  : nullptr;
-    if (u != nullptr && now < end_cancels_until && chance(end_cancels_fraction))
-      u->withdraws_at = u->next_request_at = now;
-    if (u != nullptr && now < repeated_queries_until) u->queries_until = now + 1.5;
+    job.record_start(task, job.class_index == 0 ? job.gang_started_at : job.runs.at(task).started_at);
+  if (cause == EndCause::done && job.completed_tasks.insert(task).second) {
+    ++result.completed_tasks_by_class[job.class_index];
+    ++result.completed_tasks_by_team[job.team];
+    User* user = job.completed_tasks.size() == job.tasks
+                     ? find_user(job.runs.at(task).task_id.substr(0, job.runs.at(task).task_id.rfind('/')))
+                     : nullptr;
+    if (user != nullptr && now < end_cancels_until && chance(end_cancels_fraction))
+      user->withdraw_at = user->next_request_at = now;
+    if (user != nullptr && now < repeated_queries_until) user->query_until = now + 1.5;
   }
   job.runs.erase(task);
   if (job.runs.empty()) {
-    job.gang_started = -1;
+    job.gang_started_at = -1;
     job.gang_lost_at = -1;
   }
 }
--- a/src/simulation/cluster_experiment.cpp
+++ b/src/simulation/cluster_experiment.cpp
@@ -19,22 +19,23 @@
 
 }  // namespace
 
-double time_to_level(const ClusterResult& result, const ClusterResult& twin, double fault_s) {
-  constexpr double level = 0.95, stays_s = 10;
+double recovery_time_s(const ClusterResult& result, const ClusterResult& twin, double fault_s) {
+  constexpr double recovered_fraction = 0.95, required_duration_s = 10;
   std::size_t n = std::min(result.samples.size(), twin.samples.size());
   double stable_s = 0;
   for (auto i = static_cast<std::size_t>(fault_s) + 2; i < n; ++i) {
-    stable_s =
-        five_second_mean(result.samples, i) >= level * five_second_mean(twin.samples, i) ? stable_s + 1 : 0;
-    if (stable_s >= stays_s) return static_cast<double>(i + 1) - stays_s - fault_s;
+    stable_s = five_second_mean(result.samples, i) >= recovered_fraction * five_second_mean(twin.samples, i)
+                   ? stable_s + 1
+                   : 0;
+    if (stable_s >= required_duration_s) return static_cast<double>(i + 1) - required_duration_s - fault_s;
   }
   return static_cast<double>(n) - fault_s;  // the level was not reached within the run
 }
 
-std::vector<ClusterRow> play(const ClusterScenario& scenario, unsigned seeds, unsigned threads) {
+std::vector<ClusterRow> run_variants(const ClusterScenario& scenario, unsigned seeds, unsigned threads) {
   std::vector<ClusterRow> rows;
   for (unsigned seed = 1; seed <= seeds; ++seed) {
-    for (SimulationVariant w : simulation_variants) rows.push_back({w, seed, {}});
+    for (SimulationVariant variant : simulation_variants) rows.push_back({variant, seed, {}});
   }
   run_in_parallel(rows.size(), threads, [&](std::size_t i) {
     rows[i].result = ClusterSimulation(scenario, rows[i].variant, rows[i].seed).run();
@@ -43,56 +44,59 @@
 }
 
 std::vector<ClusterSummary> summarise(const ClusterScenario& scenario, const std::vector<ClusterRow>& rows) {
-  double fault = scenario.duration_s;
-  for (const Fault& f : scenario.faults) fault = std::min(fault, f.at_s);
+  double first_fault_at = scenario.duration_s;
+  for (const Fault& f : scenario.faults) first_fault_at = std::min(first_fault_at, f.at_s);
   std::vector<ClusterSummary> out;
   for (SimulationVariant variant : simulation_variants) {
     ClusterSummary summary;
     summary.variant = variant;
-    std::vector<double> level, reconciled, undone, lost, peak, rentals, suspected, returned, alive, changes;
+    std::vector<double> recovery, reconciled, wasted, lost, peak_returns, rentals, suspected, returned,
+        deleted_alive, peak_changes;
     summary.lowest_served_fraction = 1;
     for (std::size_t i = 0; i < rows.size(); ++i) {
       if (rows[i].variant != variant) continue;
       const ClusterResult& result = rows[i].result;
       const ClusterResult& twin = rows[i - static_cast<std::size_t>(variant)].result;
-      level.push_back(time_to_level(result, twin, fault));
+      recovery.push_back(recovery_time_s(result, twin, first_fault_at));
       if (result.reconciled_s >= 0) reconciled.push_back(result.reconciled_s);
-      undone.push_back(result.wasted_scale_outs);
+      wasted.push_back(result.wasted_scale_outs);
       lost.push_back(result.lost_run_time_s);
       suspected.push_back(result.suspected);
       returned.push_back(result.returned);
-      alive.push_back(result.marked_for_deletion_alive);
-      double most = 0, rent = 0, change = 0;
-      for (auto t = static_cast<std::size_t>(fault); t < result.samples.size(); ++t) {
-        most = std::max<double>(most, result.samples[t].returns);
-        rent += result.samples[t].rentals;
-        change = std::max<double>(change, result.samples[t].changes);
+      deleted_alive.push_back(result.marked_for_deletion_alive);
+      double most_returns = 0, rental_count = 0, most_changes = 0;
+      for (auto t = static_cast<std::size_t>(first_fault_at); t < result.samples.size(); ++t) {
+        most_returns = std::max<double>(most_returns, result.samples[t].returns);
+        rental_count += result.samples[t].rentals;
+        most_changes = std::max<double>(most_changes, result.samples[t].changes);
       }
-      peak.push_back(most);
-      rentals.push_back(rent);
-      changes.push_back(change);
+      peak_returns.push_back(most_returns);
+      rentals.push_back(rental_count);
+      peak_changes.push_back(most_changes);
       for (std::size_t k = 0; k < 2; ++k) {
-        if (twin.done_by_class[k] > 0)
-          summary.lowest_served_fraction = std::min(summary.lowest_served_fraction,
-                                                    double(result.done_by_class[k]) / twin.done_by_class[k]);
-        if (twin.tasks_by_team[k] > 0)
-          summary.lowest_served_fraction = std::min(summary.lowest_served_fraction,
-                                                    double(result.tasks_by_team[k]) / twin.tasks_by_team[k]);
+        if (twin.completed_tasks_by_class[k] > 0)
+          summary.lowest_served_fraction =
+              std::min(summary.lowest_served_fraction,
+                       double(result.completed_tasks_by_class[k]) / twin.completed_tasks_by_class[k]);
+        if (twin.completed_tasks_by_team[k] > 0)
+          summary.lowest_served_fraction =
+              std::min(summary.lowest_served_fraction,
+                       double(result.completed_tasks_by_team[k]) / twin.completed_tasks_by_team[k]);
       }
       summary.violations += static_cast<int>(result.violations.size());
       if (!result.violations.empty() && summary.first_violation.empty())
         summary.first_violation = fmt::format("seed {}: {}", rows[i].seed, result.violations.front());
     }
-    summary.recovery_s = median(level);
+    summary.recovery_s = median(recovery);
     summary.reconciled_s = median(reconciled);
-    summary.wasted_scale_outs = median(undone);
+    summary.wasted_scale_outs = median(wasted);
     summary.lost_run_time_s = median(lost);
-    summary.peak_returns = median(peak);
+    summary.peak_returns = median(peak_returns);
     summary.rentals = median(rentals);
     summary.suspected = median(suspected);
     summary.returned = median(returned);
-    summary.deleted_alive = median(alive);
-    summary.peak_changes = median(changes);
+    summary.deleted_alive = median(deleted_alive);
+    summary.peak_changes = median(peak_changes);
     out.push_back(summary);
   }
   return out;
@@ -116,15 +120,15 @@
 }
 }  // namespace
 
-std::string table(const std::string& scenario, const std::vector<ClusterSummary>& rows) {
+std::string table(const std::string& scenario, const std::vector<ClusterSummary>& summaries) {
   std::string out = fmt::format("{}\n{:<8}", scenario, "way");
-  for (const auto& [name, v] : columns(rows.front())) out += fmt::format("{:>13}", name);
-  for (const ClusterSummary& x : rows) {
+  for (const auto& [name, v] : columns(summaries.front())) out += fmt::format("{:>13}", name);
+  for (const ClusterSummary& x : summaries) {
     out += fmt::format("\n{:<8}", name_of(x.variant));
     for (const auto& [name, v] : columns(x)) out += fmt::format("{:>13.2f}", v);
   }
   out += '\n';
-  for (const ClusterSummary& x : rows) {
+  for (const ClusterSummary& x : summaries) {
     if (!x.first_violation.empty()) out += fmt::format("{}: {}\n", name_of(x.variant), x.first_violation);
   }
   return out;
@@ -142,9 +146,9 @@
   return out;
 }
 
-wire::Json json(const std::string& scenario, const std::vector<ClusterSummary>& rows) {
+wire::Json json(const std::string& scenario, const std::vector<ClusterSummary>& summaries) {
   wire::Json list = wire::Json::array();
-  for (const ClusterSummary& x : rows) {
+  for (const ClusterSummary& x : summaries) {
     wire::Json one = {{"way", name_of(x.variant)}};
     for (const auto& [name, v] : columns(x)) one[name] = v;
     list.push_back(std::move(one));
--- a/src/simulation/cluster_scenario.cpp
+++ b/src/simulation/cluster_scenario.cpp
@@ -18,7 +18,7 @@
       {"cloud_outage", FaultKind::cloud_outage},
       {"machines_die", FaultKind::machines_die},
       {"machines_hang", FaultKind::machines_hang},
-      {"zone_cut", FaultKind::zone_workers_cut_off},
+      {"zone_cut", FaultKind::zone_agents_cut_off},
       {"freeze", FaultKind::owner_frozen},
       {"finish_all", FaultKind::all_tasks_finish},
       {"cancel", FaultKind::jobs_cancelled},
@@ -50,9 +50,9 @@
   return names[static_cast<int>(variant)];
 }
 
-const char* name_of(FaultKind k) {
-  auto it =
-      std::find_if(fault_names().begin(), fault_names().end(), [k](const auto& f) { return f.second == k; });
+const char* name_of(FaultKind kind) {
+  auto it = std::find_if(fault_names().begin(), fault_names().end(),
+                         [kind](const auto& fault) { return fault.second == kind; });
   return it->first.c_str();
 }
 
@@ -100,8 +100,9 @@
   for (std::size_t i = 0; faults && i < faults.size(); ++i) {
     Fault fault;
     yaml::Map map = root.child("faults[" + std::to_string(i) + "]", faults[i]);
-    auto kind = fault_names().find(map.text("kind"));
-    if (kind == fault_names().end()) map.fail("kind", "no such fault");
+    std::string kind_name = map.text("kind");
+    auto kind = fault_names().find(kind_name);
+    if (kind == fault_names().end()) map.fail("kind", "unknown fault \"" + kind_name + "\"");
     fault.kind = kind->second;
     map.get("at_s", fault.at_s)
         .get("for_s", fault.duration_s)
@@ -115,9 +116,9 @@
   return scenario;
 }
 
-void ServedJobs::count(double wait_s, bool has_begun) {
+void ServedJobs::count(double wait_s, bool has_started) {
   ++jobs;
-  started += has_begun ? 1 : 0;
+  started += has_started ? 1 : 0;
   longest_wait_s = std::max(longest_wait_s, wait_s);
 }
 
--- a/src/simulation/cluster_simulation.cpp
+++ b/src/simulation/cluster_simulation.cpp
@@ -7,19 +7,20 @@
 
 namespace oxbowmill::simulation {
 
-ClusterSimulation::Impl::Impl(ClusterScenario played_scenario, SimulationVariant played_variant,
+ClusterSimulation::Impl::Impl(ClusterScenario simulated_scenario, SimulationVariant simulated_variant,
                               std::uint64_t seed)
-    : scenario(std::move(played_scenario)),
-      variant(played_variant),
+    : scenario(std::move(simulated_scenario)),
+      variant(simulated_variant),
       random(seed),
       fault_random(seed * 7919 + 1),
       write_budget(scenario.write_rps, scenario.write_rps),
       cloud_budget(scenario.cloud_rps, 2 * scenario.cloud_rps),
       invariants(scenario.cancel_timeout_s, {scenario.max_gpus, scenario.max_gpus}) {
   run_log.on_change = [this](const std::string& id, const std::string& machine, bool on) {
-    auto [ref, task] = split(id);
-    const SimulatedMachine& h = machines.at(machine);
-    on ? invariants.on_task_start(ref, task, machine, {zone_names[h.zone], h.spot}, now)
+    auto [ref, task] = split_task_id(id);
+    const SimulatedMachine& machine_state = machines.at(machine);
+    on ? invariants.on_task_start(ref, task, machine, {zone_names[machine_state.zone], machine_state.spot},
+                                  now)
        : invariants.on_task_stop(ref, task, machine, now);
   };
   store.txn_ops = scenario.txn_ops;
@@ -36,7 +37,7 @@
       faults.push_back(f);
   }
   std::sort(faults.begin(), faults.end(), [](const Fault& a, const Fault& b) { return a.at_s < b.at_s; });
-  if (!scenario.faults.empty()) first_fault = scenario.faults.front().at_s;
+  if (!scenario.faults.empty()) first_fault_at = scenario.faults.front().at_s;
   // An isolated owner learns of no cancellation until its controller lease ends, and its last response may
   // arrive up to 4 s later.
   invariants.set_start_tolerance(scenario.faults.empty()
@@ -45,7 +46,7 @@
                                            Settings::report_timeout_s);
   invariants.set_fault_free_from(variant == SimulationVariant::without_faults ? scenario.warm_up_s
                                                                               : faults_end());
-  for (const Fault& f : scenario.faults) first_fault = std::min(first_fault, f.at_s);
+  for (const Fault& f : scenario.faults) first_fault_at = std::min(first_fault_at, f.at_s);
 }
 
 std::uint32_t ClusterSimulation::Impl::pick(std::uint32_t n) {
@@ -76,7 +77,7 @@
   settings.max_transaction_ops = scenario.txn_ops;
   settings.max_value_kb = 8;
   settings.cloud_rps = scenario.cloud_rps;
-  settings.cloud_list_lag_s = list_lag_s;
+  settings.cloud_list_lag_s = cloud_list_lag_s;
   return settings;
 }
 
@@ -97,12 +98,12 @@
   return {type};
 }
 
-ClusterResult ClusterSimulation::Impl::play() {
+ClusterResult ClusterSimulation::Impl::run() {
   auto steps = static_cast<std::size_t>(scenario.duration_s / step_s);
   for (std::size_t i = 0; i < steps; ++i) {
     if (i % 10 == 0) {
       result.samples.push_back({});
-      SPDLOG_DEBUG("{} s", i / 10);
+      SPDLOG_DEBUG("simulated time: {} s", i / 10);
       invariants.set_usable_machines(usable_machines(), now);
       invariants.check(now);
       for (const User& u : users) {
@@ -118,14 +119,14 @@
       if (uniform(0, 1) < (cls == 0 ? scenario.gangs_per_s : scenario.arrays_per_s) * step_s) submit(cls);
     }
     for (std::size_t k = 0; k < controllers.size(); ++k) run_controller(k);
-    serve_calls();
-    tick_workers();
+    serve_cloud_calls();
+    tick_agents();
     tick_tasks();
     tick_users();
-    if (result.reconciled_s < 0 && now > first_fault + 1) record_reconciled();
+    if (result.reconciled_s < 0 && now > first_fault_at + 1) record_reconciled();
   }
-  for (const auto& [ref, j] : jobs) result.tasks_by_class[j.class_index] += j.tasks;
-  for (ControllerProcess& n : controllers) collect_requests(n);
+  for (const auto& [ref, j] : jobs) result.submitted_tasks_by_class[j.class_index] += j.tasks;
+  for (ControllerProcess& n : controllers) collect_suspicion_counts(n);
   count_served();
   invariants.close();
   result.violations = invariants.violations();
@@ -138,22 +139,23 @@
 void ClusterSimulation::Impl::count_served() {
   std::array<std::vector<double>, 2> sizes;
   for (const auto& [ref, j] : jobs) sizes[j.class_index].push_back(j.tasks * j.gpus);
-  std::array<double, 2> large{};
+  std::array<double, 2> large_job_gpus{};
   for (std::size_t c = 0; c < sizes.size(); ++c) {
     std::sort(sizes[c].begin(), sizes[c].end());
-    if (!sizes[c].empty()) large[c] = sizes[c][sizes[c].size() * 9 / 10];
+    if (!sizes[c].empty()) large_job_gpus[c] = sizes[c][sizes[c].size() * 9 / 10];
   }
-  for (const User& u : users) {
-    const SimulatedJob& job = jobs.at(u.ref);
-    if (!u.accepted || u.withdrawn || now - job.submitted < scenario.boot_s + 2 * counts_as_started_after_s)
+  for (const User& user : users) {
+    const SimulatedJob& job = jobs.at(user.ref);
+    if (!user.accepted || user.withdrawn ||
+        now - job.submitted_at < scenario.boot_s + 2 * counts_as_started_after_s)
       continue;
-    bool begun = job.started_at.size() == job.tasks;
-    double last = begun ? 0 : now;
-    for (const auto& [t, at] : job.started_at) last = std::max(last, at);
+    bool has_started = job.started_at.size() == job.tasks;
+    double started_at = has_started ? 0 : now;
+    for (const auto& [t, at] : job.started_at) started_at = std::max(started_at, at);
     for (ServedJobs* x : {&result.class_served[job.class_index], &result.team_served[job.team]})
-      x->count(last - job.submitted, begun);
-    if (job.tasks * job.gpus >= large[job.class_index])
-      result.largest_served[job.class_index].count(last - job.submitted, begun);
+      x->count(started_at - job.submitted_at, has_started);
+    if (job.tasks * job.gpus >= large_job_gpus[job.class_index])
+      result.largest_served[job.class_index].count(started_at - job.submitted_at, has_started);
   }
 }
 
@@ -161,9 +163,10 @@
   std::map<std::string, InvariantChecker::UsableMachine> out;
   if (now < faults_end()) return out;  // the invariants that need them are not checked during faults
   const double gpus = catalog().front().capacity.gpus;
-  for (const auto& [name, h] : machines) {
-    bool well = h.known && reachable(h) && now >= h.receives_nothing_until && now >= h.sends_nothing_until;
-    if (well) out[name] = {{zone_names[h.zone], h.spot, "std"}, gpus};
+  for (const auto& [name, machine] : machines) {
+    bool is_usable = machine.exists_in_cloud && reachable(machine) && now >= machine.receives_nothing_until &&
+                     now >= machine.sends_nothing_until;
+    if (is_usable) out[name] = {{zone_names[machine.zone], machine.spot, "std"}, gpus};
   }
   return out;
 }
@@ -182,15 +185,15 @@
       at_s = std::max(at_s, process.controller->reconciler->reconciled_at(partition));
     }
   }
-  if (owned == 3 && at_s > first_fault) result.reconciled_s = at_s - first_fault;
+  if (owned == 3 && at_s > first_fault_at) result.reconciled_s = at_s - first_fault_at;
 }
 
-ClusterSimulation::ClusterSimulation(const ClusterScenario& scenario, SimulationVariant way,
+ClusterSimulation::ClusterSimulation(const ClusterScenario& scenario, SimulationVariant variant,
                                      std::uint64_t seed)
-    : impl_(std::make_unique<Impl>(scenario, way, seed)) {}
+    : impl_(std::make_unique<Impl>(scenario, variant, seed)) {}
 ClusterSimulation::~ClusterSimulation() = default;
 ClusterResult ClusterSimulation::run() {
-  return impl_->play();
+  return impl_->run();
 }
 
 }  // namespace oxbowmill::simulation
--- a/src/simulation/decision_simulation.cpp
+++ b/src/simulation/decision_simulation.cpp
@@ -17,10 +17,10 @@
 constexpr double step_s = 0.5, failover_s = 4;
 constexpr double seconds_per_minute = 60, seconds_per_hour = 3600;
 constexpr std::size_t controller_count = 3;
-constexpr const char *always_on = "always on", *fixed_idle = "fixed idle", *as_it_is = "as it is",
-                     *oracle = "bound", *unpaired = "unpaired", *by_hand = "by hand";
-const std::vector<std::string> model_variants = {always_on, fixed_idle, as_it_is, oracle};
-const std::vector<std::string> release_variants = {unpaired, by_hand, as_it_is};
+constexpr const char *always_on = "always on", *fixed_idle = "fixed idle", *as_implemented = "as it is",
+                     *oracle = "bound", *unpaired = "unpaired", *manual = "by hand";
+const std::vector<std::string> model_variants = {always_on, fixed_idle, as_implemented, oracle};
+const std::vector<std::string> release_variants = {unpaired, manual, as_implemented};
 
 double quantile(std::vector<double> values, double q) {
   if (values.empty()) return 0;
@@ -32,17 +32,17 @@
 /// A cluster of three controllers, one of which owns all partitions at a time, whose tasks end after their
 /// run time.
 struct DecisionSimulation {
-  DecisionSimulation(const DecisionScenario& played_scenario, std::uint64_t seed)
-      : scenario(played_scenario), cluster(controller_count), random(seed) {
+  DecisionSimulation(const DecisionScenario& simulated_scenario, std::uint64_t seed)
+      : scenario(simulated_scenario), cluster(controller_count), random(seed) {
     for (std::uint32_t i = 0; i < scenario.machines; ++i) {
       machine_names.push_back("m" + std::to_string(100 + i));
       cluster.add_machine(machine_names.back(), i % 2 == 0 ? "a" : "b", i % 3 == 0 ? "blue" : "red");
     }
     for (std::size_t i = 0; i < controller_count; ++i) {
-      Settings& x = cluster.controller(i).cluster_state.settings;
-      x.teams[1].limit = {};
-      x.operator_settings.release_to_pool_s = 2;
-      x.operator_settings.idle_retention_s = 1e9;
+      Settings& settings = cluster.controller(i).cluster_state.settings;
+      settings.teams[1].limit = {};
+      settings.operator_settings.release_to_pool_s = 2;
+      settings.operator_settings.idle_retention_s = 1e9;
     }
     owner_fails_at = scenario.owner_failure_interval_s > 0
                          ? cluster.now + exponential(scenario.owner_failure_interval_s)
@@ -52,19 +52,19 @@
   double log_uniform(double median) {
     return median * std::exp2(std::uniform_real_distribution<double>(-1, 1)(random));
   }
-  void submit(const std::string& ref, const std::string& cls, JobShape shape, std::uint32_t tasks,
-              double gpus, bool blue) {
+  void submit(const std::string& ref, const std::string& job_class, JobShape shape, std::uint32_t tasks,
+              double gpus, bool in_blue_partition) {
     JobSpec spec = test_job(ref, tasks, gpus);
-    spec.job_class = cluster.controller(0).cluster_state.names.classes.intern(cls);
+    spec.job_class = cluster.controller(0).cluster_state.names.classes.intern(job_class);
     spec.shape = shape;
-    spec.partition = PartitionIndex{blue ? 2U : 1U};
+    spec.partition = PartitionIndex{in_blue_partition ? 2U : 1U};
     if (shape == JobShape::service) spec.priority = Priority::production;
     submitted_at[ref] = cluster.now;
     cluster.submit(spec);
   }
-  /// Simulates half a second and then calls `on_task_ended` for tasks that have run for `runs_s` of their
-  /// job, in seconds.
-  void step(const std::function<double(const std::string&)>& runs_s) {
+  /// Simulates half a second, then calls `on_task_ended` for each task that has run for as long as
+  /// `run_time_s` returns for its job, in seconds.
+  void step(const std::function<double(const std::string&)>& run_time_s) {
     if (cluster.now >= owner_fails_at) {
       cluster.fail_over(owner, (owner + 1) % controller_count, failover_s);
       owner = (owner + 1) % controller_count;
@@ -72,20 +72,20 @@
     }
     cluster.run(step_s, owner);
     for (const std::string& m : machine_names) {
-      Worker& agent = cluster.worker(m);
-      std::vector<std::string> over;
+      Agent& agent = cluster.agent(m);
+      std::vector<std::string> ended_tasks;
       for (const auto& [id, task_report] : agent.tasks()) {
         if (task_report.phase == TaskPhase::ended) continue;
-        auto [at, fresh] =
+        auto [at, inserted] =
             running_since.try_emplace(id + "@" + std::to_string(task_report.attempt), cluster.now);
-        if (fresh) first_started_at.try_emplace(task_report.job, cluster.now);
-        double runs = runs_s(task_report.job);
-        if (cluster.now - at->second >= runs) over.push_back(id);
+        if (inserted) first_started_at.try_emplace(task_report.job, cluster.now);
+        double duration_s = run_time_s(task_report.job);
+        if (cluster.now - at->second >= duration_s) ended_tasks.push_back(id);
       }
-      for (const std::string& id : over) on_task_ended(id, agent);
+      for (const std::string& id : ended_tasks) on_task_ended(id, agent);
     }
   }
-  std::function<void(const std::string& id, Worker& agent)> on_task_ended;
+  std::function<void(const std::string& id, Agent& agent)> on_task_ended;
 
   const DecisionScenario& scenario;
   SimulatedCluster cluster;
@@ -104,10 +104,10 @@
 }
 
 /// Runs a model that scales to zero, with calls that arrive in bursts.
-class ModelPlay {
+class ModelRun {
  public:
-  ModelPlay(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed)
-      : scenario_(scenario), row_{variant, seed}, simulation_(scenario, seed), spec_(scenario.terms) {
+  ModelRun(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed)
+      : scenario_(scenario), row_{variant, seed}, simulation_(scenario, seed), spec_(scenario.model) {
     if (variant == always_on) spec_.min_replicas = 1;
     if (variant == fixed_idle) spec_.idle_factor = 0;
     for (std::size_t i = 0; i < controller_count; ++i)
@@ -115,11 +115,11 @@
     simulation_.submit(service_job, spec_.job_class, JobShape::service, spec_.max_replicas, replica_gpus,
                        false);
     for (const std::string& name : simulation_.machine_names)
-      simulation_.cluster.worker(name).first_phase = TaskPhase::fetching;
-    simulation_.on_task_ended = [](const std::string& id, Worker& worker) {
-      bool replica = id.rfind(std::string(service_job) + "/", 0) == 0;
-      if (!replica) return worker.finish(id, EndCause::done);
-      if (worker.phase(id) == TaskPhase::fetching) worker.set_phase(id, TaskPhase::running);
+      simulation_.cluster.agent(name).first_phase = TaskPhase::fetching;
+    simulation_.on_task_ended = [](const std::string& id, Agent& agent) {
+      bool is_replica = id.rfind(std::string(service_job) + "/", 0) == 0;
+      if (!is_replica) return agent.finish(id, EndCause::done);
+      if (agent.phase(id) == TaskPhase::fetching) agent.set_phase(id, TaskPhase::running);
     };
   }
 
@@ -166,14 +166,14 @@
     auto record = simulation_.cluster.store.keys().find("o/d/model/" + spec_.name);
     if (record == simulation_.cluster.store.keys().end()) return;
     std::uint64_t current_epoch = record->second.value.value("e", std::uint64_t{0});
-    wrong_epochs_ += current_epoch > epoch_ + 1 ? 1 : 0;
+    skipped_epochs_ += current_epoch > epoch_ + 1 ? 1 : 0;
     epoch_ = current_epoch;
-    bool is_warming = record->second.value.at("s") == serving::warming_stored_name;
+    bool model_is_warming = record->second.value.at("s") == serving::warming_stored_name;
     for (const std::string& name : simulation_.machine_names) {
-      for (const auto& [id, task] : simulation_.cluster.worker(name).tasks()) {
+      for (const auto& [id, task] : simulation_.cluster.agent(name).tasks()) {
         if (task.job != service_job || task.phase == TaskPhase::ended) continue;
-        replicas_s_ += step_s;
-        if (is_warming)
+        replica_time_s_ += step_s;
+        if (model_is_warming)
           started_before_serving_[current_epoch].insert(id + "@" + std::to_string(task.attempt));
       }
     }
@@ -181,7 +181,7 @@
 
   DecisionRow summarise() {
     std::vector<double> waits;
-    std::vector<Interval> busy;
+    std::vector<Interval> call_intervals;
     for (const Call& call : calls_) {
       auto started = simulation_.first_started_at.find(call.ref);
       if (started == simulation_.first_started_at.end()) {
@@ -189,32 +189,33 @@
         continue;
       }
       waits.push_back(row_.variant == oracle ? 0 : started->second - call.at);
-      busy.push_back({call.at, call.at + scenario_.call_s});
+      call_intervals.push_back({call.at, call.at + scenario_.call_s});
     }
-    row_.rounds = static_cast<double>(epoch_);
+    row_.epochs = static_cast<double>(epoch_);
     for (const auto& [epoch, ids] : started_before_serving_)
       row_.starts_before_serving = std::max(row_.starts_before_serving, static_cast<double>(ids.size()));
-    row_.gpu_hours = replicas_s_ * replica_gpus / seconds_per_hour;
+    row_.gpu_hours = replica_time_s_ * replica_gpus / seconds_per_hour;
     if (row_.variant == oracle) {
-      row_.gpu_hours = oracle_active_s(std::move(busy)) * replica_gpus / seconds_per_hour;
-      row_.rounds = row_.starts_before_serving = 0;
+      row_.gpu_hours = oracle_active_s(std::move(call_intervals)) * replica_gpus / seconds_per_hour;
+      row_.epochs = row_.starts_before_serving = 0;
     }
-    row_.wait_median = quantile(waits, 0.5);
-    row_.wait_p95 = quantile(waits, 0.95);
+    row_.wait_median_s = quantile(waits, 0.5);
+    row_.wait_p95_s = quantile(waits, 0.95);
     row_.changes_per_minute =
         static_cast<double>(changes_sent(simulation_)) * seconds_per_minute / scenario_.duration_s;
-    row_.violations += static_cast<int>(simulation_.cluster.run_log.duplicated_tasks.size() + wrong_epochs_);
+    row_.violations +=
+        static_cast<int>(simulation_.cluster.run_log.duplicated_tasks.size() + skipped_epochs_);
     return row_;
   }
 
   /// Time with an active replica if arrivals of calls were known in advance: a replica is ready for each
   /// call, and stays between two calls unless a cold start takes less time.
-  double oracle_active_s(std::vector<Interval> busy) const {
-    std::sort(busy.begin(), busy.end(), [](const Interval& a, const Interval& b) {
+  double oracle_active_s(std::vector<Interval> call_intervals) const {
+    std::sort(call_intervals.begin(), call_intervals.end(), [](const Interval& a, const Interval& b) {
       return std::tie(a.from, a.to) < std::tie(b.from, b.to);
     });
     double active_s = 0, until = -1e9;
-    for (const Interval& call : busy) {
+    for (const Interval& call : call_intervals) {
       active_s += call.from - until <= scenario_.weights_fetch_s
                       ? std::max(0.0, call.to - std::max(until, call.from)) + std::max(0.0, call.from - until)
                       : scenario_.weights_fetch_s + call.to - call.from;
@@ -228,33 +229,31 @@
   DecisionSimulation simulation_;
   serving::ModelSpec spec_;
   std::vector<Call> calls_;
-  double replicas_s_ = 0;
-  std::uint64_t epoch_ = 0, wrong_epochs_ = 0;
+  double replica_time_s_ = 0;
+  std::uint64_t epoch_ = 0, skipped_epochs_ = 0;
   std::map<std::uint64_t, std::set<std::string>> started_before_serving_;  // by epoch
 };
 
 /// Runs revisions one after the other; each has two editions that are to be published together.
-class ReleasePlay {
+class ReleaseRun {
  public:
-  ReleasePlay(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed)
+  ReleaseRun(const DecisionScenario& scenario, const std::string& variant, std::uint64_t seed)
       : scenario_(scenario), row_{variant, seed}, simulation_(scenario, seed) {
     for (std::size_t i = 0; i < controller_count; ++i) simulation_.cluster.controller(i).enable_decisions({});
-    simulation_.on_task_ended = [](const std::string& id, Worker& worker) {
-      worker.finish(id, EndCause::done);
-    };
+    simulation_.on_task_ended = [](const std::string& id, Agent& agent) { agent.finish(id, EndCause::done); };
   }
 
   DecisionRow run() {
     auto revisions = static_cast<std::uint64_t>(scenario_.duration_s / scenario_.arrival_interval_s);
     for (std::uint64_t number = 1; number <= revisions; ++number) {
-      tag_ = std::to_string(number);
+      revision_tag_ = std::to_string(number);
       if (is_coordinated()) load_release(number);
       submit_revision();
       follow_revision();
     }
-    row_.to_publish_median = quantile(to_publish_, 0.5);
-    row_.to_publish_max = quantile(to_publish_, 1);
-    row_.stale_fraction = total_s_ > 0 ? stale_s_ / total_s_ : 0;
+    row_.time_to_publish_median_s = quantile(times_to_publish_s_, 0.5);
+    row_.time_to_publish_max_s = quantile(times_to_publish_s_, 1);
+    row_.stale_fraction = total_s_ > 0 ? partly_published_s_ / total_s_ : 0;
     row_.changes_per_minute =
         static_cast<double>(changes_sent(simulation_)) * seconds_per_minute / std::max(1.0, total_s_);
     row_.violations += static_cast<int>(simulation_.cluster.run_log.duplicated_tasks.size());
@@ -262,21 +261,21 @@
   }
 
  private:
-  bool is_coordinated() const { return row_.variant == as_it_is; }
-  std::string render_job(const std::string& edition) const { return "run-" + edition + tag_; }
-  std::string publish_job(const std::string& edition) const { return "run-pub-" + edition + tag_; }
+  bool is_coordinated() const { return row_.variant == as_implemented; }
+  std::string render_job(const std::string& edition) const { return "run-" + edition + revision_tag_; }
+  std::string publish_job(const std::string& edition) const { return "run-pub-" + edition + revision_tag_; }
   bool is_done(const std::string& ref) const { return simulation_.cluster.phase(ref) == "done"; }
   bool is_submitted(const std::string& ref) const { return simulation_.submitted_at.count(ref) != 0; }
 
   void load_release(std::uint64_t number) {
     release_calendar::ReleaseSpec spec;
     spec.name = "manual";
-    spec.revision = "r" + tag_;
+    spec.revision = "r" + revision_tag_;
     for (const std::string& edition : editions)
       spec.editions.push_back(
           {edition, {{render_job(edition), "", "", 1}}, {publish_job(edition), "", "", 1}});
     for (std::size_t i = 0; i < controller_count; ++i)
-      simulation_.cluster.controller(i).release_planner->load({number, {spec}});
+      simulation_.cluster.controller(i).release_coordinator->load({number, {spec}});
   }
 
   void submit_revision() {
@@ -304,31 +303,31 @@
         return is_done(render_job(edition));
       });
       if (all_rendered && rendered_at < 0) rendered_at = simulation_.cluster.now;
-      bool checks = simulation_.cluster.now >= next_check_at;
-      if (checks) next_check_at += scenario_.manual_check_interval_s;
+      bool check_due = simulation_.cluster.now >= next_check_at;
+      if (check_due) next_check_at += scenario_.manual_check_interval_s;
       for (const std::string& edition : editions) {
-        if (advance_edition(edition, all_rendered, checks)) published.insert(edition);
+        if (advance_edition(edition, all_rendered, check_due)) published.insert(edition);
       }
       total_s_ += step_s;
-      stale_s_ += published.size() == 1 ? step_s : 0;
+      partly_published_s_ += published.size() == 1 ? step_s : 0;
     }
     if (published.size() < editions.size()) {
       ++row_.violations;  // not published in time
       return;
     }
     if (row_.variant == unpaired) return;
-    to_publish_.push_back(std::max(simulation_.first_started_at.at(publish_job("ar")),
-                                   simulation_.first_started_at.at(publish_job("fr"))) -
-                          rendered_at);
+    times_to_publish_s_.push_back(std::max(simulation_.first_started_at.at(publish_job("ar")),
+                                           simulation_.first_started_at.at(publish_job("fr"))) -
+                                  rendered_at);
   }
 
   /// Submits the publishing job in the variants without a coordinated release; returns whether the edition is
   /// published.
-  bool advance_edition(const std::string& edition, bool all_rendered, bool checks) {
+  bool advance_edition(const std::string& edition, bool all_rendered, bool check_due) {
     std::string job = publish_job(edition);
-    bool submits = row_.variant == unpaired ? is_done(render_job(edition))
-                                            : row_.variant == by_hand && all_rendered && checks;
-    if (submits && !is_submitted(job)) submit_publish_job(edition);
+    bool should_submit = row_.variant == unpaired ? is_done(render_job(edition))
+                                                  : row_.variant == manual && all_rendered && check_due;
+    if (should_submit && !is_submitted(job)) submit_publish_job(edition);
     if (simulation_.first_started_at.count(job) != 0 && !all_rendered && row_.variant != unpaired)
       ++row_.violations;
     return is_submitted(job) && is_done(job);
@@ -338,11 +337,11 @@
   const DecisionScenario& scenario_;
   DecisionRow row_;
   DecisionSimulation simulation_;
-  std::string tag_;                      // number of the present revision, part of the names of its jobs
+  std::string revision_tag_;             // number of the present revision, part of the names of its jobs
   std::map<std::string, double> run_s_;  // by job
   std::vector<double>
-      to_publish_;  // by revision: seconds from the last rendering until both publishing jobs run
-  double stale_s_ = 0, total_s_ = 0;
+      times_to_publish_s_;  // by revision: seconds from the last rendering until both publishing jobs run
+  double partly_published_s_ = 0, total_s_ = 0;
 };
 
 }  // namespace
@@ -350,9 +349,9 @@
 DecisionScenario load_decision_scenario(const std::string& file) {
   DecisionScenario scenario;
   yaml::Map root(file, "", yaml::load(file));
-  scenario.terms.name = "chat";
-  scenario.terms.job_class = "serve";
-  scenario.terms.call_classes = {"call"};
+  scenario.model.name = "chat";
+  scenario.model.job_class = "serve";
+  scenario.model.call_classes = {"call"};
   scenario.name = root.text("name");
   root.flag("releases", scenario.is_release_scenario);
   root.get("length_s", scenario.duration_s)
@@ -365,21 +364,22 @@
   root.get("render_s", scenario.render_s)
       .get("publish_s", scenario.publish_s)
       .get("hand_s", scenario.manual_check_interval_s);
-  root.get("most", scenario.terms.max_replicas).get("calls_per_replica", scenario.terms.calls_per_replica);
-  root.get("idle_factor", scenario.terms.idle_factor).get("idle_floor_s", scenario.terms.idle_floor_s);
+  root.get("most", scenario.model.max_replicas).get("calls_per_replica", scenario.model.calls_per_replica);
+  root.get("idle_factor", scenario.model.idle_factor).get("idle_floor_s", scenario.model.idle_floor_s);
   root.reject_unknown_keys();
   return scenario;
 }
 
-std::vector<DecisionRow> play_decisions(const DecisionScenario& scenario, unsigned seeds, unsigned threads) {
+std::vector<DecisionRow> run_decision_variants(const DecisionScenario& scenario, unsigned seeds,
+                                               unsigned threads) {
   std::vector<DecisionRow> rows;
   for (unsigned seed = 1; seed <= seeds; ++seed) {
-    for (const std::string& w : scenario.is_release_scenario ? release_variants : model_variants)
-      rows.push_back({w, seed});
+    for (const std::string& variant : scenario.is_release_scenario ? release_variants : model_variants)
+      rows.push_back({variant, seed});
   }
   run_in_parallel(rows.size(), threads, [&](std::size_t i) {
-    rows[i] = scenario.is_release_scenario ? ReleasePlay(scenario, rows[i].variant, rows[i].seed).run()
-                                           : ModelPlay(scenario, rows[i].variant, rows[i].seed).run();
+    rows[i] = scenario.is_release_scenario ? ReleaseRun(scenario, rows[i].variant, rows[i].seed).run()
+                                           : ModelRun(scenario, rows[i].variant, rows[i].seed).run();
   });
   return rows;
 }
@@ -397,23 +397,24 @@
       }
       return quantile(std::move(values), 0.5);
     };
-    int broken = 0;
+    int violations = 0;
     double worst = 0, most_starts = 0;
     for (const DecisionRow& row : rows) {
       if (row.variant != variant) continue;
-      broken += row.violations;
-      worst = std::max(worst, row.to_publish_max);
+      violations += row.violations;
+      worst = std::max(worst, row.time_to_publish_max_s);
       most_starts = std::max(most_starts, row.starts_before_serving);
     }
     if (scenario.is_release_scenario) {
       out += fmt::format("{:<12} {:>10.1f} {:>6.1f} {:>6.3f} {:>12.2f} {:>7}\n", variant,
-                         median(&DecisionRow::to_publish_median), worst, median(&DecisionRow::stale_fraction),
-                         median(&DecisionRow::changes_per_minute), broken);
+                         median(&DecisionRow::time_to_publish_median_s), worst,
+                         median(&DecisionRow::stale_fraction), median(&DecisionRow::changes_per_minute),
+                         violations);
     } else {
       out += fmt::format("{:<12} {:>6.0f} {:>13.0f} {:>5.1f} {:>9.1f} {:>10.2f} {:>12.2f} {:>7}\n", variant,
-                         median(&DecisionRow::rounds), most_starts, median(&DecisionRow::wait_median),
-                         median(&DecisionRow::wait_p95), median(&DecisionRow::gpu_hours),
-                         median(&DecisionRow::changes_per_minute), broken);
+                         median(&DecisionRow::epochs), most_starts, median(&DecisionRow::wait_median_s),
+                         median(&DecisionRow::wait_p95_s), median(&DecisionRow::gpu_hours),
+                         median(&DecisionRow::changes_per_minute), violations);
     }
   }
   return out;
--- a/src/simulation/random_histories.cpp
+++ b/src/simulation/random_histories.cpp
@@ -7,7 +7,7 @@
 namespace oxbowmill::simulation {
 
 namespace {
-constexpr double abandoned_after_s =
+constexpr double longest_allowed_wait_s =
     90;  // the longest time that any invariant allows: for a job that could start and does not
 }  // namespace
 
@@ -48,7 +48,7 @@
   double end = scenario.warm_up_s;
   for (const Fault& f : scenario.faults)
     end = std::max(end, f.at_s + f.duration_s + f.stagger_s * static_cast<double>(scenario.controllers));
-  scenario.duration_s = end + std::max(abandoned_after_s, scenario.cancel_timeout_s) + 10;
+  scenario.duration_s = end + std::max(longest_allowed_wait_s, scenario.cancel_timeout_s) + 10;
 }
 
 namespace {
@@ -58,37 +58,37 @@
   FaultKind kind;
   double duration_s, fraction;
 };
-constexpr FaultTemplate kinds[] = {{FaultKind::all_controllers_down, 4, 0},
-                                   {FaultKind::owner_down, 6, 0},
-                                   {FaultKind::owner_down, 1, 0},
-                                   {FaultKind::owner_without_state, 30, 0},
-                                   {FaultKind::owner_refused_by_state, 25, 0},
-                                   {FaultKind::owner_isolated, 30, 0},
-                                   {FaultKind::state_outage, 60, 0},
-                                   {FaultKind::state_delay, 20, 0},
-                                   {FaultKind::owner_frozen, 12, 0},
-                                   {FaultKind::machines_hang, 14, 0.3},
-                                   {FaultKind::machines_receive_nothing, 40, 0.4},
-                                   {FaultKind::machines_die, 0, 0.2},
-                                   {FaultKind::duplicate_reports, 60, 0.5},
-                                   {FaultKind::delayed_writes, 60, 0.4},
-                                   {FaultKind::delayed_responses, 40, 0.4},
-                                   {FaultKind::jobs_cancelled, 0, 0.6},
-                                   {FaultKind::lost_write_responses, 40, 0.4},
-                                   {FaultKind::replayed_reports, 50, 0.6},
-                                   {FaultKind::machines_send_nothing, 30, 0.4},
-                                   {FaultKind::zone_isolated, 30, 0},
-                                   {FaultKind::jobs_cancelled_and_machines_hang, 11, 0.6},
-                                   {FaultKind::jobs_cancelled_at_end, 60, 0.5},
-                                   {FaultKind::repeated_queries, 60, 0},
-                                   {FaultKind::invalid_requests, 60, 0},
-                                   {FaultKind::fast_boots, 60, 0}};
+constexpr FaultTemplate fault_templates[] = {{FaultKind::all_controllers_down, 4, 0},
+                                             {FaultKind::owner_down, 6, 0},
+                                             {FaultKind::owner_down, 1, 0},
+                                             {FaultKind::owner_without_state, 30, 0},
+                                             {FaultKind::owner_refused_by_state, 25, 0},
+                                             {FaultKind::owner_isolated, 30, 0},
+                                             {FaultKind::state_outage, 60, 0},
+                                             {FaultKind::state_delay, 20, 0},
+                                             {FaultKind::owner_frozen, 12, 0},
+                                             {FaultKind::machines_hang, 14, 0.3},
+                                             {FaultKind::machines_receive_nothing, 40, 0.4},
+                                             {FaultKind::machines_die, 0, 0.2},
+                                             {FaultKind::duplicate_reports, 60, 0.5},
+                                             {FaultKind::delayed_writes, 60, 0.4},
+                                             {FaultKind::delayed_responses, 40, 0.4},
+                                             {FaultKind::jobs_cancelled, 0, 0.6},
+                                             {FaultKind::lost_write_responses, 40, 0.4},
+                                             {FaultKind::replayed_reports, 50, 0.6},
+                                             {FaultKind::machines_send_nothing, 30, 0.4},
+                                             {FaultKind::zone_isolated, 30, 0},
+                                             {FaultKind::jobs_cancelled_and_machines_hang, 11, 0.6},
+                                             {FaultKind::jobs_cancelled_at_end, 60, 0.5},
+                                             {FaultKind::repeated_queries, 60, 0},
+                                             {FaultKind::invalid_requests, 60, 0},
+                                             {FaultKind::fast_boots, 60, 0}};
 
 /// Leases and timeouts of a cluster, in seconds.
-struct Times {
+struct Timeouts {
   double lease_s, cancel_timeout_s, controller_lease_s;
 };
-constexpr Times times[] = {{12, 36, 4}, {12, 24, 4}, {12, 16.1, 4}, {12, 19.1, 4}, {6, 60, 20}};
+constexpr Timeouts timeout_choices[] = {{12, 36, 4}, {12, 24, 4}, {12, 16.1, 4}, {12, 19.1, 4}, {6, 60, 20}};
 
 class RandomHistory {
  public:
@@ -113,10 +113,11 @@
   void vary_cluster(ClusterScenario& scenario) {
     scenario.controllers = chance(0.6) ? 3 : chance(0.5) ? 2 : 5;
     if (!chance(0.4)) return;
-    const Times& drawn = times[static_cast<std::size_t>(draw(0, std::size(times) - 0.001))];
-    scenario.lease_s = drawn.lease_s;
-    scenario.cancel_timeout_s = drawn.cancel_timeout_s;
-    scenario.controller_lease_s = drawn.controller_lease_s;
+    const Timeouts& timeouts =
+        timeout_choices[static_cast<std::size_t>(draw(0, std::size(timeout_choices) - 0.001))];
+    scenario.lease_s = timeouts.lease_s;
+    scenario.cancel_timeout_s = timeouts.cancel_timeout_s;
+    scenario.controller_lease_s = timeouts.controller_lease_s;
   }
 
   void vary_load(ClusterScenario& scenario) {
@@ -129,7 +130,8 @@
   }
 
   Fault random_fault(double warm_up_s) {
-    const FaultTemplate& fault_template = kinds[static_cast<std::size_t>(draw(0, std::size(kinds) - 0.001))];
+    const FaultTemplate& fault_template =
+        fault_templates[static_cast<std::size_t>(draw(0, std::size(fault_templates) - 0.001))];
     Fault fault;
     fault.kind = fault_template.kind;
     fault.at_s = warm_up_s + draw(0, 40);
@@ -150,20 +152,20 @@
   return RandomHistory(seed).make();
 }
 
-ClusterScenario shrunk(ClusterScenario scenario, std::uint64_t seed) {
-  auto breaks = [seed](const ClusterScenario& x) {
+ClusterScenario minimize_faults(ClusterScenario scenario, std::uint64_t seed) {
+  auto violates_invariant = [seed](const ClusterScenario& x) {
     return !ClusterSimulation(x, SimulationVariant::with_reconciliation, seed).run().violations.empty();
   };
-  if (!breaks(scenario)) return scenario;
+  if (!violates_invariant(scenario)) return scenario;
   for (std::size_t i = scenario.faults.size(); i-- > 0;) {
-    ClusterScenario less = scenario;
-    less.faults.erase(less.faults.begin() + static_cast<std::ptrdiff_t>(i));
-    if (breaks(less)) scenario = std::move(less);
+    ClusterScenario candidate = scenario;
+    candidate.faults.erase(candidate.faults.begin() + static_cast<std::ptrdiff_t>(i));
+    if (violates_invariant(candidate)) scenario = std::move(candidate);
   }
   return scenario;
 }
 
-std::string to_script(const ClusterScenario& scenario) {
+std::string faults_to_yaml(const ClusterScenario& scenario) {
   std::string out;
   for (const Fault& f : scenario.faults)
     out += fmt::format(
--- a/src/simulation/scale_evaluator.cpp
+++ b/src/simulation/scale_evaluator.cpp
@@ -31,7 +31,7 @@
 
 void ScaleEvaluator::on_submitted(const ScaleEvent& event) {
   ScaleJob job = scale_job(settings_, event.job);
-  InvariantChecker::JobTerms terms;
+  InvariantChecker::JobRequirements terms;
   terms.team = job.team;
   terms.tasks = job.job_class->tasks;
   terms.gpus = job.job_class->resources.gpus;
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -4,9 +4,9 @@
 
 namespace oxbowmill::simulation {
 
-Settings test_settings(const std::string& node) {
+Settings test_settings(const std::string& controller_name) {
   Settings settings;
-  settings.controller_name = node;
+  settings.controller_name = controller_name;
   settings.controller_count = 2;
   settings.teams.resize(3);
   settings.teams[1].limit = {0, 8, 0};
@@ -46,9 +46,9 @@
   return job_spec;
 }
 
-SimulatedController::SimulatedController(std::string n, StateStore& state, Settings settings, Names names,
-                                         std::vector<MachineType> catalog)
-    : name(std::move(n)),
+SimulatedController::SimulatedController(std::string controller_name, StateStore& state, Settings settings,
+                                         Names names, std::vector<MachineType> catalog)
+    : name(std::move(controller_name)),
       cluster_state(std::move(settings), std::move(names)),
       lease(cluster_state.settings),
       scheduler(cluster_state, lease),
@@ -67,18 +67,18 @@
 void SimulatedController::enable_decisions(release_calendar::ReleaseCalendar calendar,
                                            serving::Settings models) {
   decision_log = std::make_unique<decisions::DecisionLog>(cluster_state, scheduler, 0.05);
-  release_planner =
+  release_coordinator =
       std::make_unique<release_calendar::ReleaseCoordinator>(cluster_state, *decision_log, scheduler, 1.0);
-  release_planner->load(std::move(calendar));
-  release_planner->query_final_phase = [this](const std::string& ref) {
+  release_coordinator->load(std::move(calendar));
+  release_coordinator->query_final_phase = [this](const std::string& ref) {
     auto it = store_.keys().find(state::final_key(ref));
-    if (store_.outage()) return release_planner->on_query_failed(ref);
-    release_planner->on_final_phase(
+    if (store_.outage()) return release_coordinator->on_query_failed(ref);
+    release_coordinator->on_final_phase(
         ref, it == store_.keys().end() ? std::nullopt : state::read_phase(it->second.value),
         watch_opened_at_);
   };
   combined_constraints_ = decisions::CombinedConstraints();
-  combined_constraints_.add(release_planner.get());
+  combined_constraints_.add(release_coordinator.get());
   if (!models.empty()) {
     model_autoscaler = std::make_unique<serving::ModelAutoscaler>(cluster_state, *decision_log, scheduler,
                                                                   std::move(models));
@@ -104,7 +104,7 @@
   sync(now);
 }
 
-void SimulatedController::apply_events_up_to(std::size_t count, std::uint64_t revision, double asked,
+void SimulatedController::apply_events_up_to(std::size_t count, std::uint64_t revision, double opened_at,
                                              double now) {
   const auto& events = store_.events();
   for (; events_applied_ < count; ++events_applied_) {
@@ -113,7 +113,7 @@
     if (change) cluster_state.apply(*change, e.revision, now);
   }
   scheduler.applied_revision(revision);
-  lease.on_watch_answered(asked);
+  lease.on_watch_answered(opened_at);
 }
 
 bool SimulatedController::acquire_partition(PartitionIndex partition, double now) {
@@ -121,15 +121,15 @@
     lease.on_granted(store_.grant_lease(cluster_state.settings.operator_settings.controller_lease_s, now),
                      now);
   }
-  Change c{OwnershipKey{partition}, OwnershipRecord{name, lease.lease_id()}, lease.lease_id()};
-  std::string key = state::encode_key(c.key, cluster_state);
+  Change change{OwnershipKey{partition}, OwnershipRecord{name, lease.lease_id()}, lease.lease_id()};
+  std::string key = state::encode_key(change.key, cluster_state);
   Json body = {
       {"guards", {{{"k", key}, {"stamp", 0}}}},
       {"apply",
-       {{{"put", key}, {"value", state::encode_value(c, cluster_state)}, {"grant", lease.lease_id()}}}}};
-  bool ok = store_.txn(body).status == 200;
+       {{{"put", key}, {"value", state::encode_value(change, cluster_state)}, {"grant", lease.lease_id()}}}}};
+  bool is_acquired = store_.txn(body).status == 200;
   sync(now);
-  return ok;
+  return is_acquired;
 }
 
 void SimulatedController::acquire_all_partitions(double now) {
@@ -145,7 +145,7 @@
   Effects out;
   watch_opened_at_ = now;
   bool full = lease.authority(now) == Authority::full;
-  if (full && release_planner) release_planner->run_cycle({now, now}, out);
+  if (full && release_coordinator) release_coordinator->run_cycle({now, now}, out);
   if (full && model_autoscaler) model_autoscaler->run_cycle({now, now}, out);
   scheduler.run_cycle({now, now}, out);
   if (lease.authority(now) != Authority::full) return out;
@@ -160,9 +160,9 @@
     lost_writes.push_back(body);
     return std::nullopt;
   }
-  StateStore::Result r = store_.txn(body);
-  if (r.status == 409) ++refused_writes;
-  return r;
+  StateStore::Result result = store_.txn(body);
+  if (result.status == 409) ++refused_writes;
+  return result;
 }
 
 void SimulatedController::on_write_result(const Write& write, TransactionOutcome outcome, Revision revision,
@@ -171,11 +171,11 @@
   if (!scheduler.on_outcome(write.id, outcome, revision, now)) write_queue_.drop(write.id);
 }
 
-TransactionOutcome outcome_of(const std::optional<StateStore::Result>& r) {
-  if (!r) return TransactionOutcome::unknown;
-  return r->status == 200   ? TransactionOutcome::applied
-         : r->status == 409 ? TransactionOutcome::refused
-                            : TransactionOutcome::not_executed;
+TransactionOutcome outcome_of(const std::optional<StateStore::Result>& result) {
+  if (!result) return TransactionOutcome::unknown;
+  return result->status == 200   ? TransactionOutcome::applied
+         : result->status == 409 ? TransactionOutcome::refused
+                                 : TransactionOutcome::not_executed;
 }
 
 void SimulatedController::run_cycle(double now) {
@@ -223,17 +223,17 @@
                                    const std::string& partition, bool spot) {
   Json value = {{"part", partition}, {"type", "std"}, {"zone", zone}, {"spot", spot}, {"del", false}};
   store.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/m/" + name}, {"value", value}}}}});
-  workers_[name] = std::make_unique<Worker>(name, zone, run_log, spot);
+  agents_[name] = std::make_unique<Agent>(name, zone, run_log, spot);
 }
 
 void SimulatedCluster::add_unregistered_machine(const std::string& name, const std::string& zone) {
-  workers_[name] = std::make_unique<Worker>(name, zone, run_log);
+  agents_[name] = std::make_unique<Agent>(name, zone, run_log);
 }
 
-void SimulatedCluster::add_market(const simulation::MarketBehavior& c) {
+void SimulatedCluster::add_market(const simulation::MarketBehavior& behavior) {
   MarketIndex index{static_cast<std::uint32_t>(markets.size())};
-  market_settings.markets.push_back({c.name, index, "127.0.0.1:1", 50});
-  markets.emplace_back(c, 7, std::vector<std::string>{"std"}, std::vector<std::string>{"a", "b"});
+  market_settings.markets.push_back({behavior.name, index, "127.0.0.1:1", 50});
+  markets.emplace_back(behavior, 7, std::vector<std::string>{"std"}, std::vector<std::string>{"a", "b"});
   for (auto& n : controllers_) n->enable_markets(market_settings, markets);
 }
 
@@ -254,11 +254,11 @@
       .status;
 }
 
-ReportAnswer SimulatedCluster::exchange_report(const std::string& name, std::size_t n, bool lost) {
-  Worker& w = worker(name);
-  ReportAnswer a = controllers_[n]->handle_report(w.report(now), now);
-  if (!lost) w.answer(a, now);
-  return a;
+ReportAnswer SimulatedCluster::exchange_report(const std::string& name, std::size_t n, bool response_lost) {
+  Agent& agent = this->agent(name);
+  ReportAnswer response = controllers_[n]->handle_report(agent.report(now), now);
+  if (!response_lost) agent.handle_response(response, now);
+  return response;
 }
 
 void SimulatedCluster::run(double seconds, std::size_t n) {
@@ -275,17 +275,17 @@
     for (SimulatedMarket& m : markets) {
       m.tick(now);
       for (const auto& [name, h] : m.hosts()) {
-        if (h.alive && workers_.count(name) == 0) {
-          workers_[name] = std::make_unique<Worker>(name, h.zone, run_log);
-        } else if (!h.alive && workers_.count(name) != 0) {
-          workers_[name]->power_off();
-          silenced_workers.insert(name);
+        if (h.alive && agents_.count(name) == 0) {
+          agents_[name] = std::make_unique<Agent>(name, h.zone, run_log);
+        } else if (!h.alive && agents_.count(name) != 0) {
+          agents_[name]->power_off();
+          silenced_agents.insert(name);
         }
       }
     }
-    for (auto& [name, w] : workers_) {
-      if (silenced_workers.count(name) != 0) {
-        w->tick(now);
+    for (auto& [name, agent] : agents_) {
+      if (silenced_agents.count(name) != 0) {
+        agent->tick(now);
       } else {
         exchange_report(name, n);
       }
@@ -294,8 +294,9 @@
       DirectCommands direct_commands = std::move(controller.direct_commands.front());
       controller.direct_commands.pop_front();
       const std::string& to = controller.cluster_state.names.machines.name(direct_commands.machine);
-      auto w = workers_.find(to);
-      if (w != workers_.end() && silenced_workers.count(to) == 0) w->second->command(direct_commands);
+      auto agent = agents_.find(to);
+      if (agent != agents_.end() && silenced_agents.count(to) == 0)
+        agent->second->handle_commands(direct_commands);
     }
   }
 }
@@ -317,11 +318,11 @@
   std::uint64_t lease_id = store.grant_lease(1e6, now);
   Change change{ControllerKey{controllers_[n]->name}, OwnershipRecord{controllers_[n]->name, lease_id},
                 lease_id};
-  ClusterState& model = controllers_[n]->cluster_state;
+  ClusterState& replica = controllers_[n]->cluster_state;
   store.txn({{"guards", Json::array()},
              {"apply",
-              {{{"put", state::encode_key(change.key, model)},
-                {"value", state::encode_value(change, model)},
+              {{{"put", state::encode_key(change.key, replica)},
+                {"value", state::encode_value(change, replica)},
                 {"grant", lease_id}}}}});
   return lease_id;
 }
--- a/src/simulation/state_store.cpp
+++ b/src/simulation/state_store.cpp
@@ -31,13 +31,13 @@
       return {400, {{"error", "no such lease"}}};
     }
   }
-  Json failed = Json::array();
-  for (const Json& g : body.at("guards")) {
-    auto it = keys_.find(g.at("k").get<std::string>());
+  Json failed_keys = Json::array();
+  for (const Json& guard : body.at("guards")) {
+    auto it = keys_.find(guard.at("k").get<std::string>());
     std::uint64_t revision = it == keys_.end() ? 0 : it->second.revision;
-    if (revision != g.at("stamp").get<std::uint64_t>()) failed.push_back(g["k"]);
+    if (revision != guard.at("stamp").get<std::uint64_t>()) failed_keys.push_back(guard["k"]);
   }
-  if (!failed.empty()) return {409, {{"failed", failed}, {"ledger_rev", revision_}}};
+  if (!failed_keys.empty()) return {409, {{"failed", failed_keys}, {"ledger_rev", revision_}}};
   if (!body["apply"].empty()) ++revision_;
   for (const Json& operation : body["apply"]) {
     if (operation.contains("put")) {
@@ -50,8 +50,8 @@
   return {200, {{"ledger_rev", revision_}}};
 }
 
-std::uint64_t StateStore::grant_lease(double life_s, double now) {
-  leases_[++next_lease_id_] = {life_s, now + life_s};
+std::uint64_t StateStore::grant_lease(double duration_s, double now) {
+  leases_[++next_lease_id_] = {duration_s, now + duration_s};
   return next_lease_id_;
 }
 
@@ -66,27 +66,27 @@
 void StateStore::revoke_lease(std::uint64_t id) {
   if (id == 0) return;  // 0 is the lease id of keys without a lease
   leases_.erase(id);
-  std::vector<std::string> keys;
-  for (const auto& [key, e] : keys_) {
-    if (e.lease_id == id) keys.push_back(key);
+  std::vector<std::string> attached_keys;
+  for (const auto& [key, entry] : keys_) {
+    if (entry.lease_id == id) attached_keys.push_back(key);
   }
-  if (!keys.empty()) ++revision_;
-  for (const std::string& key : keys) change(key, std::nullopt, 0);
+  if (!attached_keys.empty()) ++revision_;
+  for (const std::string& key : attached_keys) change(key, std::nullopt, 0);
 }
 
 void StateStore::expire_leases(double now) {
   if (outage_) return;
-  std::vector<std::uint64_t> over;
-  for (const auto& [id, h] : leases_) {
-    if (h.expires_at < now) over.push_back(id);
+  std::vector<std::uint64_t> expired_ids;
+  for (const auto& [id, lease] : leases_) {
+    if (lease.expires_at < now) expired_ids.push_back(id);
   }
-  for (std::uint64_t id : over) revoke_lease(id);
+  for (std::uint64_t id : expired_ids) revoke_lease(id);
 }
 
 void StateStore::set_outage(bool on, double now) {
   outage_ = on;
   if (!on) {
-    for (auto& [id, h] : leases_) h.expires_at = now + h.duration_s;
+    for (auto& [id, lease] : leases_) lease.expires_at = now + lease.duration_s;
   }
 }
 
--- a/tests/bench/reconciliation_bench.cpp
+++ b/tests/bench/reconciliation_bench.cpp
@@ -27,7 +27,7 @@
     if (with_reconciler) cluster.controller(1).enable_reconciliation({});
     cluster.controller(1).acquire_all_partitions(cluster.now);
     for (int i = 0; i < machine_count; ++i)
-      reports.push_back(cluster.worker("m" + std::to_string(i)).report(cluster.now));
+      reports.push_back(cluster.agent("m" + std::to_string(i)).report(cluster.now));
   }
   simulation::SimulatedCluster cluster;
   std::vector<AgentReport> reports;
@@ -65,7 +65,7 @@
 void steady_state_report(benchmark::State& state) {
   FailoverFixture fixture(state.range(0) != 0);
   fixture.cluster.run(3, 1);
-  AgentReport report = fixture.cluster.worker("m7").report(fixture.cluster.now);
+  AgentReport report = fixture.cluster.agent("m7").report(fixture.cluster.now);
   for (auto _ : state) {
     ++report.report_sequence;
     benchmark::DoNotOptimize(fixture.cluster.controller(1).handle_report(report, fixture.cluster.now));
--- a/tests/checkpoint_test.cpp
+++ b/tests/checkpoint_test.cpp
@@ -121,8 +121,8 @@
   CheckpointFixture fixture(2);
   fixture.cluster.run(75);
   std::string lost = fixture.machine_of(0);
-  fixture.cluster.worker(lost).power_off();
-  fixture.cluster.silenced_workers.insert(lost);
+  fixture.cluster.agent(lost).power_off();
+  fixture.cluster.silenced_agents.insert(lost);
   fixture.cluster.run(16);  // until the lease of the machine's agent has expired
   ASSERT_EQ(fixture.cluster.machines_of_task("run-1", 0).size(), 1U);
   ASSERT_NE(fixture.machine_of(0), lost);
@@ -143,8 +143,8 @@
   fixture.cluster.run(0.5, 1);
   EXPECT_TRUE(fixture.job(1).has_started(0) && fixture.job(1).has_started(1));
   std::string lost = fixture.machine_of(0);
-  fixture.cluster.worker(lost).power_off();
-  fixture.cluster.silenced_workers.insert(lost);
+  fixture.cluster.agent(lost).power_off();
+  fixture.cluster.silenced_agents.insert(lost);
   fixture.cluster.run(20, 1);
   EXPECT_FALSE(awaits_first_start(fixture.job(1)));
 }
@@ -153,8 +153,8 @@
   CheckpointFixture fixture(3, JobShape::gang);
   fixture.cluster.run(75);
   // Two members report that they lost their peers. The first that leaves decides the gang's progress.
-  fixture.cluster.worker(fixture.machine_of(0)).finish("run-1/0", EndCause::peers_lost);
-  fixture.cluster.worker(fixture.machine_of(1)).finish("run-1/1", EndCause::peers_lost);
+  fixture.cluster.agent(fixture.machine_of(0)).finish("run-1/0", EndCause::peers_lost);
+  fixture.cluster.agent(fixture.machine_of(1)).finish("run-1/1", EndCause::peers_lost);
   fixture.cluster.run(1);
   EXPECT_DOUBLE_EQ(fixture.job().checkpoint_of(0).likely, 60);
   EXPECT_DOUBLE_EQ(fixture.job().checkpoint_of(2).likely,
@@ -167,14 +167,14 @@
   // times of all of them for the median that it compares the remaining tasks with.
   CheckpointFixture fixture(4, JobShape::array, 2);
   fixture.cluster.run(38);
-  fixture.cluster.worker(fixture.machine_of(0)).finish("run-1/0", EndCause::done);
+  fixture.cluster.agent(fixture.machine_of(0)).finish("run-1/0", EndCause::done);
   fixture.cluster.run(1);
   fixture.change_owner(1);
   fixture.cluster.run(0.5, 1);
   ASSERT_EQ(fixture.job(1).finished_run_times.size(), 1U);
   EXPECT_NEAR(fixture.job(1).finished_run_times[0], 40, 2.5);
   fixture.cluster.run(1, 1);
-  fixture.cluster.worker(fixture.machine_of(1)).finish("run-1/1", EndCause::done);
+  fixture.cluster.agent(fixture.machine_of(1)).finish("run-1/1", EndCause::done);
   fixture.cluster.run(1, 1);
   ASSERT_EQ(fixture.job(1).finished_run_times.size(), 2U);
   // Without the durable placement time, this run time would count from the failover, which was 2 s ago.
--- a/tests/controller_process_test.cpp
+++ b/tests/controller_process_test.cpp
@@ -166,7 +166,7 @@
                    if (status != 200) return;
                    auto answer = simulation::read_answer(body);
                    ASSERT_TRUE(answer.has_value());
-                   agent_.answer(*answer, now());
+                   agent_.handle_response(*answer, now());
                  });
   }
 
@@ -279,7 +279,7 @@
   net::EventBasePtr base_;
   simulation::StateStore state_;
   simulation::RunLog run_log_;
-  simulation::Worker agent_;
+  simulation::Agent agent_;
   net::Address controller_address_;
   std::thread log_reader_;  // forwards the program's log to standard error
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
@@ -663,7 +663,7 @@
   stop_program();
   EXPECT_TRUE(north.market().hosts().empty());  // the controller was killed before the auction ended
   start_program();
-  simulation::Worker bought_machine_agent("north.m1", "a", run_log_);
+  simulation::Agent bought_machine_agent("north.m1", "a", run_log_);
   agent_ = std::move(bought_machine_agent);
   agent_.lease_s = 6;
   run_until([&] { return agent_.has("run-1/0") && agent_.has("run-1/1"); },
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -229,16 +229,16 @@
     simulation::DecisionScenario scenario =
         simulation::load_decision_scenario(std::string(DEPLOY_DIR) + "/lab/agreed/" + file + ".yaml");
     scenario.duration_s = 3000;
-    for (const simulation::DecisionRow& row : simulation::play_decisions(scenario, 2, 2)) {
+    for (const simulation::DecisionRow& row : simulation::run_decision_variants(scenario, 2, 2)) {
       EXPECT_EQ(row.violations, 0) << file << ' ' << row.variant << ' ' << row.seed;
       if (row.variant != "as it is") continue;
       if (scenario.is_release_scenario) {
-        EXPECT_LE(row.to_publish_median, 2.5) << file;
-        EXPECT_LE(row.to_publish_max, 14)
+        EXPECT_LE(row.time_to_publish_median_s, 2.5) << file;
+        EXPECT_LE(row.time_to_publish_max_s, 14)
             << file;  // a failover takes 4 s, and publishing at most 10 s from then on
       } else {
         EXPECT_EQ(row.starts_before_serving, 1) << file;
-        EXPECT_GE(row.rounds, 1) << file;
+        EXPECT_GE(row.epochs, 1) << file;
       }
     }
   }
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -51,13 +51,13 @@
     auto response = fixture.cluster.exchange_report("m1", 1);
     EXPECT_EQ(response.kind, Kind::ok);
     EXPECT_EQ(response.commands.size(), cancelled ? 1U : 0U);
-    EXPECT_EQ(fixture.cluster.worker("m1").has("run-1/0"), !cancelled);
+    EXPECT_EQ(fixture.cluster.agent("m1").has("run-1/0"), !cancelled);
   }
 }
 
 TEST(FaultCombinations, OlderReportDoesNotOverrideOneAnsweredInReadOnlyPeriod) {
   RunningTaskFixture fixture;
-  auto older_report = fixture.cluster.worker("m1").report(fixture.cluster.now);
+  auto older_report = fixture.cluster.agent("m1").report(fixture.cluster.now);
   fixture.cluster.store.set_outage(true, fixture.cluster.now);
   fixture.cluster.now +=
       fixture.cluster.controller(0).cluster_state.settings.operator_settings.controller_lease_s + 0.5;
@@ -77,21 +77,21 @@
   for (const char* machine : {"m1", "m2"}) cluster.add_machine(machine);
   JobSpec gang = test_job("run-1", 2, 4);
   gang.shape = JobShape::gang;
-  for (const char* machine : {"m1", "m2"}) cluster.worker(machine).first_phase = TaskPhase::gathering;
+  for (const char* machine : {"m1", "m2"}) cluster.agent(machine).first_phase = TaskPhase::gathering;
   cluster.run(2);
   cluster.submit(gang);
   cluster.run(3);
   std::string machine_name = cluster.machines_of_task("run-1", 0).at(0);
-  ASSERT_TRUE(cluster.worker(machine_name).has("run-1/0"));
-  Attempt attempt = cluster.worker(machine_name).attempt("run-1/0");
-  cluster.worker(machine_name).finish("run-1/0", EndCause::gang_incomplete);
+  ASSERT_TRUE(cluster.agent(machine_name).has("run-1/0"));
+  Attempt attempt = cluster.agent(machine_name).attempt("run-1/0");
+  cluster.agent(machine_name).finish("run-1/0", EndCause::gang_incomplete);
   cluster.now += 0.5;
-  AgentReport late_report = cluster.worker(machine_name).report(cluster.now);
+  AgentReport late_report = cluster.agent(machine_name).report(cluster.now);
   ASSERT_EQ(late_report.tasks.at(0).phase, TaskPhase::ended);
   cluster.run(4);
   ASSERT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{machine_name});
-  ASSERT_TRUE(cluster.worker(machine_name).has("run-1/0"));
-  ASSERT_EQ(cluster.worker(machine_name).attempt("run-1/0"), attempt) << "precondition of this case";
+  ASSERT_TRUE(cluster.agent(machine_name).has("run-1/0"));
+  ASSERT_EQ(cluster.agent(machine_name).attempt("run-1/0"), attempt) << "precondition of this case";
   cluster.add_machine("m3");
   cluster.fail_over(0, 1, 4);
   cluster.controller(1).handle_report(late_report, cluster.now);
@@ -112,19 +112,19 @@
   cluster.controller(0).sync(cluster.now);
   cluster.controller(0).run_cycle(cluster.now);
   cluster.exchange_report("m1", 0);
-  AgentReport report_with_task = cluster.worker("m1").report(cluster.now);
+  AgentReport report_with_task = cluster.agent("m1").report(cluster.now);
   ASSERT_EQ(report_with_task.tasks.size(), 1U);
   for (int i = 0; i < 20; ++i) {
     cluster.now += 0.515;
     cluster.controller(0).renew(cluster.now);
     cluster.controller(0).sync(cluster.now);
   }
-  AgentReport report_without_task = cluster.worker("m1").report(cluster.now);
+  AgentReport report_without_task = cluster.agent("m1").report(cluster.now);
   ASSERT_EQ(report_without_task.agent_epoch, 2U);
-  cluster.worker("m1").answer(cluster.controller(0).handle_report(report_without_task, cluster.now),
-                              cluster.now);
-  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
-  ASSERT_EQ(cluster.worker("m1").attempt("run-1/0"), report_with_task.tasks[0].attempt)
+  cluster.agent("m1").handle_response(cluster.controller(0).handle_report(report_without_task, cluster.now),
+                                      cluster.now);
+  ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
+  ASSERT_EQ(cluster.agent("m1").attempt("run-1/0"), report_with_task.tasks[0].attempt)
       << "precondition of this case";
   cluster.add_machine("m2");
   cluster.fail_over(0, 1, 0.5);
@@ -133,7 +133,7 @@
   cluster.run(5, 1);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
-  cluster.worker("m1").finish("run-1/0", EndCause::done);
+  cluster.agent("m1").finish("run-1/0", EndCause::done);
   cluster.run(3, 1);
   EXPECT_EQ(cluster.phase("run-1"), "done");
 }
@@ -160,7 +160,7 @@
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   run_without_responses_to_m1(4);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m2"});
-  EXPECT_TRUE(cluster.worker("m2").has("run-1/0"));
+  EXPECT_TRUE(cluster.agent("m2").has("run-1/0"));
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
   // Once responses reach the machine again, it is usable as before and has no tasks.
   cluster.run(1, 1);
@@ -177,7 +177,7 @@
     if (after_failover) cluster.fail_over(0, 1, 4);
     cluster.submit(test_job("run-1", 1));
     cluster.add_machine("m2", "b");
-    cluster.silenced_workers.insert("m2");
+    cluster.silenced_agents.insert("m2");
     for (int i = 0; i < 14; ++i) {
       cluster.now += 0.5;
       cluster.controller(owner).renew(cluster.now);
@@ -187,7 +187,7 @@
       cluster.controller(owner).run_cycle(cluster.now);
     }
     EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m2"}) << after_failover;
-    EXPECT_TRUE(cluster.worker("m2").has("run-1/0")) << after_failover;
+    EXPECT_TRUE(cluster.agent("m2").has("run-1/0")) << after_failover;
     EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
   }
 }
@@ -257,8 +257,8 @@
   // to the partition that waits for capacity, which gives it up when it does not report.
   SimulatedCluster cluster;
   cluster.add_unregistered_machine("gone");
-  AgentReport late_report = cluster.worker("gone").report(cluster.now);
-  cluster.silenced_workers.insert("gone");
+  AgentReport late_report = cluster.agent("gone").report(cluster.now);
+  cluster.silenced_agents.insert("gone");
   cluster.submit(test_job("run-1", 1));
   cluster.controller(0).handle_report(late_report, cluster.now);
   cluster.run(3);
@@ -267,7 +267,7 @@
   cluster.add_machine("m1");
   cluster.run(2 * cluster.controller(0).cluster_state.settings.first_report_timeout_s() + 2);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/0"));
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
--- a/tests/fault_histories_test.cpp
+++ b/tests/fault_histories_test.cpp
@@ -26,7 +26,7 @@
   std::function<void(InvariantChecker&)> history;
 };
 
-const InvariantChecker::JobTerms two_task_terms{0, 2, 1, true, false};
+const InvariantChecker::JobRequirements two_task_terms{0, 2, 1, true, false};
 
 TEST(InvariantChecker, ReportsExactlyTheViolatedInvariant) {
   auto start_and_stop = [](InvariantChecker& checker, std::uint32_t task, const char* machine, double from,
@@ -38,7 +38,7 @@
     checker.on_submit("j", two_task_terms);
     checker.on_answer("j", JobAnswer::open, at_s);
   };
-  auto accept_with_machines = [](InvariantChecker& checker, const InvariantChecker::JobTerms& terms,
+  auto accept_with_machines = [](InvariantChecker& checker, const InvariantChecker::JobRequirements& terms,
                                  std::map<std::string, InvariantChecker::UsableMachine> machines) {
     checker.set_fault_free_from(0);
     checker.on_submit("j", terms);
@@ -48,10 +48,10 @@
   auto check_each_second = [](InvariantChecker& checker, double from, double to) {
     for (double now = from; now <= to; ++now) checker.check(now);
   };
-  InvariantChecker::JobTerms scattered_job{0, 5, 0.5, false, true};
-  scattered_job.scatter = true;
+  InvariantChecker::JobRequirements scattered_job{0, 5, 0.5, false, true};
+  scattered_job.spread_zones = true;
   scattered_job.types = {"std"};
-  InvariantChecker::JobTerms invalid_job = two_task_terms;
+  InvariantChecker::JobRequirements invalid_job = two_task_terms;
   invalid_job.valid = false;
   const InvariantCase cases[] = {
       {"", "job runs to its end",
@@ -127,7 +127,7 @@
        }},
       {"", "gang waits for capacity for all its tasks at once",
        [&](InvariantChecker& checker) {
-         InvariantChecker::JobTerms gang = two_task_terms;
+         InvariantChecker::JobRequirements gang = two_task_terms;
          gang.gang = true;
          accept_with_machines(checker, gang, {{"m1", {{"a", false}, 1}}, {"m2", {{"b", false}, 1}}});
          start_and_stop(checker, 0, "m1", 2, 3);
@@ -178,7 +178,7 @@
        }},
       {"wrong_place", "task runs in a zone that its job does not allow",
        [&](InvariantChecker& checker) {
-         InvariantChecker::JobTerms job_in_zone_b = two_task_terms;
+         InvariantChecker::JobRequirements job_in_zone_b = two_task_terms;
          job_in_zone_b.zone = "b";
          checker.on_submit("j", job_in_zone_b);
          checker.on_task_start("j", 0, "m1", {"a", false}, 2);
@@ -353,13 +353,14 @@
         simulation::ClusterSimulation(scenario, simulation::SimulationVariant::with_reconciliation, seed)
             .run();
     if (!result.violations.empty())
-      failures[i] =
-          result.violations[0] + ", seed " + std::to_string(seed) + "\n" + simulation::to_script(scenario);
+      failures[i] = result.violations[0] + ", seed " + std::to_string(seed) + "\n" +
+                    simulation::faults_to_yaml(scenario);
     // A run in which hardly any task was done or query answered proves nothing.
-    if (result.answers < 50 || result.done_by_class[0] + result.done_by_class[1] == 0)
+    if (result.answers < 50 || result.completed_tasks_by_class[0] + result.completed_tasks_by_class[1] == 0)
       failures[i] += "too little was done or answered to check anything: " +
-                     std::to_string(result.done_by_class[0] + result.done_by_class[1]) + " tasks, " +
-                     std::to_string(result.answers) + " answers\n" + simulation::to_script(scenario);
+                     std::to_string(result.completed_tasks_by_class[0] + result.completed_tasks_by_class[1]) +
+                     " tasks, " + std::to_string(result.answers) + " answers\n" +
+                     simulation::faults_to_yaml(scenario);
   });
   failures.erase(std::remove(failures.begin(), failures.end(), ""), failures.end());
   return failures;
@@ -392,7 +393,7 @@
 }
 
 Fault zone_agents_cut_off(const char* zone, double at_s, double duration_s) {
-  Fault fault = make_fault(Kind::zone_workers_cut_off, at_s, duration_s);
+  Fault fault = make_fault(Kind::zone_agents_cut_off, at_s, duration_s);
   fault.zone = zone;
   return fault;
 }
@@ -659,7 +660,7 @@
   EXPECT_EQ(result.late_starts, 0U);
   double owner_changes = 0;
   for (const simulation::SecondSample& second : result.samples) owner_changes += second.changes;
-  EXPECT_GT(result.done_by_class[1], 500U);
+  EXPECT_GT(result.completed_tasks_by_class[1], 500U);
   // Counts the changes of owners only. A cancelled job was placed and removed, or was never placed.
   EXPECT_LT(owner_changes / (scenario.arrays_per_s * scenario.duration_s), 4.5);
   EXPECT_EQ(result.class_served[1].started, result.class_served[1].jobs);
@@ -676,7 +677,7 @@
             .run();
     if (!result.violations.empty())
       failures[i] = result.violations[0] + "; reproduced by\n" +
-                    simulation::to_script(simulation::shrunk(scenario, seed));
+                    simulation::faults_to_yaml(simulation::minimize_faults(scenario, seed));
   });
   for (std::size_t i = 0; i < failures.size(); ++i) EXPECT_EQ(failures[i], "") << "seed " << 1 + i;
 }
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -33,8 +33,8 @@
   cluster.submit(test_job("run-1", 3));
   cluster.run(4);
   for (const char* task : {"run-1/0", "run-1/1", "run-1/2"}) {
-    ASSERT_TRUE(cluster.worker("m1").has(task)) << task;
-    cluster.worker("m1").finish(task, EndCause::done);
+    ASSERT_TRUE(cluster.agent("m1").has(task)) << task;
+    cluster.agent("m1").finish(task, EndCause::done);
   }
   cluster.run(3);
   EXPECT_EQ(cluster.phase("run-1"), "done");
@@ -54,7 +54,7 @@
   cluster.controller(0).run_cycle(cluster.now);
   ASSERT_FALSE(cluster.controller(0).lost_writes.empty());
   EXPECT_TRUE(cluster.exchange_report("m1", 0).commands.empty());
-  EXPECT_FALSE(cluster.worker("m1").has("run-1/0"));
+  EXPECT_FALSE(cluster.agent("m1").has("run-1/0"));
 }
 
 TEST(Fencing, LostStartCommandIsResentAndNotPlacedElsewhere) {
@@ -90,12 +90,12 @@
   cluster.controller(0).run_cycle(cluster.now);
   std::string machine_name = cluster.machines_of_task("run-1", 0).at(0);
   auto late_response =
-      cluster.controller(0).handle_report(cluster.worker(machine_name).report(cluster.now), cluster.now);
+      cluster.controller(0).handle_report(cluster.agent(machine_name).report(cluster.now), cluster.now);
   ASSERT_EQ(late_response.commands.size(), 1U);
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.now += 0.5;
-  auto report = cluster.worker(machine_name).report(cluster.now);
+  auto report = cluster.agent(machine_name).report(cluster.now);
   EXPECT_TRUE(cluster.controller(1).handle_report(report, cluster.now).commands.empty());
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{machine_name});
   const Machine& machine = cluster.controller(1).cluster_state.machine(
@@ -188,7 +188,7 @@
     for (TaskNumber task : {0U, 1U}) placed += cluster.machines_of_task(job, task).size();
   }
   EXPECT_EQ(placed, 2U);  // 4 GPUs each, and the team's quota is 8
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/0") || cluster.worker("m2").has("run-1/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/0") || cluster.agent("m2").has("run-1/0"));
 }
 
 TEST(Fencing, RetriedTransactionIsIdenticalEvenIfItsJobIsGone) {
@@ -224,8 +224,8 @@
   cluster.controller(0).write_outcome = WriteOutcome::answered;
   cluster.run(3);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0).size() + cluster.machines_of_task("run-2", 0).size(), 1U);
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
-  EXPECT_FALSE(cluster.worker("m1").has("run-2/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/0"));
+  EXPECT_FALSE(cluster.agent("m1").has("run-2/0"));
 }
 
 TEST(Fencing, FailoverKeepsRunningTasks) {
@@ -233,15 +233,15 @@
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 2));
   cluster.run(3);
-  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
+  ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
   cluster.kill_controller(0);
   cluster.now += 4;
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.run(5, 1);
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/0"));
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
-  cluster.worker("m1").finish("run-1/0", EndCause::done);
-  cluster.worker("m1").finish("run-1/1", EndCause::done);
+  cluster.agent("m1").finish("run-1/0", EndCause::done);
+  cluster.agent("m1").finish("run-1/1", EndCause::done);
   cluster.run(2, 1);
   EXPECT_EQ(cluster.phase("run-1"), "done");
 }
@@ -252,10 +252,10 @@
   cluster.run(2);
   cluster.submit(test_job("run-1", 1));
   cluster.run(2);
-  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
+  ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
   cluster.add_machine("m2");
   cluster.kill_controller(0);
-  cluster.silenced_workers.insert("m1");
+  cluster.silenced_agents.insert("m1");
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.controller(1).cluster_state.settings.operator_settings.idle_retention_s =
       1000;  // keeps m2 until it is needed
@@ -264,7 +264,7 @@
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   cluster.run(4, 1);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m2"});
-  EXPECT_TRUE(cluster.worker("m2").has("run-1/0"));
+  EXPECT_TRUE(cluster.agent("m2").has("run-1/0"));
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
 
@@ -284,10 +284,10 @@
     cluster.run(2);
     cluster.submit(test_job("run-1", 1));
     cluster.run(2);
-    ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
+    ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
     cluster.add_machine("m2");
     cluster.kill_controller(0);
-    cluster.silenced_workers.insert("m1");
+    cluster.silenced_agents.insert("m1");
     ClusterState& cluster_state = cluster.controller(1).cluster_state;
     cluster_state.settings.all_controllers = {"node-0", "node-1"};
     cluster_state.settings.operator_settings.idle_retention_s =
@@ -319,12 +319,12 @@
   cluster.run(2);
   cluster.submit(test_job("run-1", 1));
   cluster.run(2);
-  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
+  ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
   Json value = cluster.store.keys().at("o/m/m1").value;
   value["del"] = true;
   cluster.store.txn({{"guards", Json::array()}, {"apply", {{{"put", "o/m/m1"}, {"value", value}}}}});
   cluster.add_machine("m2");
-  cluster.silenced_workers.insert("m1");
+  cluster.silenced_agents.insert("m1");
   cluster.kill_controller(0);
   cluster.controller(1).cluster_state.settings.operator_settings.idle_retention_s =
       cluster.controller(1).cluster_state.settings.operator_settings.release_to_pool_s = 1000;
@@ -342,10 +342,10 @@
   cluster.add_machine("m1");
   cluster.run(2);
   auto delayed_report =
-      cluster.worker("m1").report(cluster.now);  // sent before the task starts, delivered much later
+      cluster.agent("m1").report(cluster.now);  // sent before the task starts, delivered much later
   cluster.submit(test_job("run-1", 1));
   cluster.run(3);
-  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
+  ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
   EXPECT_EQ(cluster.controller(0).handle_report(delayed_report, cluster.now).kind, Kind::refuse);
   cluster.run(1);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0).size(), 1U);
@@ -359,7 +359,7 @@
   cluster.submit(test_job("run-1", 1));
   cluster.controller(0).sync(cluster.now);
   cluster.controller(0).run_cycle(cluster.now);
-  cluster.silenced_workers.insert("m1");  // the task is placed, but the agent never reports
+  cluster.silenced_agents.insert("m1");  // the task is placed, but the agent never reports
   auto current_partition = [&cluster] {
     return cluster.store.keys().at("o/m/m1").value.at("part").get<std::string>();
   };
@@ -437,12 +437,12 @@
   cluster.submit(test_job("run-2", 1));
   cluster.store.set_outage(true, cluster.now);
   cluster.run(cluster.controller(0).cluster_state.settings.operator_settings.controller_lease_s + 8);
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
-  EXPECT_EQ(cluster.worker("m1").agent_epoch(), 1U);
-  EXPECT_FALSE(cluster.worker("m1").has("run-2/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/0"));
+  EXPECT_EQ(cluster.agent("m1").agent_epoch(), 1U);
+  EXPECT_FALSE(cluster.agent("m1").has("run-2/0"));
   cluster.store.set_outage(false, cluster.now);
   cluster.run(3);
-  EXPECT_TRUE(cluster.worker("m1").has("run-2/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-2/0"));
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
 }
 
@@ -468,7 +468,7 @@
     cluster.add_machine("m1");
     cluster.submit(test_job("run-1", 1));
     cluster.run(3);
-    cluster.worker("m1").finish("run-1/0", EndCause::done);
+    cluster.agent("m1").finish("run-1/0", EndCause::done);
     cluster.exchange_report("m1", 0);
     std::string expected;
     if (cancel_first) {
@@ -496,8 +496,7 @@
   cluster.run(3);
   cluster.withdraw("run-1");
   cluster.run(4);
-  for (int task = 0; task < 6; ++task)
-    EXPECT_FALSE(cluster.worker("m1").has("run-1/" + std::to_string(task)));
+  for (int task = 0; task < 6; ++task) EXPECT_FALSE(cluster.agent("m1").has("run-1/" + std::to_string(task)));
   EXPECT_EQ(cluster.phase("run-1"), "cancelled");
   cluster.run(4);
   EXPECT_EQ(cluster.run_log.starts["run-1/5"], 0);
@@ -509,13 +508,13 @@
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 2));
   cluster.run(3);
-  cluster.worker("m1").finish("run-1/0", EndCause::done);
+  cluster.agent("m1").finish("run-1/0", EndCause::done);
   cluster.controller(0).write_outcome = WriteOutcome::not_arrived;
   cluster.run(2);
-  EXPECT_EQ(cluster.worker("m1").phase("run-1/0"), TaskPhase::ended);  // the agent still reports it
+  EXPECT_EQ(cluster.agent("m1").phase("run-1/0"), TaskPhase::ended);  // the agent still reports it
   cluster.controller(0).write_outcome = WriteOutcome::answered;
   cluster.run(3);
-  auto report = cluster.worker("m1").report(cluster.now);
+  auto report = cluster.agent("m1").report(cluster.now);
   EXPECT_EQ(report.tasks.size(), 1U);
   EXPECT_EQ(cluster.store.keys().at("o/c/run-1/0").value.at("d"), "1");
 }
@@ -528,13 +527,13 @@
   cluster.add_machine("m2");
   cluster.submit(test_job("run-1", 8));
   cluster.run(4);
-  cluster.silenced_workers = {"m1", "m2"};
+  cluster.silenced_agents = {"m1", "m2"};
   cluster.add_machine("m3");
   cluster.add_machine("m4");
   cluster.submit(test_job("run-2", 4));
   cluster.run(6);
-  EXPECT_FALSE(cluster.worker("m3").has("run-2/0"));
-  EXPECT_FALSE(cluster.worker("m4").has("run-2/0"));
+  EXPECT_FALSE(cluster.agent("m3").has("run-2/0"));
+  EXPECT_FALSE(cluster.agent("m4").has("run-2/0"));
   cluster.run(10);
   EXPECT_LE(cluster.controller(0).cluster_state.team_usage(red_partition).gpus, 8);
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
@@ -547,11 +546,11 @@
   spec.single_zone = true;
   cluster.submit(spec);
   cluster.run(3);
-  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
-  cluster.silenced_workers.insert("m1");
+  ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
+  cluster.silenced_agents.insert("m1");
   cluster.add_machine("m2", "b");
   cluster.run(8);
-  EXPECT_FALSE(cluster.worker("m2").has("run-1/1"));  // task 0 still counts as running in zone a
+  EXPECT_FALSE(cluster.agent("m2").has("run-1/1"));  // task 0 still counts as running in zone a
 }
 
 TEST(Fencing, DeletedMachineIsProvablyGoneAndNotReadmitted) {
@@ -564,7 +563,7 @@
   EXPECT_TRUE(
       cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());  // durable before the deletion is sent
   cluster.controller(0).autoscaler.on_deleted(cluster.controller(0).machines_to_delete, true);
-  cluster.silenced_workers.insert("m1");
+  cluster.silenced_agents.insert("m1");
   cluster.run(2);
   EXPECT_EQ(cluster.store.keys().count("o/m/m1"), 0U);
   // A listing from before the deletion must not register the machine again.
@@ -632,15 +631,15 @@
   ASSERT_EQ(cluster.controller(0).direct_commands.size(), 1U);
   DirectCommands wake_up = cluster.controller(0).direct_commands.front();
   EXPECT_TRUE(wake_up.commands.empty());
-  ASSERT_TRUE(cluster.worker("m1").command(wake_up));
+  ASSERT_TRUE(cluster.agent("m1").handle_commands(wake_up));
   ASSERT_EQ(cluster.exchange_report("m1", 0).commands.size(), 1U);
   cluster.kill_controller(0);
   ASSERT_TRUE(cluster.controller(1).acquire_partition(red_partition, cluster.now));
-  auto answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
+  auto answer = cluster.controller(1).handle_report(cluster.agent("m1").report(cluster.now), cluster.now);
   EXPECT_EQ(answer.kind, ReportAnswer::Kind::ok);
   EXPECT_GT(answer.fencing_token, wake_up.fencing_token);
-  cluster.worker("m1").answer(answer, cluster.now);
-  EXPECT_FALSE(cluster.worker("m1").command(wake_up));  // a late copy of the wake-up is refused
+  cluster.agent("m1").handle_response(answer, cluster.now);
+  EXPECT_FALSE(cluster.agent("m1").handle_commands(wake_up));  // a late copy of the wake-up is refused
 }
 
 TEST(Fencing, RedirectMarksTheOwnerUnreachableOnlyForAgentsThatItServed) {
@@ -649,21 +648,21 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.controller(1).sync(cluster.now);
-  auto answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
+  auto answer = cluster.controller(1).handle_report(cluster.agent("m1").report(cluster.now), cluster.now);
   EXPECT_EQ(answer.kind, Kind::redirect);
   EXPECT_FALSE(answer.owner_unreachable);  // the owner never served it
   cluster.run(5);
-  answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
+  answer = cluster.controller(1).handle_report(cluster.agent("m1").report(cluster.now), cluster.now);
   EXPECT_FALSE(
       answer.owner_unreachable);  // ownership is recent: the agent may have been told to report at once
   cluster.run(30);
-  answer = cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now);
+  answer = cluster.controller(1).handle_report(cluster.agent("m1").report(cluster.now), cluster.now);
   EXPECT_EQ(answer.kind, Kind::redirect);
   EXPECT_EQ(answer.owner, "node-0");
   EXPECT_TRUE(answer.owner_unreachable);
   cluster.kill_controller(0);
   cluster.controller(1).sync(cluster.now);
-  EXPECT_EQ(cluster.controller(1).handle_report(cluster.worker("m1").report(cluster.now), cluster.now).kind,
+  EXPECT_EQ(cluster.controller(1).handle_report(cluster.agent("m1").report(cluster.now), cluster.now).kind,
             Kind::refuse);
 }
 
@@ -672,13 +671,13 @@
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 1));
   cluster.run(3);
-  Attempt first = cluster.worker("m1").attempt("run-1/0");
-  cluster.worker("m1").finish("run-1/0", EndCause::error);
+  Attempt first = cluster.agent("m1").attempt("run-1/0");
+  cluster.agent("m1").finish("run-1/0", EndCause::error);
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.run(6, 1);
-  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
-  EXPECT_GT(cluster.worker("m1").attempt("run-1/0"), first);
+  ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
+  EXPECT_GT(cluster.agent("m1").attempt("run-1/0"), first);
 }
 
 }  // namespace
--- a/tests/free_capacity_test.cpp
+++ b/tests/free_capacity_test.cpp
@@ -197,12 +197,12 @@
   cluster.run(4);
   EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
   // A machine that no longer reports gets no new tasks, even before it counts as silent.
-  cluster.silenced_workers.insert("m1");
+  cluster.silenced_agents.insert("m1");
   cluster.run(state.settings.report_interval_s * 2.5 + 2);
   cluster.submit(test_job("run-2", 1));
   cluster.run(1);
   EXPECT_TRUE(cluster.machines_of_task("run-2", 0).empty());
-  cluster.silenced_workers.erase("m1");
+  cluster.silenced_agents.erase("m1");
   cluster.run(2);
   EXPECT_EQ(cluster.machines_of_task("run-2", 0), std::vector<std::string>{"m1"});
 }
--- a/tests/market_safety_test.cpp
+++ b/tests/market_safety_test.cpp
@@ -49,7 +49,7 @@
   std::string machine_name = cluster.machine_of_first_job();
   ASSERT_NE(machine_name, "");
   EXPECT_EQ(machine_name.rfind("north.", 0), 0U);
-  cluster.worker(machine_name).finish("run-1/0", EndCause::done);
+  cluster.agent(machine_name).finish("run-1/0", EndCause::done);
   cluster.run(120);
   EXPECT_EQ(cluster.phase("run-1"), "done");
   EXPECT_TRUE(cluster.markets[0].hosts().at(machine_name).returned);
@@ -71,7 +71,7 @@
   MarketCluster cluster(market);
   std::string machine_name = cluster.machine_of_first_job();
   ASSERT_NE(machine_name, "");
-  cluster.silenced_workers.insert(machine_name);
+  cluster.silenced_agents.insert(machine_name);
   auto record = cluster.store.keys().at("o/m/" + machine_name);
   record.value["del"] = true;
   record.value["part"] = state::idle_pool_name;
@@ -95,7 +95,7 @@
   MarketCluster cluster(market);
   std::string machine_name = cluster.machine_of_first_job();
   ASSERT_NE(machine_name, "");
-  cluster.worker(machine_name).finish("run-1/0", EndCause::done);
+  cluster.agent(machine_name).finish("run-1/0", EndCause::done);
   cluster.run(60);
   ASSERT_TRUE(cluster.markets[0].hosts().at(machine_name).returned);
   ASSERT_TRUE(cluster.markets[0].hosts().at(machine_name).alive);
@@ -129,7 +129,7 @@
                           {"bid", "node-0-1-b1"}}}}}}});
   cluster.add_unregistered_machine("north.x1", "b");
   cluster.run(8);
-  EXPECT_FALSE(cluster.worker("north.x1").has("run-1/0"));
+  EXPECT_FALSE(cluster.agent("north.x1").has("run-1/0"));
   ASSERT_TRUE(cluster.starts_within("run-1/0", 60));
   EXPECT_NE(*cluster.running_on("run-1/0"), "north.x1");
   EXPECT_EQ(cluster.store.keys().count("o/m/north.x1"), 0U);  // the machine was returned
@@ -221,10 +221,10 @@
         cluster.store.set_outage(!cluster.store.outage(), cluster.now);
         break;
       case 4:
-        if (!host.empty()) cluster.silenced_workers.insert(host);
+        if (!host.empty()) cluster.silenced_agents.insert(host);
         break;
       case 5:
-        cluster.silenced_workers.erase(host);
+        cluster.silenced_agents.erase(host);
         break;
       case 6:
         cluster.controller(owner).write_outcome = WriteOutcome::answer_lost;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -195,14 +195,14 @@
   EXPECT_EQ(cluster.run_log.starts["run-1/0"] + cluster.run_log.starts["run-1/1"], 0);
   cluster.add_machine("m2");
   cluster.run(4);
-  std::string first = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  std::string first = cluster.agent("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
   std::string second = first == "run-1/0" ? "run-1/1" : "run-1/0";
-  ASSERT_TRUE(cluster.worker("m1").has(first));
-  ASSERT_TRUE(cluster.worker("m2").has(second));
-  EXPECT_EQ(cluster.worker("m1").attempt(first), cluster.worker("m2").attempt(second));
+  ASSERT_TRUE(cluster.agent("m1").has(first));
+  ASSERT_TRUE(cluster.agent("m2").has(second));
+  EXPECT_EQ(cluster.agent("m1").attempt(first), cluster.agent("m2").attempt(second));
   // The members complete together when one reports done, even while the other's machine is silent.
-  cluster.silenced_workers.insert("m2");
-  cluster.worker("m1").finish(first, EndCause::done);
+  cluster.silenced_agents.insert("m2");
+  cluster.agent("m1").finish(first, EndCause::done);
   cluster.run(2);
   EXPECT_EQ(cluster.phase("run-1"), "done");
 }
@@ -215,20 +215,20 @@
   cluster.add_machine("m2");
   cluster.submit(gang_job("run-1", 2));
   cluster.run(3);
-  std::string task_on_m1 = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  std::string task_on_m1 = cluster.agent("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
   std::string task_on_m2 = task_on_m1 == "run-1/0" ? "run-1/1" : "run-1/0";
-  cluster.worker("m1").set_phase(task_on_m1, TaskPhase::gathering);
-  cluster.worker("m2").set_phase(task_on_m2, TaskPhase::fetching);
+  cluster.agent("m1").set_phase(task_on_m1, TaskPhase::gathering);
+  cluster.agent("m2").set_phase(task_on_m2, TaskPhase::fetching);
   cluster.run(1);
-  Attempt attempt = cluster.worker("m2").attempt(task_on_m2);
-  cluster.worker("m1").finish(task_on_m1, EndCause::gang_incomplete);
+  Attempt attempt = cluster.agent("m2").attempt(task_on_m2);
+  cluster.agent("m1").finish(task_on_m1, EndCause::gang_incomplete);
   cluster.run(3);
   EXPECT_EQ(cluster.run_log.starts[task_on_m2], 1);  // still fetching
-  ASSERT_TRUE(cluster.worker("m1").has(task_on_m1));
+  ASSERT_TRUE(cluster.agent("m1").has(task_on_m1));
   EXPECT_EQ(cluster.run_log.starts[task_on_m1], 2);
-  EXPECT_EQ(cluster.worker("m1").attempt(task_on_m1), attempt);
+  EXPECT_EQ(cluster.agent("m1").attempt(task_on_m1), attempt);
   cluster.run(5);
-  cluster.worker("m1").finish(task_on_m1, EndCause::done);
+  cluster.agent("m1").finish(task_on_m1, EndCause::done);
   cluster.run(2);
   EXPECT_EQ(cluster.phase("run-1"), "done");
 }
@@ -239,20 +239,20 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
-  cluster.silenced_workers.insert("m2");  // still booting
+  cluster.silenced_agents.insert("m2");  // still booting
   cluster.submit(gang_job("run-1", 2));
   cluster.run(1);
-  std::string first = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  ASSERT_TRUE(cluster.worker("m1").has(first));
-  cluster.worker("m1").set_phase(first, TaskPhase::gathering);
+  std::string first = cluster.agent("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  ASSERT_TRUE(cluster.agent("m1").has(first));
+  cluster.agent("m1").set_phase(first, TaskPhase::gathering);
   cluster.submit(gang_job("run-2", 1));
   cluster.run(2);
   EXPECT_EQ(cluster.run_log.starts["run-2/0"], 0);
-  cluster.silenced_workers.clear();
+  cluster.silenced_agents.clear();
   cluster.run(2);
   std::string second = first == "run-1/0" ? "run-1/1" : "run-1/0";
-  ASSERT_TRUE(cluster.worker("m2").has(second));
-  EXPECT_EQ(cluster.worker("m1").attempt(first), cluster.worker("m2").attempt(second));
+  ASSERT_TRUE(cluster.agent("m2").has(second));
+  EXPECT_EQ(cluster.agent("m1").attempt(first), cluster.agent("m2").attempt(second));
   EXPECT_EQ(cluster.run_log.starts[first], 1);
 }
 
@@ -260,17 +260,17 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
-  cluster.silenced_workers.insert("m2");  // never comes up
+  cluster.silenced_agents.insert("m2");  // never comes up
   cluster.submit(gang_job("run-1", 2));
   cluster.run(1);
-  std::string first = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  ASSERT_TRUE(cluster.worker("m1").has(first));
-  cluster.worker("m1").set_phase(first, TaskPhase::gathering);
+  std::string first = cluster.agent("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  ASSERT_TRUE(cluster.agent("m1").has(first));
+  cluster.agent("m1").set_phase(first, TaskPhase::gathering);
   cluster.submit(gang_job("run-2", 1));
   cluster.run(2 * cluster.controller(0).cluster_state.catalog[0].boot_s +
               cluster.controller(0).cluster_state.settings.gang_wait_timeout_s + 5);
-  EXPECT_FALSE(cluster.worker("m1").has(first));
-  EXPECT_TRUE(cluster.worker("m1").has("run-2/0"));
+  EXPECT_FALSE(cluster.agent("m1").has(first));
+  EXPECT_TRUE(cluster.agent("m1").has("run-2/0"));
 }
 
 TEST(GangScheduling, CapacityFreedForAGangIsNotTakenByLowerPriority) {
@@ -312,13 +312,13 @@
   low_priority_job.image_gb = 8;
   cluster.submit(low_priority_job);
   cluster.run(4);
-  ASSERT_TRUE(cluster.worker("m2").has("run-1/0"));
+  ASSERT_TRUE(cluster.agent("m2").has("run-1/0"));
   JobSpec high = gang_job("run-2", 1);
   high.priority = Priority::high;
   high.image_gb = 8;  // the same image
   cluster.submit(high);
   cluster.run(8);
-  EXPECT_TRUE(cluster.worker("m2").has("run-2/0"));
+  EXPECT_TRUE(cluster.agent("m2").has("run-2/0"));
   EXPECT_EQ(cluster.run_log.starts["run-2/0"], 1);
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
 }
@@ -329,16 +329,16 @@
   SimulatedCluster cluster;
   cluster.add_machine("m1");
   cluster.add_machine("m2");
-  for (const char* machine : {"m1", "m2"}) cluster.worker(machine).first_phase = TaskPhase::gathering;
+  for (const char* machine : {"m1", "m2"}) cluster.agent(machine).first_phase = TaskPhase::gathering;
   cluster.submit(gang_job("run-1", 2));
   cluster.run(3);
-  std::string task = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  ASSERT_TRUE(cluster.worker("m1").has(task));
+  std::string task = cluster.agent("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  ASSERT_TRUE(cluster.agent("m1").has(task));
   JobSpec other = gang_job("run-0", 1);
   other.priority = Priority::high;  // it comes first in the queue
   cluster.submit(other);
   cluster.controller(0).sync(cluster.now);
-  cluster.worker("m1").finish(task, EndCause::gang_incomplete);
+  cluster.agent("m1").finish(task, EndCause::gang_incomplete);
   cluster.now += 0.5;
   cluster.exchange_report("m1", 0);
   // The record of the end is written, but the controller does not get the answer.
@@ -353,11 +353,11 @@
   cluster.add_machine("m2");
   cluster.submit(gang_job("run-1", 2));
   cluster.run(4);
-  std::string task_on_m1 = cluster.worker("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
-  ASSERT_TRUE(cluster.worker("m1").has(task_on_m1));
-  Attempt before = cluster.worker("m1").attempt(task_on_m1);
-  cluster.silenced_workers.insert("m2");
-  cluster.worker("m1").finish(task_on_m1, EndCause::peers_lost);
+  std::string task_on_m1 = cluster.agent("m1").has("run-1/0") ? "run-1/0" : "run-1/1";
+  ASSERT_TRUE(cluster.agent("m1").has(task_on_m1));
+  Attempt before = cluster.agent("m1").attempt(task_on_m1);
+  cluster.silenced_agents.insert("m2");
+  cluster.agent("m1").finish(task_on_m1, EndCause::peers_lost);
   cluster.add_machine("m3");
   cluster.run(6);
   // The member on m2 may still be running, so nothing is started until its agent's lease has expired.
@@ -368,8 +368,8 @@
   EXPECT_TRUE(cluster.run_log.duplicated_tasks.empty());
   for (const char* machine : {"m1", "m3"}) {
     for (const char* task : {"run-1/0", "run-1/1"}) {
-      if (cluster.worker(machine).has(task)) {
-        EXPECT_NE(cluster.worker(machine).attempt(task), before);
+      if (cluster.agent(machine).has(task)) {
+        EXPECT_NE(cluster.agent(machine).attempt(task), before);
       }
     }
   }
@@ -384,7 +384,7 @@
   cluster.run(6);
   std::set<Attempt> attempts;
   for (int i = 0; i < 70; ++i) {
-    for (const TaskReport& task : cluster.worker("m" + std::to_string(i)).report(cluster.now).tasks)
+    for (const TaskReport& task : cluster.agent("m" + std::to_string(i)).report(cluster.now).tasks)
       attempts.insert(task.attempt);
   }
   EXPECT_EQ(cluster.run_log.starts.size(), 70U);
@@ -421,7 +421,7 @@
   cluster.submit(job_spec);
   cluster.run(4);
   ASSERT_EQ(cluster.run_log.starts["run-1/0"], 1);
-  cluster.worker("m1").preemption_notice_s = 10;
+  cluster.agent("m1").preemption_notice_s = 10;
   cluster.exchange_report("m1", 0);
   cluster.controller(0).direct_commands.clear();
   cluster.now += 0.5;
@@ -448,14 +448,14 @@
   spec.estimate_s = 0;
   cluster.submit(spec);
   cluster.run(3);
-  cluster.worker("m1").finish("run-1/0", EndCause::error);
+  cluster.agent("m1").finish("run-1/0", EndCause::error);
   cluster.run(5);
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/0"));
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 2);
   cluster.withdraw("run-1");
   cluster.run(3);
   EXPECT_EQ(cluster.phase("run-1"), "cancelled");
-  EXPECT_FALSE(cluster.worker("m1").has("run-1/1"));
+  EXPECT_FALSE(cluster.agent("m1").has("run-1/1"));
 }
 
 TEST(Autoscaler, LeaderMovesIdleMachinesAndScalesOutForTheRest) {
@@ -465,7 +465,7 @@
   cluster.submit(test_job("run-1", 8));
   cluster.run(4);
   EXPECT_EQ(cluster.store.keys().at("o/m/m1").value.at("part"), "red");
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/0"));
   // No machine has become free recently, so the autoscaler does not wait for one.
   ASSERT_EQ(cluster.controller(0).scale_outs.size(), 1U);  // for the other four tasks; requested once
   EXPECT_EQ(cluster.controller(0).scale_outs[0].count, 1U);
@@ -490,9 +490,9 @@
   OperatorSettings& operator_settings = cluster.controller(0).cluster_state.settings.operator_settings;
   operator_settings.release_to_pool_s = 5;
   cluster.run(operator_settings.boot_timeout_factor * 20 + 20);
-  cluster.worker("m1").finish("run-1/0", EndCause::done);
+  cluster.agent("m1").finish("run-1/0", EndCause::done);
   cluster.run(1.5);
-  cluster.silenced_workers.insert("m1");  // the idle pool's owner gets no report of it for a while
+  cluster.silenced_agents.insert("m1");  // the idle pool's owner gets no report of it for a while
   cluster.run(6.5);
   EXPECT_EQ(cluster.store.keys().at("o/m/m1").value.at("part"), ".pool");
   EXPECT_FALSE(cluster.store.keys().at("o/m/m1").value.at("del").get<bool>());
@@ -530,7 +530,7 @@
     cluster.add_machine("b" + std::to_string(i), "b", "blue");
   }
   cluster.run(3);
-  for (int i = 0; i < 5; ++i) cluster.silenced_workers.insert("a" + std::to_string(i));
+  for (int i = 0; i < 5; ++i) cluster.silenced_agents.insert("a" + std::to_string(i));
   cluster.run(4);
   EXPECT_TRUE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{0}, cluster.now));
   EXPECT_FALSE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{1}, cluster.now));
@@ -541,13 +541,13 @@
   ASSERT_FALSE(cluster.controller(0).scale_outs.empty());
   for (const ScaleOutRequest& request : cluster.controller(0).scale_outs) EXPECT_EQ(request.zone.value, 1U);
   EXPECT_EQ(cluster.run_log.starts.size(), 20U);
-  cluster.silenced_workers.clear();
+  cluster.silenced_agents.clear();
   cluster.run(2);
   EXPECT_FALSE(cluster.controller(0).scheduler.is_unreachable(ZoneIndex{0}, cluster.now));
   // A controller that receives no reports at all is disconnected itself, so no zone counts as unreachable.
   for (int i = 0; i < 5; ++i) {
-    cluster.silenced_workers.insert("a" + std::to_string(i));
-    cluster.silenced_workers.insert("b" + std::to_string(i));
+    cluster.silenced_agents.insert("a" + std::to_string(i));
+    cluster.silenced_agents.insert("b" + std::to_string(i));
   }
   cluster.run(4);
   EXPECT_TRUE(cluster.controller(0).scheduler.unreachable_zones(cluster.now).empty());
@@ -556,8 +556,8 @@
 TEST(Autoscaler, UnregisteredMachineIsAdopted) {
   SimulatedCluster cluster;
   cluster.add_machine("m1", "a", ".pool");
-  simulation::Worker unregistered_worker("host-9", "b", cluster.run_log);
-  auto answer = cluster.controller(0).handle_report(unregistered_worker.report(cluster.now), cluster.now);
+  simulation::Agent unregistered_agent("host-9", "b", cluster.run_log);
+  auto answer = cluster.controller(0).handle_report(unregistered_agent.report(cluster.now), cluster.now);
   EXPECT_EQ(answer.kind, ReportAnswer::Kind::ok);
   EXPECT_TRUE(answer.commands.empty());
   cluster.run(1);
@@ -570,8 +570,8 @@
   SimulatedCluster cluster;
   cluster.submit(test_job("run-1", 1));
   cluster.controller(0).sync(cluster.now);
-  simulation::Worker unregistered_worker("host-9", "b", cluster.run_log);
-  cluster.controller(0).handle_report(unregistered_worker.report(cluster.now), cluster.now);
+  simulation::Agent unregistered_agent("host-9", "b", cluster.run_log);
+  cluster.controller(0).handle_report(unregistered_agent.report(cluster.now), cluster.now);
   std::size_t before = cluster.store.events().size();
   cluster.run(0.5);
   EXPECT_EQ(cluster.store.keys().at("o/m/host-9").value.at("part"), "red");
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -116,7 +116,7 @@
     fixture.cluster.submit(test_job("run-2", 1, 64));  // known, but too large to be placed
     fixture.fail_over();
     fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
-    AgentReport report = fixture.cluster.worker("m0").report(fixture.cluster.now);
+    AgentReport report = fixture.cluster.agent("m0").report(fixture.cluster.now);
     report.fencing_token = ~0ULL;
     ASSERT_EQ(report.tasks.size(), 1U);
     // Each machine has one task of run-1; the owner chooses which.
@@ -149,7 +149,7 @@
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.controller(1).run_cycle(cluster.now);
-  AgentReport report = cluster.worker("m0").report(cluster.now);
+  AgentReport report = cluster.agent("m0").report(cluster.now);
   report.fencing_token = ~0ULL;
   MachineIndex machine_index = cluster.controller(1).cluster_state.names.machines.find("m0");
   ASSERT_EQ(report.tasks.size(), 1U);
@@ -224,7 +224,7 @@
 
 TEST(Reconciler, SingleSilentMachineIsSuspectedUntilItReports) {
   ReconciliationFixture fixture(8);
-  fixture.cluster.silenced_workers.insert("m3");
+  fixture.cluster.silenced_agents.insert("m3");
   reconciliation::Settings settings;
   settings.delete_suspects = false;
   fixture.fail_over(settings);
@@ -236,7 +236,7 @@
   EXPECT_EQ(fixture.reconciler().suspects(10).size(), 1U);
   EXPECT_EQ(fixture.cluster.machines_of_task("run-1", 3).size(), 1U)
       << "a suspicion does not prove that the machine is lost";
-  fixture.cluster.silenced_workers.clear();
+  fixture.cluster.silenced_agents.clear();
   fixture.cluster.run(1, 1);
   EXPECT_NE(fixture.liveness(3), AgentLiveness::suspected);
   EXPECT_FALSE(fixture.reconciler().is_suspected(fixture.machine("m3")));
@@ -246,7 +246,7 @@
 TEST(Reconciler, NoSuspicionWhileAnEarlierOwnerMayRespond) {
   ReconciliationFixture fixture(8);
   // Behaves like an agent that reports to its earlier owner, which has lost only the state service.
-  fixture.cluster.silenced_workers.insert("m3");
+  fixture.cluster.silenced_agents.insert("m3");
   fixture.fail_over({}, false);
   double read_only_period_s = fixture.cluster.controller(1).cluster_state.settings.read_only_period_s(),
          first_report_timeout_s =
@@ -259,7 +259,7 @@
 
 TEST(Reconciler, NoSuspicionWithoutEnoughReports) {
   ReconciliationFixture fixture(8);
-  for (int i = 0; i < 4; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
+  for (int i = 0; i < 4; ++i) fixture.cluster.silenced_agents.insert(machine_name(i));
   fixture.fail_over();
   fixture.cluster.run(9, 1);
   for (int i = 0; i < 8; ++i) EXPECT_NE(fixture.liveness(i), AgentLiveness::suspected) << i;
@@ -272,11 +272,11 @@
   fixture.fail_over();
   fixture.cluster.run(3, 1);
   ASSERT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::serving);
-  for (int i = 0; i < 4; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
+  for (int i = 0; i < 4; ++i) fixture.cluster.silenced_agents.insert(machine_name(i));
   fixture.cluster.run(9, 1);
   for (int i = 0; i < 8; ++i) EXPECT_NE(fixture.liveness(i), AgentLiveness::suspected) << i;
   // When the zone reports again, the silence of its other machines counts from then.
-  for (int i = 0; i < 3; ++i) fixture.cluster.silenced_workers.erase(machine_name(i));
+  for (int i = 0; i < 3; ++i) fixture.cluster.silenced_agents.erase(machine_name(i));
   fixture.cluster.run(1, 1);
   EXPECT_NE(fixture.liveness(3), AgentLiveness::suspected);
 }
@@ -286,7 +286,7 @@
   fixture.fail_over();
   fixture.cluster.run(3, 1);
   ASSERT_EQ(fixture.reconciler().phase(red_partition), PartitionPhase::serving);
-  fixture.cluster.silenced_workers.insert("m3");
+  fixture.cluster.silenced_agents.insert("m3");
   // For eight seconds the controller runs no cycle and receives no reports, but renews its lease.
   for (int i = 0; i < 16; ++i) {
     fixture.cluster.now += 0.5;
@@ -313,7 +313,7 @@
       empty_machine = machine_name(i);
   }
   ASSERT_FALSE(empty_machine.empty());
-  fixture.cluster.silenced_workers.insert(empty_machine);
+  fixture.cluster.silenced_agents.insert(empty_machine);
   fixture.cluster.run(8, 1);
   ASSERT_TRUE(fixture.reconciler().is_suspected(fixture.machine(empty_machine)));
   fixture.cluster.controller(1).scale_outs.clear();
@@ -334,8 +334,8 @@
   cluster.submit(job);
   cluster.run(5);
   std::string lost_machine = cluster.machines_of_task("run-1", 0).at(0);
-  cluster.silenced_workers.insert(lost_machine);
-  cluster.worker(lost_machine).power_off();
+  cluster.silenced_agents.insert(lost_machine);
+  cluster.agent(lost_machine).power_off();
   cluster.kill_controller(0);
   cluster.now += 4;
   cluster.controller(1).enable_reconciliation({});
@@ -345,7 +345,7 @@
   for (std::size_t controller : {0, 1}) cluster.register_controller(controller);
   cluster.run(1, 1);
   for (TaskNumber task : {1U, 2U, 3U})
-    cluster.worker(cluster.machines_of_task("run-1", task).at(0))
+    cluster.agent(cluster.machines_of_task("run-1", task).at(0))
         .finish("run-1/" + std::to_string(task), EndCause::peers_lost);
   MachineIndex machine_index = cluster.controller(1).cluster_state.names.machines.find(lost_machine);
   cluster.run(7.5, 1);
@@ -379,7 +379,7 @@
     ReconciliationFixture fixture(8);
     reconciliation::Settings settings;
     settings.delete_suspects = test_case.delete_suspects;
-    fixture.cluster.silenced_workers.insert("m3");
+    fixture.cluster.silenced_agents.insert("m3");
     fixture.fail_over(settings);
     if (test_case.is_market_machine) {
       fixture.cluster.controller(1).cluster_state.names.markets.intern("north");
@@ -425,7 +425,7 @@
 
 TEST(Reconciler, ScaleOutWaitsForPartitionReportsExceptGuaranteedWork) {
   ReconciliationFixture fixture(8);
-  fixture.cluster.silenced_workers.insert("m0");
+  fixture.cluster.silenced_agents.insert("m0");
   fixture.fail_over();
   fixture.cluster.controller(1).run_cycle(fixture.cluster.now);
   reconciliation::Reconciler& reconciler = fixture.reconciler();
@@ -458,7 +458,7 @@
 
 TEST(Reconciler, DeletionsOnSuspicionStayWithinBudget) {
   ReconciliationFixture fixture(30);
-  for (int i = 0; i < 10; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
+  for (int i = 0; i < 10; ++i) fixture.cluster.silenced_agents.insert(machine_name(i));
   fixture.fail_over();
   for (int i = 0; i < 40; ++i)
     const_cast<reconciliation::SuspicionStatistics&>(fixture.reconciler().suspicion_statistics())
@@ -546,7 +546,7 @@
   cluster.controller(1)
       .cluster_state.edit_machine(cluster.controller(1).cluster_state.names.machines.find("m0"))
       .has_booted = true;
-  cluster.silenced_workers.insert("m0");
+  cluster.silenced_agents.insert("m0");
   cluster.run(
       cluster.controller(1).cluster_state.settings.failover_silence_s() + settings.demand_window_s + 6, 1);
   EXPECT_GE(cluster.controller(1).reconciler->phase(idle_pool), PartitionPhase::ramping_down);
@@ -554,7 +554,7 @@
 
 TEST(Reconciler, ReplacementsAreBoundedAndRequestedOnce) {
   ReconciliationFixture fixture(20);
-  for (int i = 0; i < 5; ++i) fixture.cluster.silenced_workers.insert(machine_name(i));
+  for (int i = 0; i < 5; ++i) fixture.cluster.silenced_agents.insert(machine_name(i));
   reconciliation::Settings settings;
   settings.delete_suspects = false;
   fixture.fail_over(settings);
@@ -568,7 +568,7 @@
   EXPECT_EQ(requested(), 3U) << "0.15 of 20 machines";
   fixture.cluster.run(2, 1);
   EXPECT_EQ(requested(), 3U);
-  fixture.cluster.silenced_workers.clear();
+  fixture.cluster.silenced_agents.clear();
   fixture.cluster.run(1, 1);
   EXPECT_TRUE(fixture.reconciler().replacements(fixture.cluster.now).empty());
 }
@@ -583,7 +583,7 @@
       simulation::load_cluster_scenario(dir + "cluster/" + GetParam() + ".yaml", dir + "fleets/small.yaml");
   for (simulation::Fault& fault : scenario.faults)
     fault.count = fault.count / 10;  // the fleet is ten times smaller
-  auto rows = simulation::play(scenario, 2, 1);
+  auto rows = simulation::run_variants(scenario, 2, 1);
   for (const simulation::ClusterSummary& summary : simulation::summarise(scenario, rows)) {
     EXPECT_EQ(summary.violations, 0) << name_of(summary.variant) << ": " << summary.first_violation;
     if (summary.variant != simulation::SimulationVariant::with_reconciliation) continue;
@@ -653,11 +653,11 @@
   for (int step : steps) {
     // 0 to 7: that machine falls silent. 8 to 15: machine `step - 8` reports again. Otherwise only time
     // passes.
-    if (step < 8) fixture.cluster.silenced_workers.insert(machine_name(step));
-    if (step >= 8 && step < 16) fixture.cluster.silenced_workers.erase(machine_name(step - 8));
+    if (step < 8) fixture.cluster.silenced_agents.insert(machine_name(step));
+    if (step >= 8 && step < 16) fixture.cluster.silenced_agents.erase(machine_name(step - 8));
     fixture.cluster.run(1, 1);
     for (int i = 0; i < 8; ++i) {
-      if (fixture.cluster.silenced_workers.count(machine_name(i)) == 0)
+      if (fixture.cluster.silenced_agents.count(machine_name(i)) == 0)
         last_report_at[machine_name(i)] = fixture.cluster.now;
       MachineIndex machine = fixture.machine(machine_name(i));
       if (!machine.valid() || fixture.cluster.controller(1).cluster_state.machine(machine).revision == 0)
--- a/tests/release_calendar_test.cpp
+++ b/tests/release_calendar_test.cpp
@@ -61,10 +61,10 @@
   /// Ends the job's task 0 if it runs on a machine; returns whether it did.
   bool finish(const std::string& ref, EndCause cause = EndCause::done) {
     for (const char* machine : {"m1", "m2", "m3", "m4"}) {
-      if (!cluster.worker(machine).has(ref + "/0") ||
-          cluster.worker(machine).phase(ref + "/0") == TaskPhase::ended)
+      if (!cluster.agent(machine).has(ref + "/0") ||
+          cluster.agent(machine).phase(ref + "/0") == TaskPhase::ended)
         continue;
-      cluster.worker(machine).finish(ref + "/0", cause);
+      cluster.agent(machine).finish(ref + "/0", cause);
       return true;
     }
     return false;
@@ -99,7 +99,7 @@
   fixture.run(20);
   EXPECT_FALSE(fixture.has_started("run-pub-ar"));
   EXPECT_EQ(fixture.state(), "rendering");
-  EXPECT_NE(fixture.cluster.controller(0).release_planner->pending_reason("manual").find("run-fr"),
+  EXPECT_NE(fixture.cluster.controller(0).release_coordinator->pending_reason("manual").find("run-fr"),
             std::string::npos);
   ASSERT_TRUE(fixture.finish("run-fr"));
   fixture.run(2.5);
@@ -143,7 +143,7 @@
          fixture.prerequisites = {{"run-pub-ar", {"run-ar", "run-fr2"}},
                                   {"run-pub-fr", {"run-ar", "run-fr2"}}};
          // Another controller has the newer calendar file.
-         fixture.cluster.controller(1).release_planner->load({2, {changed_spec}});
+         fixture.cluster.controller(1).release_coordinator->load({2, {changed_spec}});
          fixture.cluster.controller(1).lease.on_granted(
              fixture.cluster.store.grant_lease(1e6, fixture.cluster.now), fixture.cluster.now);
          fixture.cluster.controller(1).sync(fixture.cluster.now);
@@ -166,7 +166,7 @@
       {"a newer revision while the older one renders: the older one is not published",
        [](ReleaseFixture& fixture) {
          fixture.finish("run-ar");
-         fixture.cluster.controller(0).release_planner->load({2, {manual_release_spec("r2", "2")}});
+         fixture.cluster.controller(0).release_coordinator->load({2, {manual_release_spec("r2", "2")}});
          fixture.run(3);
          fixture.finish("run-fr");
          fixture.run(10);
@@ -176,7 +176,7 @@
        [&](ReleaseFixture& fixture) {
          render(fixture);
          fixture.finish("run-pub-ar");
-         fixture.cluster.controller(0).release_planner->load({2, {manual_release_spec("r2", "2")}});
+         fixture.cluster.controller(0).release_coordinator->load({2, {manual_release_spec("r2", "2")}});
          fixture.submit("run-pub-ar2");
          fixture.run(5);
          EXPECT_EQ(fixture.state(), "decided");
@@ -189,7 +189,7 @@
       {"operators remove the release: its jobs are no longer withheld",
        [](ReleaseFixture& fixture) {
          fixture.prerequisites.clear();
-         fixture.cluster.controller(0).release_planner->load({2, {}});
+         fixture.cluster.controller(0).release_coordinator->load({2, {}});
          fixture.run(6);
        },
        "lifted", true},
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -22,7 +22,7 @@
 void expect_running_on(SimulatedCluster& cluster, const std::string& machine, const std::string& ref,
                        TaskNumber task) {
   EXPECT_EQ(cluster.machines_of_task(ref, task), std::vector<std::string>{machine});
-  EXPECT_TRUE(cluster.worker(machine).has(ref + "/" + std::to_string(task)));
+  EXPECT_TRUE(cluster.agent(machine).has(ref + "/" + std::to_string(task)));
 }
 
 TEST(Services, ReplicaRecoversFromFaults) {
@@ -40,9 +40,9 @@
        [](SimulatedCluster& cluster) {
          cluster.add_machine("m2");
          cluster.run(2);
-         cluster.silenced_workers.insert("m1");
+         cluster.silenced_agents.insert("m1");
          cluster.store.txn({{"guards", simulation::Json::array()}, {"apply", {{{"delete", "o/m/m1"}}}}});
-         cluster.worker("m1").tick(cluster.now + 100);  // the machine is gone
+         cluster.agent("m1").tick(cluster.now + 100);  // the machine is gone
          cluster.run(3);
        },
        "open", 0, "m2", 2},
@@ -50,7 +50,7 @@
        [](SimulatedCluster& cluster) {
          cluster.add_machine("m2");
          cluster.run(2);
-         cluster.silenced_workers.insert("m1");
+         cluster.silenced_agents.insert("m1");
          cluster.run(cluster.controller(0).cluster_state.settings.lease_expiry_s() - 2);
          EXPECT_EQ(cluster.machines_of_task("run-1", 0), std::vector<std::string>{"m1"});
          cluster.run(5);
@@ -76,7 +76,7 @@
        "open", 0, "m1", 1},
       {"a replica that ends with an error starts again",
        [](SimulatedCluster& cluster) {
-         cluster.worker("m1").finish("run-1/0", EndCause::error);
+         cluster.agent("m1").finish("run-1/0", EndCause::error);
          cluster.run(6);
        },
        "open", 0, "m1", 2},
@@ -88,7 +88,7 @@
        "cancelled", 0, "", 1},
       {"a replica keeps running when a late report names an earlier attempt",
        [](SimulatedCluster& cluster) {
-         AgentReport late_report = cluster.worker("m1").report(cluster.now);
+         AgentReport late_report = cluster.agent("m1").report(cluster.now);
          late_report.tasks[0].phase = TaskPhase::ended;
          late_report.tasks[0].cause = EndCause::error;
          late_report.tasks[0].attempt -= 1;
@@ -113,7 +113,7 @@
     if (!test_case.final_machine.empty()) {
       expect_running_on(cluster, test_case.final_machine, "run-1", 0);
     } else {
-      EXPECT_FALSE(cluster.worker("m1").has("run-1/0"));
+      EXPECT_FALSE(cluster.agent("m1").has("run-1/0"));
     }
   }
 }
@@ -262,22 +262,22 @@
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 4));
   cluster.run(3);
-  cluster.worker("m1").finish("run-1/0", EndCause::done);
-  cluster.worker("m1").finish("run-1/1", EndCause::done);
+  cluster.agent("m1").finish("run-1/0", EndCause::done);
+  cluster.agent("m1").finish("run-1/1", EndCause::done);
   cluster.run(2);
   auto done_mark = [&] { return cluster.store.keys().at("o/c/run-1/0").value.at("d").get<std::string>(); };
   EXPECT_EQ(done_mark(), "0");
   cluster.submit(test_job("run-2", 2));  // the machine fits four tasks
   cluster.run(3);
-  EXPECT_TRUE(cluster.worker("m1").has("run-2/0"));
-  EXPECT_TRUE(cluster.worker("m1").has("run-2/1"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-2/0"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-2/1"));
   cluster.run(20);
   EXPECT_EQ(done_mark(), "3");  // both tasks in one change
   // The end of the job is written without delay.
-  cluster.worker("m1").finish("run-1/2", EndCause::done);
+  cluster.agent("m1").finish("run-1/2", EndCause::done);
   cluster.run(2);
   EXPECT_EQ(done_mark(), "3");
-  cluster.worker("m1").finish("run-1/3", EndCause::done);
+  cluster.agent("m1").finish("run-1/3", EndCause::done);
   cluster.run(2);
   EXPECT_EQ(cluster.phase("run-1"), "done");
 }
@@ -288,13 +288,13 @@
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 2));
   cluster.run(3);
-  cluster.worker("m1").finish("run-1/0", EndCause::done);
+  cluster.agent("m1").finish("run-1/0", EndCause::done);
   cluster.run(2);
   cluster.kill_controller(0);
   cluster.now += 4;
   cluster.controller(1).acquire_all_partitions(cluster.now);
   cluster.run(3, 1);
-  cluster.worker("m1").finish("run-1/1", EndCause::done);
+  cluster.agent("m1").finish("run-1/1", EndCause::done);
   cluster.run(3, 1);
   EXPECT_EQ(cluster.phase("run-1"), "done");
   EXPECT_EQ(cluster.run_log.starts["run-1/0"], 1);
--- a/tests/serving_test.cpp
+++ b/tests/serving_test.cpp
@@ -84,7 +84,7 @@
   std::uint32_t replicas() {
     std::uint32_t count = 0;
     for (const std::string& machine : machines()) {
-      for (const auto& [id, task] : cluster.worker(machine).tasks())
+      for (const auto& [id, task] : cluster.agent(machine).tasks())
         count += static_cast<unsigned int>(task.job == "run-model" && task.phase != TaskPhase::ended);
     }
     return count;
@@ -92,9 +92,9 @@
   /// Ends the task if it runs on a machine; returns whether it did.
   bool finish(const std::string& task, EndCause cause = EndCause::done) {
     for (const std::string& machine : machines()) {
-      if (!cluster.worker(machine).has(task) || cluster.worker(machine).phase(task) == TaskPhase::ended)
+      if (!cluster.agent(machine).has(task) || cluster.agent(machine).phase(task) == TaskPhase::ended)
         continue;
-      cluster.worker(machine).finish(task, cause);
+      cluster.agent(machine).finish(task, cause);
       return true;
     }
     return false;
@@ -141,16 +141,16 @@
   EXPECT_EQ(fixture.cluster.phase("run-model"),
             "queued" == fixture.cluster.phase("run-model") ? "queued" : "open");
   for (const char* machine : {"m1", "m2", "m3", "m4"})
-    fixture.cluster.worker(machine).first_phase = TaskPhase::fetching;
+    fixture.cluster.agent(machine).first_phase = TaskPhase::fetching;
   for (int i = 0; i < 5; ++i) fixture.submit("run-call" + std::to_string(i), "call", 1, i % 2 == 1);
   fixture.run(6);
   EXPECT_EQ(fixture.state(), "warming");
   EXPECT_EQ(fixture.replicas(), 1U);  // one replica, not one per call
   EXPECT_EQ(fixture.cluster.run_log.starts["run-call0/0"] + fixture.cluster.run_log.starts["run-call1/0"], 0);
   for (const char* machine : {"m1", "m2", "m3", "m4"}) {
-    fixture.cluster.worker(machine).first_phase = TaskPhase::running;
-    if (fixture.cluster.worker(machine).has("run-model/0"))
-      fixture.cluster.worker(machine).set_phase("run-model/0", TaskPhase::running);
+    fixture.cluster.agent(machine).first_phase = TaskPhase::running;
+    if (fixture.cluster.agent(machine).has("run-model/0"))
+      fixture.cluster.agent(machine).set_phase("run-model/0", TaskPhase::running);
   }
   fixture.run(4);
   EXPECT_EQ(fixture.state(), "serving");
@@ -181,7 +181,7 @@
       {"two owners fail while the model warms: one cold start",
        [](ModelServingFixture& fixture) {
          for (const std::string& machine : fixture.machines())
-           fixture.cluster.worker(machine).first_phase = TaskPhase::fetching;
+           fixture.cluster.agent(machine).first_phase = TaskPhase::fetching;
          fixture.submit("run-call", "call");
          fixture.run(3);
          ASSERT_EQ(fixture.state(), "warming");
@@ -243,7 +243,7 @@
       {"the service job is cancelled while the model warms: the call waits",
        [](ModelServingFixture& fixture) {
          for (const std::string& machine : fixture.machines())
-           fixture.cluster.worker(machine).first_phase = TaskPhase::fetching;
+           fixture.cluster.agent(machine).first_phase = TaskPhase::fetching;
          fixture.submit("run-call", "call");
          fixture.run(3);
          fixture.cluster.withdraw("run-model");
@@ -285,16 +285,16 @@
       {"no controller runs for a while as the model warms: one cold start",
        [](ModelServingFixture& fixture) {
          for (const std::string& machine : fixture.machines())
-           fixture.cluster.worker(machine).first_phase = TaskPhase::fetching;
+           fixture.cluster.agent(machine).first_phase = TaskPhase::fetching;
          fixture.submit("run-call", "call");
          fixture.run(3);
          fixture.cluster.kill_controller(fixture.owner);
          fixture.cluster.now += 8;
          fixture.change_owner();
          for (const std::string& machine : fixture.machines()) {
-           fixture.cluster.worker(machine).first_phase = TaskPhase::running;
-           if (fixture.cluster.worker(machine).has("run-model/0"))
-             fixture.cluster.worker(machine).set_phase("run-model/0", TaskPhase::running);
+           fixture.cluster.agent(machine).first_phase = TaskPhase::running;
+           if (fixture.cluster.agent(machine).has("run-model/0"))
+             fixture.cluster.agent(machine).set_phase("run-model/0", TaskPhase::running);
          }
          fixture.run(45);
        },
--- a/tests/slow_task_detector_test.cpp
+++ b/tests/slow_task_detector_test.cpp
@@ -58,7 +58,7 @@
   cluster.run(3);
   for (const char* task : {"run-1/0", "run-1/1", "run-1/2"}) {
     for (const char* machine : {"m1", "m2"}) {
-      if (cluster.worker(machine).has(task)) cluster.worker(machine).finish(task, EndCause::done);
+      if (cluster.agent(machine).has(task)) cluster.agent(machine).finish(task, EndCause::done);
     }
   }
   cluster.run(40);
@@ -75,7 +75,7 @@
   cluster.run(3);
   for (const char* job_prefix : {"run-1/", "run-2/"}) {
     for (int task = 0; task < 3; ++task)
-      cluster.worker("m1").finish(job_prefix + std::to_string(task), EndCause::done);
+      cluster.agent("m1").finish(job_prefix + std::to_string(task), EndCause::done);
   }
   cluster.run(2);
   cluster.add_machine("m2", "b");
@@ -83,16 +83,16 @@
   zone_b_job.zone = ZoneIndex{1};
   cluster.submit(zone_b_job);
   cluster.run(14);  // still below the floor of 20 s
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/3"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/3"));
   cluster.run(6);
-  EXPECT_FALSE(cluster.worker("m1").has("run-1/3"));
-  EXPECT_FALSE(cluster.worker("m1").has("run-2/3"));
-  EXPECT_TRUE(cluster.worker("m2").has("run-1/3"));
-  EXPECT_TRUE(cluster.worker("m2").has("run-2/3"));
+  EXPECT_FALSE(cluster.agent("m1").has("run-1/3"));
+  EXPECT_FALSE(cluster.agent("m1").has("run-2/3"));
+  EXPECT_TRUE(cluster.agent("m2").has("run-1/3"));
+  EXPECT_TRUE(cluster.agent("m2").has("run-2/3"));
   // m1 is blocked: new tasks are placed elsewhere although it is empty.
   cluster.submit(test_job("run-3", 1));
   cluster.run(2);
-  EXPECT_TRUE(cluster.worker("m2").has("run-3/0"));
+  EXPECT_TRUE(cluster.agent("m2").has("run-3/0"));
   // Each task is restarted only once, also under the next owner.
   cluster.kill_controller(0);
   cluster.controller(1).acquire_all_partitions(cluster.now);
@@ -111,10 +111,10 @@
   cluster.run(3);
   for (const char* job_prefix : {"run-1/", "run-2/"}) {
     for (int task = 0; task < 3; ++task)
-      cluster.worker("m1").finish(job_prefix + std::to_string(task), EndCause::done);
+      cluster.agent("m1").finish(job_prefix + std::to_string(task), EndCause::done);
   }
   cluster.run(40);
-  EXPECT_TRUE(cluster.worker("m1").has("run-1/3"));
+  EXPECT_TRUE(cluster.agent("m1").has("run-1/3"));
   EXPECT_EQ(cluster.run_log.starts["run-1/3"], 1);
 }
 
@@ -133,7 +133,7 @@
   cluster.controller(0).run_cycle(cluster.now);
   ASSERT_EQ(cluster.controller(0).cluster_state.find_placement({job_index, 0})->state,
             PlacementState::stopping);
-  cluster.worker("m1").finish("run-1/0", EndCause::done);
+  cluster.agent("m1").finish("run-1/0", EndCause::done);
   cluster.run(2);
   EXPECT_EQ(cluster.phase("run-1"), "done");
   EXPECT_TRUE(cluster.controller(0).cluster_state.machine(machine_index).placed_tasks.empty());
--- a/tests/start_deadline_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -46,7 +46,7 @@
   for (std::size_t i = 0; i < machines; ++i) {
     std::string name = "m" + std::to_string(i);
     cluster.add_machine(name);
-    cluster.silenced_workers.insert(name);
+    cluster.silenced_agents.insert(name);
   }
   cluster.controller(0).sync(cluster.now);
   std::vector<std::string> order;
@@ -74,7 +74,7 @@
       {PendingReason::quota, 3, test_job("run-1", 11), [](SimulatedCluster& cluster) { cluster.run(3); }},
       {PendingReason::no_capacity, 1, test_job("run-1", 5),
        [](SimulatedCluster& cluster) {
-         cluster.silenced_workers.insert("m2");
+         cluster.silenced_agents.insert("m2");
          cluster.run(30);
        }},
       {PendingReason::start_unconfirmed, 2, test_job("run-1", 2), place_tasks},
@@ -85,12 +85,12 @@
        }},
       {PendingReason::image_fetch, 2, test_job("run-1", 2),
        [](SimulatedCluster& cluster) {
-         for (const char* m : {"m1", "m2"}) cluster.worker(m).first_phase = TaskPhase::fetching;
+         for (const char* m : {"m1", "m2"}) cluster.agent(m).first_phase = TaskPhase::fetching;
          cluster.run(3);
        }},
       {PendingReason::gang_members, 2, gang,
        [](SimulatedCluster& cluster) {
-         for (const char* m : {"m1", "m2"}) cluster.worker(m).first_phase = TaskPhase::gathering;
+         for (const char* m : {"m1", "m2"}) cluster.agent(m).first_phase = TaskPhase::gathering;
          cluster.run(3);
        }},
       {PendingReason::agent_silent, 2, test_job("run-1", 2),
@@ -109,7 +109,7 @@
          cluster.run(2);
          for (int i = 0; i < 4; ++i) {
            std::string machine_name = cluster.machines_of_task("run-1", 0).at(0);
-           cluster.worker(machine_name).finish("run-1/0", EndCause::unknown_task);
+           cluster.agent(machine_name).finish("run-1/0", EndCause::unknown_task);
            cluster.run(i < 3 ? 5 : 2);
          }
        }},
@@ -178,11 +178,11 @@
   cluster.add_machine("m1");
   cluster.submit(test_job("run-1", 1));
   cluster.run(40);
-  ASSERT_TRUE(cluster.worker("m1").has("run-1/0"));
+  ASSERT_TRUE(cluster.agent("m1").has("run-1/0"));
   ClusterState& cluster_state = cluster.controller(0).cluster_state;
   Job& current_job = cluster_state.job(cluster_state.find_job("run-1"));
   EXPECT_FALSE(awaits_first_start(current_job));
-  cluster.worker("m1").finish("run-1/0", EndCause::error);
+  cluster.agent("m1").finish("run-1/0", EndCause::error);
   cluster.run(0.5);
   EXPECT_TRUE(current_job.has_started(0));
   EXPECT_FALSE(awaits_first_start(current_job));
@@ -212,14 +212,14 @@
     cluster.run(test_case.waited_s);
     cluster.add_machine("m1");
     cluster.run(2);
-    ASSERT_TRUE(cluster.worker("m1").has("run-low/0")) << test_case.description;
+    ASSERT_TRUE(cluster.agent("m1").has("run-low/0")) << test_case.description;
     cluster.run(test_case.ran_s);
     JobSpec high = test_job("run-high", 1, 4);
     high.priority = Priority::high;
     high.shape = JobShape::gang;
     cluster.submit(high);
     cluster.run(4);
-    EXPECT_EQ(cluster.worker("m1").has("run-high/0"), test_case.preempted) << test_case.description;
+    EXPECT_EQ(cluster.agent("m1").has("run-high/0"), test_case.preempted) << test_case.description;
   }
 }
 
