--- a/include/oxbowmill/autoscaling/candidate_finder.h
+++ b/include/oxbowmill/autoscaling/candidate_finder.h
@@ -28,7 +28,8 @@
   /// Machines that the partition has or will get: recorded ones, those to be handed over to it, queued
   /// adoptions, purchases from markets and unanswered scale-out requests.
   std::vector<CandidateMachine> partition_candidates(PartitionIndex partition, Seconds now) const;
-  /// Machines of other partitions that may be drained for this job. `guaranteed`: within its guarantee.
+  /// Machines of other partitions that may be drained for this job. `guaranteed`: the job is within its
+  /// team's guarantee.
   std::vector<CandidateMachine> preemption_candidates(const Job& job, bool guaranteed, Clock clock) const;
 
  private:
--- a/include/oxbowmill/autoscaling/cloud_inventory.h
+++ b/include/oxbowmill/autoscaling/cloud_inventory.h
@@ -22,7 +22,7 @@
   enum class Phase : std::uint8_t {
     starting,  ///< booting
     running,   ///< up
-    failed,    ///< broken for good
+    failed,    ///< permanently broken
   };
   Phase phase = Phase::running;  ///< as of the list, which may lag behind
   double age_s = 0;              ///< seconds since its creation
@@ -33,7 +33,8 @@
 namespace oxbowmill::autoscaling {
 
 /// Requests the list periodically, adopts listed machines that have no record, and marks recorded machines as
-/// failed if they are listed as failed, or are not listed although their records are older than its lag.
+/// failed if they are listed as failed. Booted machines of the cloud are also marked as failed if they are
+/// not listed and have been known for several times the list's lag.
 class CloudInventory {
  public:
   /// All arguments must outlive this object.
--- a/include/oxbowmill/autoscaling/demand_order.h
+++ b/include/oxbowmill/autoscaling/demand_order.h
@@ -18,7 +18,8 @@
 };
 
 /// Orders jobs within their teams' guarantees first, then those with a critical start deadline, then by
-/// priority. Equals stay in the order of their partitions, and within a partition in the order of its queue.
+/// priority. Jobs that compare equal stay in the order of their partitions, and within a partition in the
+/// order of its queue.
 DemandOrder demand_order(const ClusterState& state, Clock clock);
 
 }  // namespace oxbowmill::autoscaling
--- a/include/oxbowmill/autoscaling/machine_source.h
+++ b/include/oxbowmill/autoscaling/machine_source.h
@@ -35,7 +35,7 @@
   bool spot = false;               ///< whether it is a spot machine
   double price = 0;                ///< per machine and hour
   Seconds ready_s = 0;             ///< time until a machine is up
-  std::uint32_t max_machines = 0;  ///< that one request may ask for
+  std::uint32_t max_machines = 0;  ///< limit on the machines of one request
 };
 
 /// A source of machines other than the cloud. Called by the leader's autoscaler only.
--- a/include/oxbowmill/autoscaling/scale_out_requests.h
+++ b/include/oxbowmill/autoscaling/scale_out_requests.h
@@ -24,7 +24,7 @@
 /// The cloud's limit on the number of machines in one request.
 constexpr std::uint32_t max_machines_per_request = 50;
 
-/// Collects one request per kind and cycle, sends them under IDs that are unique also across restarts, and
+/// Collects one request per kind and cycle, sends them under IDs that stay unique across restarts, and
 /// tracks the answers.
 class ScaleOutRequests {
  public:
@@ -53,7 +53,7 @@
   void clear_refusal(const MachineKind& kind) { refusals_.erase(kind); }
   /// Discards all unanswered requests; called when this controller is not the leader.
   void clear_pending() { pending_.clear(); }
-  /// Kinds of the machines that unanswered requests ask for for the partition, one entry per machine.
+  /// Kinds of the machines that unanswered requests are to get for the partition, one entry per machine.
   std::vector<MachineKind> expected_for(PartitionIndex partition) const;
 
  private:
--- a/include/oxbowmill/cluster/cluster_state.h
+++ b/include/oxbowmill/cluster/cluster_state.h
@@ -79,7 +79,7 @@
   MachineIndex intern_machine(const std::string& name);
   /// The machine's index, or an invalid one if the state service holds no record of it.
   MachineIndex find_recorded(const std::string& name) const;
-  /// The type's index. If the name is new and the catalogue is known, adds an empty catalogue entry.
+  /// The type's index. If the name is new and the catalog is known, adds an empty catalog entry.
   TypeIndex intern_type(const std::string& name);
   /// Number of machine indices in use, including machines without a record.
   std::uint32_t machine_count() const { return machines_.size(); }
@@ -87,8 +87,8 @@
   const Machine& machine(MachineIndex machine_index) const { return machines_.at(machine_index); }
   /// A machine, for modification; marks it as changed.
   Machine& edit_machine(MachineIndex machine_index) { return machines_.edit(machine_index); }
-  /// Machines that were opened for modification, themselves or one of their placements, since the last call.
-  /// Each is listed once.
+  /// Machines that were opened for modification, or one of whose placements was, since the last call. Each is
+  /// listed once.
   std::vector<MachineIndex> take_changed_machines() { return machines_.take_changed(); }
   /// Machines of the partition.
   const std::set<MachineIndex>& machines_of(PartitionIndex partition) const {
@@ -102,7 +102,7 @@
   void mark_image_used(Machine& current_machine, const JobSpec& spec);
   /// Whether the machine's cache holds the image.
   static bool has_image(const Machine& machine, ImageIndex image) { return machine.has_image(image); }
-  /// Whether the cloud's catalogue of types has been read.
+  /// Whether the cloud's catalog of types has been read.
   bool catalog_known() const { return !catalog.empty(); }
 
   // Placements and capacity.
@@ -111,7 +111,7 @@
   const Placement* find_placement(TaskId id) const;
   /// The task's placement, for modification, or null if it has none; marks its machine as changed.
   Placement* edit_placement(TaskId id);
-  /// Capacity that is neither used nor reserved; zero while the machine's type is not in the catalogue.
+  /// Capacity that is neither used nor reserved; zero while the machine's type is not in the catalog.
   Resources free_capacity(const Machine& machine) const;
   /// Reserves (`sign` 1) or releases (`sign` -1) capacity and quota for a task whose placement is being
   /// written.
--- a/include/oxbowmill/cluster/job.h
+++ b/include/oxbowmill/cluster/job.h
@@ -87,9 +87,10 @@
   Seconds last_placement_at = long_ago;      ///< when tasks of the job were last placed
   std::uint32_t error_count = 0;             ///< consecutive errors of its tasks
   Attempt broken_attempt = 0;  ///< attempt in which a gang member reported that it lost its peers
-  /// Since when no machines have been found for the other members of a partly placed gang; below 0: not so.
+  /// Since when no machines have been found for the other members of a partly placed gang; below 0: not the
+  /// case.
   Seconds unschedulable_since = time_not_set;
-  Seconds waiting_since = 0;  ///< since when it has waited, by this node's steady clock
+  Seconds waiting_since = 0;  ///< since when it has waited, by this controller's steady clock
   PendingReason pending_reason = PendingReason::queue_order;  ///< why its pending tasks have no machine
   Seconds pending_reason_logged_at = long_ago;                ///< when `pending_reason` was last logged
   std::vector<double> finished_run_times;  ///< in seconds, in order of finishing; for slow-task detection
--- a/include/oxbowmill/cluster/job_spec.h
+++ b/include/oxbowmill/cluster/job_spec.h
@@ -53,10 +53,10 @@
 
 /// A job as submitted; it never changes afterwards.
 struct JobSpec {
-  std::string ref;                       ///< unique name that the user gave it
-  ClassIndex job_class;                  ///< job class named in the submission
-  PartitionIndex partition;              ///< its team's; invalid while only placements of the job are known
-  JobShape shape = JobShape::array;      ///< how its tasks belong together
+  std::string ref;                   ///< unique name that the user gave it
+  ClassIndex job_class;              ///< job class named in the submission
+  PartitionIndex partition;          ///< its team's partition; invalid while only its placements are known
+  JobShape shape = JobShape::array;  ///< how its tasks belong together
   Priority priority = Priority::normal;  ///< scheduling priority
   std::uint32_t tasks = 0;               ///< number of tasks
   Resources task_resources;              ///< resources that one task needs
--- a/include/oxbowmill/cluster/machine_type.h
+++ b/include/oxbowmill/cluster/machine_type.h
@@ -9,7 +9,7 @@
 
 namespace oxbowmill {
 
-/// An entry of the cloud's catalogue.
+/// An entry of the cloud's catalog.
 struct MachineType {
   Resources capacity;            ///< resources of the whole machine
   double cache_gb = 0;           ///< size of the image cache, in GB
--- a/include/oxbowmill/cluster/ownership_table.h
+++ b/include/oxbowmill/cluster/ownership_table.h
@@ -16,13 +16,13 @@
 struct Ownership {
   OwnershipRecord record;         ///< valid while `revision` is not `no_record`
   Revision revision = no_record;  ///< revision of the record, the lowest fencing token of this owner
-  Seconds since = 0;              ///< when this node learned of it
+  Seconds since = 0;              ///< when this controller learned of it
 };
 
 /// A controller that holds a lease.
 struct LiveController {
   OwnershipRecord record;  ///< registration of the controller
-  Seconds since = 0;       ///< when this node learned of the controller's present lease
+  Seconds since = 0;       ///< when this process learned of the controller's present lease
 };
 
 /// Owners of partitions and live controllers.
@@ -39,8 +39,8 @@
   void set_owner(PartitionIndex partition, const OwnershipRecord* record, Revision revision, Seconds now);
   /// Sets a controller's registration; null: its lease has ended.
   void set_controller(const std::string& name, const OwnershipRecord* record, Seconds now);
-  /// Time by which this node had learned of the present lease of each of these controllers. Empty if one of
-  /// them holds no lease.
+  /// Time by which this process had learned of the present lease of each of these controllers. Empty if one
+  /// of them holds no lease.
   [[nodiscard]] std::optional<Seconds> all_live_since(const std::vector<std::string>& names) const;
 
  private:
--- a/include/oxbowmill/cluster/settings.h
+++ b/include/oxbowmill/cluster/settings.h
@@ -33,11 +33,11 @@
   // Machines.
   double idle_retention_s = 10;      ///< how long an idle machine is kept before it is returned
   double spot_retention_factor = 3;  ///< multiple of `idle_retention_s` for spot machines
-  double release_to_pool_s = 10;     ///< until a partition without pending tasks releases an idle machine
+  double release_to_pool_s = 10;     ///< how long a partition without waiting jobs keeps an empty machine
   double boot_timeout_factor = 5;  ///< multiple of the type's boot time after which a machine counts as stuck
   double refusal_backoff_s = 10;   ///< back-off after the cloud refused a request
   double scale_out_delay_s = 5;    ///< how long a job waits for capacity before machines are requested for it
-  double start_deadline_s = 240;   ///< within this a job that can run starts all its tasks; 0: no deadline
+  double start_deadline_s = 240;   ///< time for a job that can run to start all its tasks; 0: no deadline
   double start_deadline_share = 0.25;  ///< fraction of a partition's machines that critical jobs get first
   bool use_spot = true;                ///< whether spot machines are requested
   bool preempt = true;                 ///< whether tasks are preempted
@@ -80,7 +80,7 @@
   checkpoint::Settings progress;             ///< estimation of saved progress
 
   static constexpr double clock_drift = 0.0005;        ///< bound of the relative error of a clock's rate
-  static constexpr double clock_skew_tolerance_s = 3;  ///< bound of the difference of two nodes' times of day
+  static constexpr double clock_skew_tolerance_s = 3;  ///< bound of the difference of two hosts' times of day
   static constexpr double safety_margin_s = 1.0;       ///< added where a lease must have ended for certain
   static constexpr double report_timeout_s = 4.0;      ///< an agent drops responses that arrive later
   /// Seconds after the response to a report by which the agent runs nothing of that session any more,
--- a/include/oxbowmill/market/market_poller.h
+++ b/include/oxbowmill/market/market_poller.h
@@ -1,4 +1,4 @@
-// Polls markets with requests that concern no single bid: quotes while machines are has_demand, and lists of
+// Polls markets with requests that concern no single bid: quotes while machines are needed, and lists of
 // charges while there are open or settled bids. Owns the list of kinds that quotes are requested for; used on
 // the controller's thread only.
 #pragma once
--- a/include/oxbowmill/reconciliation/agent_liveness.h
+++ b/include/oxbowmill/reconciliation/agent_liveness.h
@@ -23,7 +23,7 @@
 };
 /// Name for logs.
 const char* name_of(AgentLiveness liveness);
-/// Whether the agent is suspected, marked for deletion or not.
+/// Whether the agent is suspected; one that is marked for deletion is as well.
 [[nodiscard]] bool is_suspect(AgentLiveness liveness);
 /// Whether the agent has reported and has not become suspected since.
 [[nodiscard]] bool has_reported(AgentLiveness liveness);
--- a/include/oxbowmill/scheduling/effects.h
+++ b/include/oxbowmill/scheduling/effects.h
@@ -16,8 +16,8 @@
   ownership,  ///< acquisition of a partition
   user,       ///< a user waits for the answer
   cancel,     ///< cancellation by a user
-  placement,  ///< a task or a machine depends on it
-  done_mark,  ///< finished tasks
+  placement,  ///< a placement, or a change that a task or a machine waits for
+  done_mark,  ///< ends of finished tasks
   other,      ///< nothing waits for it
 };
 
@@ -78,16 +78,17 @@
   std::uint64_t agent_epoch = 0;  ///< the agent's current epoch
 };
 
-/// Chunk records that one transaction may change, besides the job's record and its final phase.
+/// Largest number of chunk records that one transaction may change, besides the job's record and its final
+/// phase.
 inline std::size_t max_chunks_per_transaction(const Settings& settings) {
   return std::min<std::size_t>(settings.max_transaction_ops - 2, 8);
 }
 
-/// Decision records that guard one placement at most.
+/// Largest number of decision records that guard one placement.
 constexpr std::size_t max_constraint_guards = 3;
 
-/// Machine records that one transaction can guard besides the ownership, the job, its chunks and the
-/// decisions.
+/// Largest number of machine records that one transaction can guard besides the ownership, the job, its
+/// chunks and the decisions.
 inline std::size_t max_guarded_machines(const Settings& settings) {
   return 4 * settings.max_transaction_ops - 2 - max_constraint_guards - max_chunks_per_transaction(settings);
 }
--- a/include/oxbowmill/scheduling/free_capacity.h
+++ b/include/oxbowmill/scheduling/free_capacity.h
@@ -24,7 +24,8 @@
   Priority lowest_priority = Priority::production;  ///< lowest priority of the preemptible tasks
   std::vector<ImageIndex> images;                   ///< images in the machine's cache
 };
-/// Equal in every field.
+/// Whether both offer the same capacity. The machine and what depends on the job or the time are not
+/// compared.
 bool operator==(const MachineCapacity& left, const MachineCapacity& right);
 
 /// The requirements of a job in a selection of machines.
@@ -33,7 +34,7 @@
   /// Whether the job has to start soon: start times include the fetches in progress on a machine.
   bool has_start_deadline = false;
   bool avoid_whole_machines = false;  ///< whole on-demand machines are reserved for gangs
-  std::vector<bool> unreachable;      ///< by zone: it is unreachable; empty: no zone is
+  std::vector<bool> unreachable;      ///< by zone: whether it is unreachable; empty: none is
   /// Seconds until the fetches in progress on the machine end. Called only if `has_start_deadline` is set.
   std::function<Seconds(MachineIndex)> fetch_backlog_s;
 };
@@ -74,14 +75,14 @@
 
   /// Takes free capacity for a task that is about to be placed, until the next update of the machine.
   void take(MachineIndex machine, const Resources& need);
-  /// As `take`, from the capacity that is being released there.
+  /// Like `take`, but takes from the capacity that is being released there.
   void take_releasing(MachineIndex machine, const Resources& need);
-  /// Notes that an image fetch of that length is about to begin there.
+  /// Notes that an image fetch of this duration is about to begin on the machine.
   void add_fetch(MachineIndex machine, Seconds seconds);
-  /// Notes that a service's task is about to be placed there.
+  /// Notes that a service's task is about to be placed on the machine.
   void mark_long_running(MachineIndex machine);
-  /// Returns and clears the machines changed by these four functions; they have to be updated before the next
-  /// cycle.
+  /// Returns and clears the machines changed by `take`, `take_releasing`, `add_fetch` and
+  /// `mark_long_running`. They have to be updated before the next cycle.
   std::vector<MachineIndex> take_provisional();
 
   /// Machines with capacity that is being released.
--- a/include/oxbowmill/scheduling/machine_monitor.h
+++ b/include/oxbowmill/scheduling/machine_monitor.h
@@ -17,7 +17,7 @@
                  TransactionQueue& transactions, MachineEvictor& evictor)
       : state_(state), ownership_(ownership), zones_(zones), transactions_(transactions), evictor_(evictor) {}
 
-  /// Sets the source that names suspected machines to be deleted; null: none is.
+  /// Sets the source that names suspected machines to be deleted; null: none is deleted.
   void set_recovery_admission(const RecoveryAdmission* recovery_admission) {
     recovery_admission_ = recovery_admission;
   }
--- a/include/oxbowmill/scheduling/placement_cycle.h
+++ b/include/oxbowmill/scheduling/placement_cycle.h
@@ -1,5 +1,5 @@
-// Plans placements of a partition's waiting tasks on its machines. Owns what the last cycle of each partition
-// saw and the counter of attempts. No I/O: the caller writes the plan.
+// Plans placements of a partition's waiting tasks on its machines. Owns the capacity version at the last
+// cycle of each partition and the counter of attempts. No I/O: the caller writes the plan.
 #pragma once
 
 #include <vector>
--- a/include/oxbowmill/scheduling/scheduler.h
+++ b/include/oxbowmill/scheduling/scheduler.h
@@ -65,14 +65,14 @@
     return oxbowmill::needs_whole_machines(state_, partition);
   }
 
-  /// Whether the zone is unreachable for this or, by its report, another controller.
+  /// Whether this controller finds the zone unreachable or another one has recently reported it as such.
   bool is_unreachable(ZoneIndex zone, Seconds now) const { return zones_.is_unreachable(zone, now); }
   /// Zones that this controller itself finds unreachable, to be reported to its peers.
   std::vector<ZoneIndex> unreachable_zones(Seconds now) const { return zones_.unreachable_zones(now); }
   /// Notes that another controller has reported the zone as unreachable.
   void on_peer_zone_report(ZoneIndex zone, Seconds now) { zones_.on_peer_report(zone, now); }
 
-  /// Sets the source that names suspected machines to be deleted; null: none is.
+  /// Sets the source that names suspected machines to be deleted; null: none is deleted.
   void set_recovery_admission(const RecoveryAdmission* recovery_admission) {
     machine_monitor_.set_recovery_admission(recovery_admission);
   }
--- a/include/oxbowmill/service/effect_sender.h
+++ b/include/oxbowmill/service/effect_sender.h
@@ -18,7 +18,7 @@
                std::function<double()> clock);
   /// Sends all effects of a cycle: first writes, then commands, then calls to the cloud.
   void send(const Effects& effects);
-  /// Called after an own transaction was committed at this revision and applied to the replica.
+  /// Called after a transaction of this controller was committed at this revision and applied to the replica.
   std::function<void(Revision)> on_committed;
 
  private:
--- a/include/oxbowmill/service/peers.h
+++ b/include/oxbowmill/service/peers.h
@@ -1,5 +1,5 @@
-// Messages between controllers, in MessagePack over HTTP. They only speed controllers up: a controller learns
-// from its watch of the state service what a lost message would have told it. Event loop thread only.
+// Messages between controllers, in MessagePack over HTTP. They only save time: what a lost message would have
+// told a controller, it learns later from its watch of the state service. Event loop thread only.
 #pragma once
 
 #include <map>
@@ -41,8 +41,8 @@
 
 /// Whether a controller should accept users' requests, given the seconds since the state service last
 /// responded to it and whether a peer reaches the state service. A controller that alone is cut off soon
-/// stops accepting, so that users go to its peers. In an outage for all controllers, all go on for longer,
-/// because a refusal with a retry time is better for users than no answer.
+/// stops accepting, so that users go to its peers. In an outage that affects all controllers, all of them
+/// keep accepting for longer, because a refusal with a retry time is better for users than no answer.
 bool should_serve(double since_state_response_s, bool peer_reaches_state_service);
 
 /// Owns the connections to the other controllers and the status that each last published. Its destruction
--- a/include/oxbowmill/service/state_replica.h
+++ b/include/oxbowmill/service/state_replica.h
@@ -13,7 +13,8 @@
 namespace oxbowmill::service {
 
 /// The only class that applies records of the state service to the cluster state. The changes of each key are
-/// applied in the order of their revisions, whether from a listing, a watch or an own transaction.
+/// applied in the order of their revisions, whether from a listing, a watch or a transaction of this
+/// controller.
 class StateReplica {
  public:
   /// `clock` returns the steady time in seconds. The store must not call back after destruction.
--- a/src/autoscaling/candidate_finder.cpp
+++ b/src/autoscaling/candidate_finder.cpp
@@ -12,7 +12,8 @@
 constexpr int preemption_cost = 2;
 // Assumed time until a machine whose tasks are preempted has been handed over.
 constexpr Seconds drain_duration_s = 4;
-// In boot times of the machine's type. Jobs do not wait for machines that take longer; they may never boot.
+// Multiple of the type's boot time. Jobs do not wait for a machine that takes longer, because it may never
+// boot.
 constexpr double max_boot_time_factor = 2;
 }  // namespace
 
--- a/src/autoscaling/cloud_inventory.cpp
+++ b/src/autoscaling/cloud_inventory.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 constexpr Seconds list_timeout_s = 30;  // after which an unanswered list request is repeated
-// In multiples of the lag of the cloud's list.
+// Both are multiples of the lag of the cloud's list.
 constexpr double adopt_after_lags = 3;    // time until a listed machine without a record is adopted
 constexpr double missing_after_lags = 6;  // age of a record from which an unlisted machine counts as failed
 }  // namespace
--- a/src/autoscaling/demand_reconciler.cpp
+++ b/src/autoscaling/demand_reconciler.cpp
@@ -10,7 +10,7 @@
 namespace {
 constexpr Seconds placement_delay_s = 1;  // from a job's acceptance until its first placement is visible here
 constexpr Seconds freed_rate_window_s = 30;      // time constant of the average rate of freed capacity
-constexpr std::size_t max_tasks_per_job = 2000;  // that a cycle serves
+constexpr std::size_t max_tasks_per_job = 2000;  // limit on the tasks that a cycle serves
 }  // namespace
 
 std::vector<CandidateMachine> DemandReconciler::reconcile(Clock clock, Effects& out) {
@@ -89,7 +89,7 @@
 void DemandReconciler::assign_machines(JobDemand& demand, Cycle& cycle) {
   PartitionDemand& partition = cycle.partitions[demand.job->spec.partition.value];
   std::size_t wanted = demand.tasks.size();
-  // In this cycle, another job with the same or smaller demand has found no capacity.
+  // A job with the same or a smaller demand has already found no capacity in this cycle.
   if (!demand.guaranteed && partition.failed_selections.covers(
                                 *demand.job, wanted, demand.avoid_whole_machines, demand.may_preempt))
     return;
--- a/src/cluster/apply_changes.cpp
+++ b/src/cluster/apply_changes.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Seconds max_assumed_wait_s = 3600;  // for a job whose submission this node did not see
+constexpr Seconds max_assumed_wait_s = 3600;  // for a job whose submission this controller did not see
 
 /// Fraction of a machine that one task takes up, on the allowed type that holds the most of these tasks.
 double machine_fraction(const JobSpec& spec, const std::vector<MachineType>& catalog) {
@@ -94,7 +94,8 @@
   jobs_.remove_live(job_index);
   Job& current_job = job(job_index);
   current_job.revision = no_record;
-  // The final phase is stored under another key. In this table none of the job's tasks may start any more.
+  // The final phase is stored under another key and not known here. `cancelled` keeps further tasks of the
+  // job from starting.
   if (current_job.phase == JobPhase::open) current_job.phase = JobPhase::cancelled;
   erase_if_unused(job_index);
 }
--- a/src/cluster/failover.cpp
+++ b/src/cluster/failover.cpp
@@ -26,8 +26,8 @@
   void inherit_machine(MachineIndex machine_index) {
     Machine& machine = state_.edit_machine(machine_index);
     machine.restart_session(now_);
-    // This revision no longer counts, because an owner in between may have moved the machine. The fencing
-    // token does not decrease, because the revision of the present ownership is higher.
+    // The revision of the last placement no longer counts, because an owner in between may have moved the
+    // machine. The fencing token does not decrease, because the revision of the present ownership is higher.
     machine.last_placement_revision = no_record;
     machine.inherited = true;
     if (machine.state != MachineState::deleting)
@@ -45,8 +45,8 @@
     restore_start_time(placement);
     placement.sent_report_sequence = placement.sent_agent_epoch = 0;
     placement.restart_requested = false;
-    // What this node knew from an earlier ownership no longer holds, because an owner in between may have
-    // started the task again.
+    // What this controller knew from an earlier ownership no longer holds, because an owner in between may
+    // have started the task again.
     bool cancelled = job.phase == JobPhase::cancelled;
     placement.termination_timeout_s = cancelled ? 0 : job.spec.flush_s;
     bool stop = placement.restarting || cancelled;
@@ -67,9 +67,9 @@
     double elapsed_s =
         now_ + state_.wall_clock_offset_s - submitted_at - placement.placed_after_s - start_lag_s;
     placement.started_at = std::max(min_started_at, now_ - std::max(0.0, elapsed_s));
-    // The earlier owner must have seen the task start. Without this, after a crash of all controllers every
-    // old job looked as if it had never started, and a job that really had not waited behind hundreds of
-    // others (374 s, with 250 machines lost).
+    // The earlier owner must have seen the task start. When such tasks were not marked, every old job looked
+    // as if it had never started after a crash of all controllers. A job that really had never started then
+    // waited 374 s behind hundreds of others, with 250 machines lost.
     if (elapsed_s > longest_image_fetch_s(state_, job.spec) + counts_as_started_after_s)
       job.mark_started(placement.task);
   }
--- a/src/cluster/start_deadline.cpp
+++ b/src/cluster/start_deadline.cpp
@@ -6,10 +6,11 @@
 namespace oxbowmill {
 
 namespace {
-// Fractions of the start deadline. When the slack falls below them, a job is no longer preempted, goes
-// first within its priority, and goes ahead of other priorities. Jobs that are put first cost others their
-// deadlines, and where capacity never suffices all jobs would be put first in the end. The fractions are
-// therefore so small that there is just enough time left to gather capacity.
+// Fractions of the start deadline. When the slack falls below the first, a job is no longer preempted; below
+// the second, it goes first within its priority; below the third, it goes ahead of other priorities. Jobs
+// that are put first cost others their deadlines, and where capacity never suffices all jobs would be put
+// first in the end. The fractions are therefore so small that there is just enough time left to gather
+// capacity.
 constexpr double not_preemptible_share = 0.4;
 constexpr double urgent_share = 0.25;
 constexpr double critical_share = 0.12;
--- a/src/market/market_client.cpp
+++ b/src/market/market_client.cpp
@@ -70,14 +70,14 @@
   if (answer.implausible_quotes > 0) {
     SPDLOG_ERROR("implausible quotes dropped market={} quotes={}", market_settings_.name,
                  answer.implausible_quotes);
-    // Counts against the whole market because its quotes for other kinds are no more credible.
+    // Implausible quotes count against the whole market, because its other quotes are no more credible.
     overall_reputation_.record_machines(0, answer.implausible_quotes);
     has_unsaved_changes_ = true;
   }
   quotes_.clear();
   for (const QuoteUpdate& quote : answer.quotes) {
     if (quote.kind.type.value >= names.types.size() || quote.kind.zone.value >= names.zones.size()) continue;
-    // Validity is counted from the request, since the market starts to count it later; no quote is used too
+    // Validity is counted from the request. The market starts to count it later, so no quote is used for too
     // long.
     quotes_.push_back({quote, requested_at + quote.valid_s});
   }
--- a/src/market/pricing.cpp
+++ b/src/market/pricing.cpp
@@ -6,8 +6,8 @@
 namespace oxbowmill::market {
 
 namespace {
-/// Fraction of a machine's value that depends on meeting the deadline; the rest is lost only by a delivery
-/// after a longer time, which includes the delivery tolerance.
+/// Fraction of a machine's value that depends on a delivery within the slack. The rest is lost only if the
+/// delivery takes longer than the slack, the promised delivery time and the delivery tolerance together.
 constexpr double deadline_weight = 0.7;
 
 /// Cost of a machine that does not come in time, as a multiple of its running cost at the reference price.
--- a/src/reconciliation/peer_hints.cpp
+++ b/src/reconciliation/peer_hints.cpp
@@ -5,7 +5,7 @@
 namespace oxbowmill::reconciliation {
 
 namespace {
-constexpr double hint_lifetime_s = 3;  // a peer's status or suspicion is valid for so long
+constexpr double hint_lifetime_s = 3;  // how long a peer's status or suspicion is valid
 }  // namespace
 
 void PeerHints::record_status(const PartitionStatus& status, Seconds now) {
--- a/src/reconciliation/reconciler.cpp
+++ b/src/reconciliation/reconciler.cpp
@@ -246,9 +246,9 @@
 
 bool Reconciler::may_scale_out(PartitionIndex partition, JobIndex job, bool guaranteed, Seconds now) {
   if (guaranteed || !scheduler_.owns(idle_pool)) return true;
-  // A controller that was up before it became leader knows the running machines. Scale outs that were
-  // delayed by 16 s in the middle of a burst, while an earlier owner kept its agents, came too late in the
-  // case maktaba-monastir-voice.
+  // A controller that was up before it became leader knows the running machines, so it delays nothing. In the
+  // evaluation case maktaba-monastir-voice, scale outs were delayed by 16 s in the middle of a burst, while
+  // an earlier owner kept its agents, and came too late.
   if (first_cycle_at_ < 0 ||
       now - first_cycle_at_ > leader_warm_up_timeouts * state_.settings.first_report_timeout_s())
     return true;
--- a/src/reconciliation/zone_reports.cpp
+++ b/src/reconciliation/zone_reports.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr std::uint32_t min_reports_due = 4;  // with fewer due, no machine of the zone is suspected
-// A report is recent within so many report intervals plus so many seconds.
+// A report is recent if it is at most this many report intervals plus this delay old.
 constexpr double max_report_intervals = 1.6, report_delay_s = 0.5;
 }  // namespace
 
--- a/src/release_calendar/release_constraints.cpp
+++ b/src/release_calendar/release_constraints.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Render jobs rank so many seconds earlier once another edition has rendered, since the release waits for
-// them.
+// Once another edition has rendered, the remaining render jobs count as submitted this many seconds earlier,
+// because the release waits for them.
 constexpr double last_edition_boost_s = 60;
 
 void withhold(PlacementLimits& limits) {
--- a/src/scheduling/capacity_forecast.cpp
+++ b/src/scheduling/capacity_forecast.cpp
@@ -5,7 +5,7 @@
 namespace oxbowmill {
 
 namespace {
-/// Until a machine that another partition drains for this one reports here.
+/// Assumed time until a machine that another partition drains for this one reports here.
 constexpr double handover_duration_s = 4;
 }  // namespace
 
--- a/src/scheduling/done_mark_collector.cpp
+++ b/src/scheduling/done_mark_collector.cpp
@@ -35,7 +35,7 @@
          count.ended < job.placements.size();
 }
 
-/// Whether other ends of tasks have to be written later anyway and no placement waits for the ones at hand.
+/// Whether ends of other tasks have to be written later anyway and no placement waits for the present ones.
 bool has_later_write(const Job& job, const EndedTasks& count) {
   if (job.is_final()) return count.ended < job.placements.size();
   return count.ended == count.finished && job.done_count + count.finished < job.spec.tasks &&
--- a/src/scheduling/failed_selections.cpp
+++ b/src/scheduling/failed_selections.cpp
@@ -9,8 +9,9 @@
 }  // namespace
 
 void FailedSelections::add(const Job& job, std::size_t tasks, bool avoid_whole_machines, bool may_preempt) {
-  // Not noted for a job with placements or with tasks spread over zones, because the zones of its other tasks
-  // matter too. The list is bounded, because searching a long one would cost more than it saves.
+  // A job with placements or with tasks spread over zones is not noted, because its selection also depends on
+  // the zones of its other tasks. The list is bounded, because searching a long one would cost more than it
+  // saves.
   if (!job.placements.empty() || job.spec.spread_zones || failures_.size() >= max_failures) return;
   failures_.push_back({&job.spec, tasks, avoid_whole_machines, may_preempt});
 }
--- a/src/scheduling/heartbeat_handler.cpp
+++ b/src/scheduling/heartbeat_handler.cpp
@@ -10,8 +10,8 @@
 namespace {
 constexpr std::uint32_t lost_responses_threshold = 3;  // consecutive reports that show a lost response
 constexpr double lost_response_window = 16;            // length of the average, in reports
-constexpr double controller_fault_fraction =
-    0.5;  // of lost responses: from here on this controller is the cause
+/// From this fraction of lost responses on, this controller counts as the cause, not the machine.
+constexpr double controller_fault_fraction = 0.5;
 constexpr double permanent_fault_duration_s = 1e9;
 }  // namespace
 
@@ -140,8 +140,8 @@
   machine.lost_responses = response_lost ? machine.lost_responses + 1 : 0;
 }
 
-/// Blocks a machine that does not receive its responses for new tasks for a while, and terminates its tasks
-/// that have not started, so that they are placed elsewhere.
+/// Blocks a machine that does not receive its responses, so that it gets no new tasks for a while, and
+/// terminates its tasks that have not started, so that they are placed elsewhere.
 void HeartbeatHandler::block_machine(MachineIndex machine_index, Seconds now) {
   Machine& machine = state_.edit_machine(machine_index);
   if (machine.blocked_until < now)
--- a/src/scheduling/machine_monitor.cpp
+++ b/src/scheduling/machine_monitor.cpp
@@ -5,7 +5,7 @@
 namespace oxbowmill {
 
 namespace {
-constexpr double idle_retention_factor = 3;      // for an empty machine while jobs wait for its kind
+constexpr double idle_retention_factor = 3;  // multiple of `release_to_pool_s` while jobs wait for the kind
 constexpr double recent_report_intervals = 1.6;  // a report counts as recent up to this many intervals
 constexpr double recent_report_slack_s = 0.5;    // plus this much
 }  // namespace
--- a/src/scheduling/pending_reason.cpp
+++ b/src/scheduling/pending_reason.cpp
@@ -61,7 +61,7 @@
     ++status.tasks;
     if (status.reason == PendingReason::none) status.reason = reason;
   }
-  // Tasks without a machine wait longest.
+  // Tasks without a machine wait longest, so their reason is the one that is reported.
   if (!awaits_first_start(job)) return status;
   status.tasks += job.pending_count();
   status.reason = job.pending_reason;
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -132,8 +132,8 @@
     const Job& job = state.job(job_index);
     if (state.placeable_task_count(job_index) == 0) continue;
     if (job.spec.shape == JobShape::gang && !gang_may_be_placed(job)) continue;
-    // Saved progress counts as waiting time, so that of jobs that lost their machines those nearest their end
-    // continue first.
+    // Saved progress counts as waiting time, so that among the jobs that lost their machines, those with the
+    // most saved progress continue first.
     double waiting_from = job.spec.submitted_at - state.placement_limits(job_index).priority_boost_s -
                           (job.spec.estimate_s - job.remaining_s());
     QueueEntry entry{-static_cast<int>(job.spec.priority), 1, waiting_from, waiting_from, job_index};
@@ -142,8 +142,8 @@
   return entries;
 }
 
-/// Marks the entries that can still meet `multiple` times their deadline. Entries that meet a smaller
-/// multiple keep its sort key.
+/// Sets tier 0 for the entries that can still meet `multiple` times their deadline. Entries that already have
+/// tier 0, because they meet a smaller multiple, keep the sort key of that multiple.
 void mark_in_time(const ClusterState& state, double now, double multiple, double machines_per_s,
                   std::vector<QueueEntry>& entries) {
   std::vector<DueJob> due_jobs;
--- a/src/scheduling/task_report_reader.cpp
+++ b/src/scheduling/task_report_reader.cpp
@@ -17,8 +17,8 @@
 constexpr std::uint32_t min_errors_of_faulty_machine = 3;  // of tasks of any job
 constexpr std::uint32_t max_errors_of_sound_job = 3;  // consecutive errors; with more the job is at fault
 constexpr double blocked_report_intervals = 2;        // how long a machine that lacked capacity is blocked
-// A task counts as running between two reports that are at most so many intervals plus this slack apart; in a
-// longer gap the machine may have hung.
+// A task counts as running between two reports that are at most this many report intervals plus this slack
+// apart; in a longer gap the machine may have hung.
 constexpr double running_gap_report_intervals = 2;
 constexpr double running_gap_slack_s = 1;
 
--- a/src/scheduling/transaction_queue.cpp
+++ b/src/scheduling/transaction_queue.cpp
@@ -60,7 +60,7 @@
       settle(position, now, 0);
       break;
     case TransactionOutcome::not_executed:
-      // This holds for this copy only: an earlier one that got no answer may still be applied, with its
+      // The answer concerns this copy only: an earlier copy that got no answer may still be applied, with its
       // reservations and payments.
       if (pending.unconfirmed) {
         pending.resend_at = now + unanswered_backoff_s;
--- a/src/service/state_replica.cpp
+++ b/src/service/state_replica.cpp
@@ -98,7 +98,7 @@
   double now = clock_();
   readers_.record_read(now);
   // The reader needs a watch that is sent after its request, and a watch that the state service holds open
-  // may delay that one by much.
+  // may delay that one for long.
   bool is_late = readers_.is_watch_late(last_watch_at_, now);
   if (!freshness_.is_live() || is_long_polling_ || is_late || !readers_.is_read_often())
     return on_done(false);
