--- a/include/oxbowmill/autoscaling/autoscaler.h
+++ b/include/oxbowmill/autoscaling/autoscaler.h
@@ -1,5 +1,5 @@
-// Façade of the leader's autoscaler, which assigns machines to partitions, requests machines from the cloud
-// and returns those that are not needed. Each concern is a class that owns its own state; the façade owns
+// Facade of the leader's autoscaler, which assigns machines to partitions, requests machines from the cloud
+// and returns those that are not needed. Each concern is a class that owns its own state; the facade owns
 // these classes, connects them and fixes the order of the steps of a cycle. It performs no I/O: it takes
 // events and the current time, and produces effects. Not thread-safe and not re-entrant; called from the
 // controller's event loop only.
--- a/include/oxbowmill/market/remaining_budget.h
+++ b/include/oxbowmill/market/remaining_budget.h
@@ -26,7 +26,8 @@
   };
 
   /// Starts with all machines of the offers and the money that the ledger leaves under the spending limits.
-  /// All unproven offers of one market together get at most `Settings::trial_fraction` of the demanded units.
+  /// All unproven offers of one market together get at most `Settings::trial_fraction` of the demanded units,
+  /// but at least one machine.
   RemainingBudget(const std::vector<Demand>& demands, const std::vector<Offer>& offers, const Ledger& ledger,
                   const Settings& settings);
 
--- a/include/oxbowmill/scheduling/capacity_tracker.h
+++ b/include/oxbowmill/scheduling/capacity_tracker.h
@@ -1,5 +1,5 @@
 // Keeps the free capacity of every partition up to date as the cluster state changes and as blocks, waits and
-// time-outs expire. Owns the index of each partition and its version. No I/O. Times in seconds of the steady
+// timeouts expire. Owns the index of each partition and its version. No I/O. Times in seconds of the steady
 // clock.
 #pragma once
 
--- a/include/oxbowmill/scheduling/zone_reachability.h
+++ b/include/oxbowmill/scheduling/zone_reachability.h
@@ -8,9 +8,10 @@
 
 namespace oxbowmill {
 
-/// A zone is unreachable if more than three quarters of its machines that should report here are silent, or
-/// if another controller has reported it as unreachable. Its free, booting and requested machines are not
-/// used then.
+/// A zone becomes unreachable if at least four of its machines should report here and more than three
+/// quarters of them are silent while some machine reports, or if another controller has reported it as
+/// unreachable. It is reachable again when more than half of them report, or after a timeout. Free, booting
+/// and requested machines of an unreachable zone are not used.
 class ZoneReachability {
  public:
   /// `state` must outlive this object.
--- a/src/lease/controller_lease.cpp
+++ b/src/lease/controller_lease.cpp
@@ -34,7 +34,7 @@
 /// Sort key of a controller among those that may acquire a partition; the lowest goes first.
 struct Candidate {
   std::size_t owned_partition_count = 0;  // partitions that it owns
-  std::size_t rotated_position = 0;       // position among all controllers, rotated by the partition's index
+  std::size_t rotated_position = 0;       // position among the candidates, rotated by the partition's index
   std::string name;
   bool operator<(const Candidate& other) const {
     return std::tie(owned_partition_count, rotated_position, name) <
