--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -181,7 +181,7 @@
 void SimulatedController::run_cycle(double now) {
   Effects out = decide(now);
   if (bidding_service) {
-    // The cloud has no machines while markets are enabled.
+    // With markets enabled the cloud creates no machines.
     for (const ScaleOutRequest& r : out.scale_outs)
       autoscaler.on_scale_out_result(r.request_id, true, {}, now);
     std::vector<market::Call> calls;
