--- a/app/oxbowmill_sim.cpp
+++ b/app/oxbowmill_sim.cpp
@@ -106,7 +106,7 @@
                      simulation::minimize_faults(simulation::random_history(first_seed + i), first_seed + i));
   }
   std::cout << seeds << " histories from seed " << first_seed << ", " << failed_histories
-            << " with a violated invariant\n";
+            << " with a rule broken\n";
   return failed_histories != 0 ? 1 : 0;
 }
 
