--- a/include/oxbowmill/simulation/simulated_market.h
+++ b/include/oxbowmill/simulation/simulated_market.h
@@ -110,7 +110,7 @@
   MarketReply bid(const wire::Json& body, double now);
   wire::Json bid_json(const std::string& name, double now);
   void decide(Bid& bid, double now);
-  void accept(Bid& bid, double rate, double now);
+  void accept(Bid& bid, double price, double now);
   void deliver(const std::string& name, Bid& bid, double now);
   /// Ends a won bid that expects no more machines: `closed` once its machines have ended, `withdrawn` if it
   /// has none.
