--- a/src/simulation/scale_settings.cpp
+++ b/src/simulation/scale_settings.cpp
@@ -19,12 +19,13 @@
     ScaleFaultKind::state_outage,      ScaleFaultKind::workers_gone,       ScaleFaultKind::workers_replaced,
     ScaleFaultKind::workers_cut};
 
-void read_count(yaml::Map& map, const std::string& key, std::uint32_t& out, double min, double max) {
-  double value = out;
-  map.number(key, value, min, max);
-  if (value != static_cast<double>(static_cast<std::uint32_t>(value)))
+void read_count(yaml::Map& map, const std::string& key, std::uint32_t& out, double min_value,
+                double max_value) {
+  double number = out;
+  map.number(key, number, min_value, max_value);
+  if (number != static_cast<double>(static_cast<std::uint32_t>(number)))
     map.fail(key, "must be a whole number");
-  out = static_cast<std::uint32_t>(value);
+  out = static_cast<std::uint32_t>(number);
 }
 
 void read_resources(yaml::Map& map, Resources& out) {
